--- a/crates/micaspool-backpressure/src/board.rs
+++ b/crates/micaspool-backpressure/src/board.rs
@@ -43,7 +43,7 @@
 
     /// Takes in what the head of an endpoint's answer says, and logs what it changes; gives what holds of it then, if
     /// anything changed.
-    pub fn hear(&self, source: AdviceSource<'_>, advice: EndpointAdvice) -> Option<AdviceRecord> {
+    pub fn apply(&self, source: AdviceSource<'_>, advice: EndpointAdvice) -> Option<AdviceRecord> {
         if advice.is_empty() {
             return None;
         }
@@ -51,7 +51,7 @@
         self.expire();
         let now = self.now();
         let mut table = self.lock();
-        let change = table.hear(now, source.endpoint, source.service, advice);
+        let change = table.apply(now, source.endpoint, source.service, advice);
         let standing = table.standing(now, source.endpoint);
         self.entries.store(table.len(), Ordering::Release);
         drop(table);
--- a/crates/micaspool-backpressure/src/lib.rs
+++ b/crates/micaspool-backpressure/src/lib.rs
@@ -1,7 +1,7 @@
 //! What endpoints ask of those that send to them: to leave them alone for a while, or for good.
 //!
-//! * [`read_retry_after`] reads how long an endpoint wants to be left alone,
-//! * [`HeardAdvice`] is all that the head of one answer says,
+//! * [`parse_retry_after`] reads how long an endpoint wants to be left alone,
+//! * [`HeaderAdvice`] is all that the head of one answer says,
 //! * [`AdviceTable`] remembers what each start of an endpoint said, and what may be sent by that,
 //! * [`AdviceBoard`] is the table that everything in one process shares which sends to endpoints, so that the promise
 //!   is kept by the one who sends, whatever becomes of other processes.
@@ -9,11 +9,11 @@
 #![forbid(unsafe_code)]
 
 mod board;
-mod heard;
+mod header;
 mod retry_after;
 mod table;
 
 pub use board::{AdviceBoard, AdviceSource};
-pub use heard::HeardAdvice;
-pub use retry_after::{read_retry_after, Error, DRAINING_REST, LONGEST_REST};
+pub use header::HeaderAdvice;
+pub use retry_after::{parse_retry_after, Error, DRAINING_REST, MAX_REST};
 pub use table::{AdviceChange, AdviceTable, EndedRest, EndpointStanding};
--- a/crates/micaspool-backpressure/src/retry_after.rs
+++ b/crates/micaspool-backpressure/src/retry_after.rs
@@ -5,7 +5,7 @@
 
 /// The longest rest that is kept to. One that is longer is taken for a slip, such as milliseconds where seconds are
 /// meant, and the endpoint is asked again by a single request then.
-pub const LONGEST_REST: Duration = Duration::from_secs(3_600);
+pub const MAX_REST: Duration = Duration::from_secs(3_600);
 
 /// How long an endpoint that says that it leaves is left alone where its next start has the same name and tells nothing
 /// of it: it is asked again by a single request now and then.
@@ -32,9 +32,9 @@
 impl std::error::Error for Error {}
 
 /// How long an endpoint wants to be left alone, from all `Retry-After` values of an answer's head: the longest that can
-/// be read, at most [`LONGEST_REST`]; zero without any. Seconds may have a fraction, as this system itself sends
+/// be read, at most [`MAX_REST`]; zero without any. Seconds may have a fraction, as this system itself sends
 /// them; a date counts from `now`, the time of day, and one that has passed is no time.
-pub fn read_retry_after<'a>(
+pub fn parse_retry_after<'a>(
     values: impl IntoIterator<Item = &'a str>,
     now: SystemTime,
 ) -> Result<Duration, Error> {
@@ -55,10 +55,10 @@
 
 fn read_one(text: &str, now: SystemTime) -> Result<Duration, Error> {
     if let Some(rest) = read_seconds(text) {
-        return Ok(rest.min(LONGEST_REST));
+        return Ok(rest.min(MAX_REST));
     }
     let date = httpdate::parse_http_date(text).map_err(|_| Error::Unreadable(shortened(text)))?;
-    Ok(date.duration_since(now).unwrap_or_default().min(LONGEST_REST))
+    Ok(date.duration_since(now).unwrap_or_default().min(MAX_REST))
 }
 
 /// Seconds with or without a fraction; a number too large for a time is the longest one.
--- a/crates/micaspool-backpressure/src/table.rs
+++ b/crates/micaspool-backpressure/src/table.rs
@@ -107,7 +107,7 @@
 impl AdviceTable {
     /// Takes in what an endpoint of a service says. A rest that was asked for is prolonged and never shortened: the
     /// shorter one may come from a request that was on its way longer.
-    pub fn hear(
+    pub fn apply(
         &mut self,
         now: Moment,
         endpoint: &EndpointName,
--- a/crates/micaspool-backpressure/tests/retry_after.rs
+++ b/crates/micaspool-backpressure/tests/retry_after.rs
@@ -1,6 +1,6 @@
 //! How long an endpoint wants to be left alone, as it may be written.
 
-use micaspool_backpressure::{read_retry_after, Error, HeardAdvice, LONGEST_REST};
+use micaspool_backpressure::{parse_retry_after, Error, HeaderAdvice, MAX_REST};
 use micaspool_types::EndpointAdvice;
 use std::time::{Duration, SystemTime};
 use test_case::test_case;
@@ -9,7 +9,7 @@
 const NOW: Duration = Duration::from_secs(784_111_777);
 
 fn read(values: &[&str]) -> Result<Duration, Error> {
-    read_retry_after(values.iter().copied(), SystemTime::UNIX_EPOCH + NOW)
+    parse_retry_after(values.iter().copied(), SystemTime::UNIX_EPOCH + NOW)
 }
 
 #[test_case(&[], 0; "none")]
@@ -28,7 +28,7 @@
 #[test_case(&["Sat, 06 Nov 2094 08:49:40 GMT"], 3_600_000; "a date far away")]
 fn a_time_is_read(values: &[&str], millis: u64) {
     assert_eq!(read(values), Ok(Duration::from_millis(millis)));
-    assert!(LONGEST_REST >= Duration::from_millis(millis));
+    assert!(MAX_REST >= Duration::from_millis(millis));
 }
 
 #[test_case(""; "nothing")]
@@ -49,10 +49,10 @@
 
 #[test]
 fn an_answer_that_turns_nothing_away_asks_for_no_rest() {
-    assert_eq!(HeardAdvice::read(false, ["3"], false), HeardAdvice::default());
-    let heard = HeardAdvice::read(true, ["3"], true);
+    assert_eq!(HeaderAdvice::parse(false, ["3"], false), HeaderAdvice::default());
+    let heard = HeaderAdvice::parse(true, ["3"], true);
     assert_eq!(heard.advice, EndpointAdvice { rest: Duration::from_secs(3), leaving: true });
-    let heard = HeardAdvice::read(true, ["soon"], true);
+    let heard = HeaderAdvice::parse(true, ["soon"], true);
     assert_eq!(heard.advice, EndpointAdvice { rest: Duration::ZERO, leaving: true });
     assert!(heard.fault.is_some());
 }
--- a/crates/micaspool-backpressure/tests/table.rs
+++ b/crates/micaspool-backpressure/tests/table.rs
@@ -23,11 +23,11 @@
 fn a_rest_begins_is_prolonged_and_ends() {
     let mut table = AdviceTable::default();
     let at = Moment::from_millis;
-    let mut hear = |now, advice| table.hear(at(now), &name(1), &service("plain"), advice);
-    assert_eq!(hear(0, rest(0)), AdviceChange::Same);
-    assert_eq!(hear(0, rest(1_000)), AdviceChange::Began);
-    assert_eq!(hear(500, rest(200)), AdviceChange::Same);
-    assert_eq!(hear(500, rest(1_000)), AdviceChange::Prolonged);
+    let mut apply = |now, advice| table.apply(at(now), &name(1), &service("plain"), advice);
+    assert_eq!(apply(0, rest(0)), AdviceChange::Same);
+    assert_eq!(apply(0, rest(1_000)), AdviceChange::Began);
+    assert_eq!(apply(500, rest(200)), AdviceChange::Same);
+    assert_eq!(apply(500, rest(1_000)), AdviceChange::Prolonged);
     let standing = |table: &AdviceTable, now| table.standing(at(now), &name(1));
     assert_eq!(standing(&table, 1_200), EndpointStanding::Resting(Duration::from_millis(300)));
     assert_eq!(standing(&table, 1_500), EndpointStanding::Open);
@@ -41,9 +41,9 @@
 fn leaving_is_final_and_forgotten_long_after_the_end() {
     let mut table = AdviceTable::default();
     let at = Moment::from_millis;
-    assert_eq!(table.hear(at(0), &name(1), &service("plain"), LEAVING), AdviceChange::Left);
-    assert_eq!(table.hear(at(1), &name(1), &service("plain"), LEAVING), AdviceChange::Same);
-    assert_eq!(table.hear(at(2), &name(1), &service("plain"), rest(10)), AdviceChange::Began);
+    assert_eq!(table.apply(at(0), &name(1), &service("plain"), LEAVING), AdviceChange::Left);
+    assert_eq!(table.apply(at(1), &name(1), &service("plain"), LEAVING), AdviceChange::Same);
+    assert_eq!(table.apply(at(2), &name(1), &service("plain"), rest(10)), AdviceChange::Began);
     assert_eq!(table.standing(at(300_000), &name(1)), EndpointStanding::Leaving);
     assert_eq!(
         table.standing(at(300_000), &name(2)),
@@ -58,9 +58,9 @@
 fn a_dispatcher_hears_of_its_own_service_only() {
     let mut table = AdviceTable::default();
     let now = Moment::from_millis(5);
-    table.hear(now, &name(2), &service("plain"), rest(1_000));
-    table.hear(now, &name(1), &service("plain"), LEAVING);
-    table.hear(now, &name(3), &service("engines"), rest(1_000));
+    table.apply(now, &name(2), &service("plain"), rest(1_000));
+    table.apply(now, &name(1), &service("plain"), LEAVING);
+    table.apply(now, &name(3), &service("engines"), rest(1_000));
     let records = table.records(Moment::from_millis(405), &service("plain"));
     let said: Vec<_> = records.iter().map(|record| (record.endpoint.clone(), record.advice)).collect();
     assert_eq!(said, [(name(1), LEAVING), (name(2), rest(600))]);
@@ -73,12 +73,12 @@
     let (endpoint, service) = (name(1), service("plain"));
     let source = AdviceSource { endpoint: &endpoint, service: &service, request: "r" };
     assert!(board.may_send(&endpoint));
-    assert_eq!(board.hear(source, EndpointAdvice::default()), None);
-    let told = board.hear(source, rest(60_000)).expect("a rest begins");
+    assert_eq!(board.apply(source, EndpointAdvice::default()), None);
+    let told = board.apply(source, rest(60_000)).expect("a rest begins");
     assert!(told.advice.rest > Duration::from_secs(59), "{told:?}");
     assert!(!board.may_send(&endpoint));
-    assert_eq!(board.hear(source, rest(10)), None);
-    assert!(board.hear(source, LEAVING).expect("it leaves").advice.leaving);
+    assert_eq!(board.apply(source, rest(10)), None);
+    assert!(board.apply(source, LEAVING).expect("it leaves").advice.leaving);
     assert_eq!(board.records(&service).len(), 1);
 }
 
@@ -95,7 +95,7 @@
             if now >= latest {
                 table.expire(Moment::from_millis(now));
             }
-            table.hear(Moment::from_millis(now), &name(1), &service("plain"), rest(millis));
+            table.apply(Moment::from_millis(now), &name(1), &service("plain"), rest(millis));
             latest = latest.max(now + millis);
             let standing = table.standing(Moment::from_millis(now), &name(1));
             prop_assert_eq!(standing.is_open(), now >= latest);
--- a/crates/micaspool-gateway/src/dialect.rs
+++ b/crates/micaspool-gateway/src/dialect.rs
@@ -2,7 +2,7 @@
 
 use http::header::HeaderName;
 use http::{request, response, HeaderMap, Response, StatusCode};
-use micaspool_backpressure::HeardAdvice;
+use micaspool_backpressure::HeaderAdvice;
 use micaspool_http::edge::EdgeBody;
 use micaspool_types::{CustomerName, EndpointName, Refusal};
 use std::fmt;
@@ -119,5 +119,5 @@
     fn judge(&self, head: &response::Parts, id: &str) -> AnswerVerdict;
 
     /// What the head of an endpoint's answer says of the endpoint itself.
-    fn advice(&self, head: &response::Parts) -> HeardAdvice;
+    fn advice(&self, head: &response::Parts) -> HeaderAdvice;
 }
--- a/crates/micaspool-gateway/src/native.rs
+++ b/crates/micaspool-gateway/src/native.rs
@@ -6,7 +6,7 @@
 };
 use http::header::{HeaderName, HeaderValue, AUTHORIZATION, CONTENT_TYPE, RETRY_AFTER};
 use http::{request, response, HeaderMap, Response};
-use micaspool_backpressure::{HeardAdvice, DRAINING_REST};
+use micaspool_backpressure::{HeaderAdvice, DRAINING_REST};
 use micaspool_http::edge::{whole_body, EdgeBody};
 use micaspool_types::{stable_hash, Refusal, RequestId};
 use serde_json::json;
@@ -103,9 +103,9 @@
         }
     }
 
-    fn advice(&self, head: &response::Parts) -> HeardAdvice {
+    fn advice(&self, head: &response::Parts) -> HeaderAdvice {
         let times = header_texts(&head.headers, &RETRY_AFTER);
-        let mut heard = HeardAdvice::read(turns_away(head.status), times, false);
+        let mut heard = HeaderAdvice::parse(turns_away(head.status), times, false);
         // Its next start has the same name, so leaving can't be final here.
         if header_text(&head.headers, &DRAINING) == Some("true") {
             heard.advice.rest = heard.advice.rest.max(DRAINING_REST);
--- a/crates/micaspool-gateway/src/path/attempt.rs
+++ b/crates/micaspool-gateway/src/path/attempt.rs
@@ -319,7 +319,7 @@
             service: &endpoint.service,
             request: &self.call.caller.id,
         };
-        let Some(advice) = parts.advice.hear(source, heard.advice) else { return };
+        let Some(advice) = parts.advice.apply(source, heard.advice) else { return };
         if advice.advice.leaving {
             parts.pool.close_resting(endpoint.address);
         }
--- a/crates/micaspool-router/src/endpoint.rs
+++ b/crates/micaspool-router/src/endpoint.rs
@@ -4,7 +4,7 @@
 use async_std::io::ReadExt;
 use async_trait::async_trait;
 use http_types::{Body, Method, Request, Response, Url};
-use micaspool_backpressure::{HeardAdvice, DRAINING_REST};
+use micaspool_backpressure::{HeaderAdvice, DRAINING_REST};
 use micaspool_http::client::{call, CallLimits, Error};
 use micaspool_http::refusal::{REQUEST_HEADER, RUN_HEADER};
 use micaspool_telemetry::events::{self, field, record};
@@ -162,7 +162,7 @@
     let proved = says(RUN_HEADER, "not-run");
     let draining = says(DRAINING_HEADER, "true");
     let times = response.header("retry-after").into_iter().flatten();
-    let heard = HeardAdvice::read(true, times.map(|value| value.as_str()), false);
+    let heard = HeaderAdvice::parse(true, times.map(|value| value.as_str()), false);
     if let Some(fault) = &heard.fault {
         let fields =
             [field("request", call.plan.request), field("address", call.address), field("error", fault)];
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -202,7 +202,7 @@
         let request = plan.request.to_string();
         let source = AdviceSource { endpoint, service: &plan.service, request: &request };
         let advice = EndpointAdvice { rest: error.rest(), leaving: false };
-        if let Some(advice) = self.parts.shards.advice.hear(source, advice) {
+        if let Some(advice) = self.parts.shards.advice.apply(source, advice) {
             self.shard(&plan.service).advise(advice);
         }
     }
--- a/crates/micaspool-router/tests/link.rs
+++ b/crates/micaspool-router/tests/link.rs
@@ -289,7 +289,7 @@
         let asked = EndpointAdvice { rest: Duration::from_secs(60), leaving: false };
         let (endpoint, service) = (lease.endpoint().clone(), client.service().clone());
         let source = AdviceSource { endpoint: &endpoint, service: &service, request: "r" };
-        client.advise(advice.hear(source, asked).expect("a rest begins"));
+        client.advise(advice.apply(source, asked).expect("a rest begins"));
         wait_for(&heard, |heard| !heard.advice.is_empty()).await;
         lease.settle(Cost(0), GrantFate::Refused);
         wait_for(&heard, |heard| heard.hellos.len() > 1).await;
