--- a/crates/micaspool-keeper/src/state.rs
+++ b/crates/micaspool-keeper/src/state.rs
@@ -1,9 +1,7 @@
 //! The state machines that the log drives.
 
 use micaspool_halls::{HallOrders, OrderCommand, OrderVerdict};
-use micaspool_ledger::{
-    ClaimCommand, ClaimVerdict, EarlierLedger, FinishCommand, LedgerOptions, LedgerState,
-};
+use micaspool_ledger::{ClaimCommand, ClaimVerdict, FinishCommand, LedgerOptions, LedgerState, LegacyLedger};
 use micaspool_settings::apply::{self, SettingsChange, SettingsState};
 use micaspool_types::Revision;
 use serde::de::DeserializeOwned;
@@ -69,7 +67,7 @@
 #[derive(Deserialize)]
 struct StateWithPlan {
     settings: SettingsState,
-    ledger: EarlierLedger,
+    ledger: LegacyLedger,
     plan: PlanDocument,
 }
 
@@ -77,7 +75,7 @@
 #[derive(Deserialize)]
 struct StateWithoutPlan {
     settings: SettingsState,
-    ledger: EarlierLedger,
+    ledger: LegacyLedger,
 }
 
 impl From<StateWithPlan> for KeeperState {
--- a/crates/micaspool-ledger/src/lib.rs
+++ b/crates/micaspool-ledger/src/lib.rs
@@ -15,4 +15,4 @@
     StoredAnswer,
 };
 pub use options::LedgerOptions;
-pub use state::{EarlierLedger, LedgerState};
+pub use state::{LedgerState, LegacyLedger};
--- a/crates/micaspool-ledger/src/state.rs
+++ b/crates/micaspool-ledger/src/state.rs
@@ -29,7 +29,7 @@
 
 /// The ledger as versions wrote it that did not remember early releases.
 #[derive(Deserialize)]
-pub struct EarlierLedger {
+pub struct LegacyLedger {
     options: LedgerOptions,
     claims: HashMap<ClaimKey, ClaimRecord>,
     ended: VecDeque<EndedKey>,
@@ -38,8 +38,8 @@
     newest: LedgerTime,
 }
 
-impl From<EarlierLedger> for LedgerState {
-    fn from(earlier: EarlierLedger) -> LedgerState {
+impl From<LegacyLedger> for LedgerState {
+    fn from(earlier: LegacyLedger) -> LedgerState {
         LedgerState {
             options: earlier.options,
             claims: earlier.claims,
