--- a/crates/micaspool-client/src/fleet/table.rs
+++ b/crates/micaspool-client/src/fleet/table.rs
@@ -199,7 +199,7 @@
             field("sequence", endpoint.sequence),
             field("keeper", from),
         ];
-        let changed = self.registry.merge(self.now(), endpoint).is_news();
+        let changed = self.registry.merge(self.now(), endpoint).is_change();
         if changed {
             record(&events::ENDPOINT_STAGE, &fields);
         }
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -68,7 +68,7 @@
         if outcome == MergeOutcome::Restarted {
             record(&events::ENDPOINT_RESTARTED, &[field("endpoint", &name), field("sequence", sequence)]);
         }
-        if outcome.is_news() {
+        if outcome.is_change() {
             content.note_changed(&name);
             let stage = format!("{stage:?}");
             let fields = [
@@ -118,7 +118,7 @@
         let newer =
             |endpoint: &&EndpointRecord| versions.get(&endpoint.name).is_some_and(|version| *version > seen);
         let now = self.clock.now();
-        let told = |record: &EndpointRecord| content.registry.told(now, record);
+        let told = |record: &EndpointRecord| content.registry.with_cold_left(now, record);
         let records = content.registry.iter().filter(newer).map(told).collect();
         let heard = match scope {
             HubScope::Changed => cursor.heard,
--- a/crates/micaspool-registry/src/registry.rs
+++ b/crates/micaspool-registry/src/registry.rs
@@ -26,7 +26,7 @@
 
 impl MergeOutcome {
     /// True when others want to hear of it.
-    pub fn is_news(self) -> bool {
+    pub fn is_change(self) -> bool {
         matches!(self, MergeOutcome::Changed | MergeOutcome::Restarted)
     }
 }
@@ -159,7 +159,7 @@
     }
 
     /// A record as it is to be told at this moment.
-    pub fn told(&self, now: Moment, record: &EndpointRecord) -> EndpointRecord {
+    pub fn with_cold_left(&self, now: Moment, record: &EndpointRecord) -> EndpointRecord {
         EndpointRecord { cold: self.cold_left(now, &record.name), ..record.clone() }
     }
 
--- a/crates/micaspool-registry/tests/registry.rs
+++ b/crates/micaspool-registry/tests/registry.rs
@@ -175,7 +175,7 @@
     let left = |millis: u64| registry.cold_left(start + Duration::from_millis(millis), &name).as_millis();
     assert_eq!([left(0), left(1_000), left(2_999), left(3_000), left(9_000)], [3_000, 2_000, 1, 0, 0]);
     let known = registry.get(&name).expect("it was heard");
-    let told = registry.told(start + Duration::from_millis(1_000), known);
+    let told = registry.with_cold_left(start + Duration::from_millis(1_000), known);
     assert_eq!(told.cold, Duration::from_millis(2_000));
 }
 
