--- a/crates/micaspool-backpressure/src/board.rs
+++ b/crates/micaspool-backpressure/src/board.rs
@@ -1,4 +1,4 @@
-//! The table that one process shares.
+//! The advice table that all senders of one process share.
 
 use crate::table::{AdviceChange, AdviceTable, EndpointStanding};
 use micaspool_clock::BootInstant;
@@ -8,24 +8,24 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Which endpoint said something, and in the answer to what.
+/// The endpoint that gave advice and the request whose response carried it.
 #[derive(Clone, Copy, Debug)]
 pub struct AdviceSource<'a> {
-    /// The start of the endpoint.
+    /// The name of this start of the endpoint.
     pub endpoint: &'a EndpointName,
-    /// Its service.
+    /// The service that the endpoint belongs to.
     pub service: &'a ServiceName,
-    /// The request that it answered, as logs call it.
+    /// The id of the answered request, as it is logged.
     pub request: &'a str,
 }
 
-/// What endpoints asked of this process. The times run by the clock since boot, so that a rest is over when it should
-/// be also after the machine was suspended.
+/// A thread-safe [`AdviceTable`] with a clock and logging. It uses the boot-time clock, so that rests also expire on
+/// time after the machine was suspended.
 #[derive(Debug)]
 pub struct AdviceBoard {
     start: BootInstant,
     table: Mutex<AdviceTable>,
-    /// How many endpoints the table has, so that nothing is locked while it is empty.
+    /// The number of endpoints in the table. Lets readers skip the lock while the table is empty.
     entries: AtomicUsize,
 }
 
@@ -36,18 +36,18 @@
 }
 
 impl AdviceBoard {
-    /// An empty board.
+    /// Creates an empty board.
     pub fn new() -> Arc<AdviceBoard> {
         Arc::default()
     }
 
-    /// Takes in what the head of an endpoint's answer says, and logs what it changes; gives what holds of it then, if
-    /// anything changed.
+    /// Applies advice from the head of a response and logs the change, if there is one. Returns the advice now in
+    /// force if it changed.
     pub fn apply(&self, source: AdviceSource<'_>, advice: EndpointAdvice) -> Option<AdviceRecord> {
         if advice.is_empty() {
             return None;
         }
-        // Here as well, so that nothing is kept where nobody looks at what is over.
+        // Also expires entries here, so that the table stays bounded in a process that never calls `expire`.
         self.expire();
         let now = self.now();
         let mut table = self.lock();
@@ -59,7 +59,7 @@
         (change != AdviceChange::Same).then(|| record_of(source.endpoint, standing)).flatten()
     }
 
-    /// What may be sent to an endpoint now.
+    /// Returns whether requests may currently be sent to an endpoint, and if not, why.
     pub fn standing(&self, endpoint: &EndpointName) -> EndpointStanding {
         if self.entries.load(Ordering::Acquire) == 0 {
             return EndpointStanding::Open;
@@ -67,22 +67,22 @@
         self.lock().standing(self.now(), endpoint)
     }
 
-    /// True when a request may be sent to an endpoint now.
+    /// Returns true if a request may be sent to an endpoint now.
     pub fn may_send(&self, endpoint: &EndpointName) -> bool {
         self.standing(endpoint).is_open()
     }
 
-    /// What holds of an endpoint; `None` when it may be sent to.
+    /// Returns the advice in force for an endpoint, or `None` if requests may be sent to it.
     pub fn record_of(&self, endpoint: &EndpointName) -> Option<AdviceRecord> {
         record_of(endpoint, self.standing(endpoint))
     }
 
-    /// What holds for the endpoints of a service.
+    /// Returns the advice in force for the endpoints of a service, in name order.
     pub fn records(&self, service: &ServiceName) -> Vec<AdviceRecord> {
         self.lock().records(self.now(), service)
     }
 
-    /// Forgets and logs what is over.
+    /// Removes expired entries and logs the rests that have ended.
     pub fn expire(&self) {
         if self.entries.load(Ordering::Acquire) == 0 {
             return;
@@ -96,13 +96,13 @@
             let fields = [
                 field("endpoint", &rest.endpoint),
                 field("lasted_ms", rest.lasted.as_millis()),
-                field("asked", rest.asked),
+                field("asked", rest.request_count),
             ];
             record(&events::REST_OVER, &fields);
         }
     }
 
-    /// How many endpoints rest, and how many leave.
+    /// Returns the number of resting and of leaving endpoints, in this order.
     pub fn counts(&self) -> (usize, usize) {
         self.lock().counts(self.now())
     }
--- a/crates/micaspool-backpressure/src/header.rs
+++ b/crates/micaspool-backpressure/src/header.rs
@@ -1,20 +1,21 @@
-//! Advice as it stands in the head of an answer.
+//! Advice as carried in the head of a response.
 
 use crate::retry_after::{parse_retry_after, Error};
 use micaspool_types::EndpointAdvice;
 use std::time::SystemTime;
 
-/// What the head of an answer says of its endpoint.
+/// The advice that the head of one response carries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeaderAdvice {
-    /// What can be read of it.
+    /// The parsed advice.
     pub advice: EndpointAdvice,
-    /// Set when the time of a rest can't be read; none is kept to then.
+    /// Set if no `Retry-After` value could be parsed; `advice.rest` is zero then.
     pub fault: Option<Error>,
 }
 
 impl HeaderAdvice {
-    /// Advice of an answer with these `Retry-After` values, which count for one that turns its request away.
+    /// Builds the advice of a response from its `Retry-After` values and its leaving flag. `Retry-After` is ignored
+    /// unless the response turns its request away.
     pub fn parse<'a>(
         turns_away: bool,
         retry_after: impl IntoIterator<Item = &'a str>,
--- a/crates/micaspool-backpressure/src/lib.rs
+++ b/crates/micaspool-backpressure/src/lib.rs
@@ -1,10 +1,10 @@
-//! What endpoints ask of those that send to them: to leave them alone for a while, or for good.
+//! Backpressure from endpoints: requests to pause sending for a while (a rest) or for good (leaving).
 //!
-//! * [`parse_retry_after`] reads how long an endpoint wants to be left alone,
-//! * [`HeaderAdvice`] is all that the head of one answer says,
-//! * [`AdviceTable`] remembers what each start of an endpoint said, and what may be sent by that,
-//! * [`AdviceBoard`] is the table that everything in one process shares which sends to endpoints, so that the promise
-//!   is kept by the one who sends, whatever becomes of other processes.
+//! * [`parse_retry_after`] parses the length of a requested rest,
+//! * [`HeaderAdvice`] is the advice in the head of one response,
+//! * [`AdviceTable`] stores the advice of each start of an endpoint and decides whether requests may be sent to it,
+//! * [`AdviceBoard`] is the table that all senders of one process share. The sending process enforces the advice
+//!   itself, so that it is respected even if other processes fail.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-backpressure/src/retry_after.rs
+++ b/crates/micaspool-backpressure/src/retry_after.rs
@@ -1,20 +1,20 @@
-//! Reading `Retry-After` (RFC 9110, section 10.2.3).
+//! Parsing of `Retry-After` (RFC 9110, section 10.2.3).
 
 use std::fmt;
 use std::time::{Duration, SystemTime};
 
-/// The longest rest that is kept to. One that is longer is taken for a slip, such as milliseconds where seconds are
-/// meant, and the endpoint is asked again by a single request then.
+/// The upper limit of a rest. A longer value is taken for a mistake, such as milliseconds in place of seconds, and is
+/// reduced to this limit; the endpoint is then probed with a single request.
 pub const MAX_REST: Duration = Duration::from_secs(3_600);
 
-/// How long an endpoint that says that it leaves is left alone where its next start has the same name and tells nothing
-/// of it: it is asked again by a single request now and then.
+/// The rest of an endpoint that announces its shutdown and whose next start has the same name and does not announce
+/// itself. After each such rest the endpoint is probed with a single request.
 pub const DRAINING_REST: Duration = Duration::from_secs(10);
 
-/// Why a time can't be used.
+/// The reason why a `Retry-After` value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// It is neither a number of seconds nor a date.
+    /// The value is neither a number of seconds nor an HTTP date; holds the beginning of the value.
     Unreadable(Box<str>),
 }
 
@@ -31,9 +31,11 @@
 
 impl std::error::Error for Error {}
 
-/// How long an endpoint wants to be left alone, from all `Retry-After` values of an answer's head: the longest that can
-/// be read, at most [`MAX_REST`]; zero without any. Seconds may have a fraction, as this system itself sends
-/// them; a date counts from `now`, the time of day, and one that has passed is no time.
+/// Returns the longest valid `Retry-After` value of a response, limited to [`MAX_REST`], or zero if there are no
+/// values. Fails only if there are values and none of them is valid.
+///
+/// Fractional seconds are accepted, since this system sends them itself. A date is relative to `now`, the wall-clock
+/// time; a date in the past gives zero.
 pub fn parse_retry_after<'a>(
     values: impl IntoIterator<Item = &'a str>,
     now: SystemTime,
@@ -61,14 +63,14 @@
     Ok(date.duration_since(now).unwrap_or_default().min(MAX_REST))
 }
 
-/// Seconds with or without a fraction; a number too large for a time is the longest one.
+/// Parses seconds with or without a fraction. A number too large for a `Duration` gives `Duration::MAX`.
 fn read_seconds(text: &str) -> Option<Duration> {
     let is_number = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let seconds: f64 = text.parse().ok().filter(|_| is_number)?;
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// What an error quotes of a value.
+/// Shortens a value to the length that error messages quote.
 fn shortened(text: &str) -> Box<str> {
     const QUOTED: usize = 40;
     text.chars().take(QUOTED).collect::<String>().into()
--- a/crates/micaspool-backpressure/src/table.rs
+++ b/crates/micaspool-backpressure/src/table.rs
@@ -1,31 +1,31 @@
-//! What each start of an endpoint has said, and until when it holds.
+//! The advice of each start of an endpoint and when it expires.
 
 use micaspool_types::{AdviceRecord, EndpointAdvice, EndpointName, Moment, ServiceName};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long it is remembered that a start of an endpoint leaves. It serves on for some ten seconds at most; a later
-/// start has another name.
-const LEAVING_LIFE: Duration = Duration::from_secs(600);
+/// How long a start of an endpoint is remembered as leaving. It goes on serving for about ten seconds at most, and a
+/// later start has another name.
+const LEAVING_RETENTION: Duration = Duration::from_secs(600);
 
-/// What may be sent to an endpoint.
+/// Whether requests may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStanding {
-    /// Nothing was asked.
+    /// Requests may be sent.
     Open,
-    /// Nothing for so long.
+    /// No requests may be sent for this long.
     Resting(Duration),
-    /// Nothing any more.
+    /// No more requests may be sent to this start of the endpoint.
     Leaving,
 }
 
 impl EndpointStanding {
-    /// True when requests may be sent.
+    /// Returns true if requests may be sent.
     pub fn is_open(self) -> bool {
         self == EndpointStanding::Open
     }
 
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             EndpointStanding::Open => "open",
@@ -35,28 +35,28 @@
     }
 }
 
-/// What an endpoint's word has changed.
+/// The effect of applying advice to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdviceChange {
-    /// Nothing: it said nothing, or nothing that goes beyond what it said before.
+    /// No change: the advice was empty or already covered by earlier advice.
     Same,
-    /// A rest has begun.
+    /// A rest began.
     Began,
-    /// It goes on for longer.
+    /// The current rest was prolonged.
     Prolonged,
-    /// The endpoint leaves.
+    /// The endpoint is now leaving.
     Left,
 }
 
-/// A rest that is over.
+/// A rest that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRest {
     /// The endpoint that rested.
     pub endpoint: EndpointName,
-    /// From its first word to the end.
+    /// The time from the first advice to the end of the rest.
     pub lasted: Duration,
-    /// How often it asked in that time.
-    pub asked: u32,
+    /// The number of responses that began or prolonged the rest.
+    pub request_count: u32,
 }
 
 #[derive(Debug)]
@@ -64,8 +64,8 @@
     service: ServiceName,
     since: Moment,
     rests_until: Moment,
-    asked: u32,
-    /// Until when it is remembered that it leaves.
+    request_count: u32,
+    /// The end of the time for which the endpoint counts as leaving; `None` if it never announced that.
     leaves_until: Option<Moment>,
 }
 
@@ -80,33 +80,34 @@
         }
     }
 
-    fn rests_on(&mut self, now: Moment, rest: Duration) -> AdviceChange {
-        let rested = now < self.rests_until;
+    fn start_or_prolong(&mut self, now: Moment, rest: Duration) -> AdviceChange {
+        let was_resting = now < self.rests_until;
         let until = now + rest;
         if rest.is_zero() || until <= self.rests_until {
             return AdviceChange::Same;
         }
         self.rests_until = until;
-        self.asked += 1;
-        if rested {
+        self.request_count += 1;
+        if was_resting {
             return AdviceChange::Prolonged;
         }
         self.since = now;
-        self.asked = 1;
+        self.request_count = 1;
         AdviceChange::Began
     }
 }
 
-/// What endpoints said. An entry is made for an endpoint that asks for something and ends by itself, so that there are
-/// never more than endpoints that were heard in the last minutes.
+/// The advice in force, by endpoint. An entry is created when an endpoint gives advice, and [`AdviceTable::expire`]
+/// removes it when that advice no longer holds, so that the table only grows with the endpoints that gave advice
+/// recently.
 #[derive(Debug, Default)]
 pub struct AdviceTable {
     entries: HashMap<EndpointName, AdviceEntry>,
 }
 
 impl AdviceTable {
-    /// Takes in what an endpoint of a service says. A rest that was asked for is prolonged and never shortened: the
-    /// shorter one may come from a request that was on its way longer.
+    /// Applies the advice of an endpoint. A rest is only ever prolonged, never shortened: the response that asks for a
+    /// shorter one may belong to a request that was in flight longer.
     pub fn apply(
         &mut self,
         now: Moment,
@@ -117,32 +118,33 @@
         if advice.is_empty() {
             return AdviceChange::Same;
         }
-        let fresh = || AdviceEntry {
+        let new_entry = || AdviceEntry {
             service: service.clone(),
             since: now,
             rests_until: Moment(0),
-            asked: 0,
+            request_count: 0,
             leaves_until: None,
         };
-        let entry = self.entries.entry(endpoint.clone()).or_insert_with(fresh);
-        let change = entry.rests_on(now, advice.rest);
+        let entry = self.entries.entry(endpoint.clone()).or_insert_with(new_entry);
+        let change = entry.start_or_prolong(now, advice.rest);
         if !advice.leaving {
             return change;
         }
-        let known = entry.leaves_until.replace(now + LEAVING_LIFE).is_some_and(|until| now < until);
-        if known {
+        let was_leaving =
+            entry.leaves_until.replace(now + LEAVING_RETENTION).is_some_and(|until| now < until);
+        if was_leaving {
             change
         } else {
             AdviceChange::Left
         }
     }
 
-    /// What may be sent to an endpoint.
+    /// Returns whether requests may be sent to an endpoint, and if not, why.
     pub fn standing(&self, now: Moment, endpoint: &EndpointName) -> EndpointStanding {
         self.entries.get(endpoint).map_or(EndpointStanding::Open, |entry| entry.standing(now))
     }
 
-    /// What holds for endpoints of a service, in the order of their names.
+    /// Returns the advice in force for the endpoints of a service, in name order.
     pub fn records(&self, now: Moment, service: &ServiceName) -> Vec<AdviceRecord> {
         let of_service = self.entries.iter().filter(|(_, entry)| entry.service == *service);
         let records = of_service.map(|(endpoint, entry)| {
@@ -155,30 +157,30 @@
         records
     }
 
-    /// Forgets what holds no more; gives the rests that are over.
+    /// Removes the entries that have expired and returns the rests that have ended.
     pub fn expire(&mut self, now: Moment) -> Vec<EndedRest> {
-        let over = self.entries.extract_if(|_, entry| entry.standing(now).is_open());
-        let rests = over.filter(|(_, entry)| entry.asked > 0).map(|(endpoint, entry)| EndedRest {
+        let expired = self.entries.extract_if(|_, entry| entry.standing(now).is_open());
+        let rests = expired.filter(|(_, entry)| entry.request_count > 0).map(|(endpoint, entry)| EndedRest {
             endpoint,
             lasted: entry.rests_until.since(entry.since),
-            asked: entry.asked,
+            request_count: entry.request_count,
         });
         rests.collect()
     }
 
-    /// How many endpoints rest, and how many leave.
+    /// Returns the number of resting and of leaving endpoints, in this order.
     pub fn counts(&self, now: Moment) -> (usize, usize) {
         let standings = || self.entries.values().map(|entry| entry.standing(now));
         let resting = standings().filter(|standing| matches!(standing, EndpointStanding::Resting(_)));
         (resting.count(), standings().filter(|standing| *standing == EndpointStanding::Leaving).count())
     }
 
-    /// How many endpoints are remembered.
+    /// Returns the number of endpoints in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True when none is.
+    /// Returns true if the table holds no endpoint.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/micaspool-backpressure/tests/retry_after.rs
+++ b/crates/micaspool-backpressure/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! How long an endpoint wants to be left alone, as it may be written.
+//! Parsing of `Retry-After` values, and which responses they count for.
 
 use micaspool_backpressure::{parse_retry_after, Error, HeaderAdvice, MAX_REST};
 use micaspool_types::EndpointAdvice;
@@ -13,42 +13,42 @@
 }
 
 #[test_case(&[], 0; "none")]
-#[test_case(&["0"], 0; "no time")]
+#[test_case(&["0"], 0; "zero")]
 #[test_case(&["3"], 3_000; "seconds")]
-#[test_case(&[" 3 "], 3_000; "with blanks around")]
+#[test_case(&[" 3 "], 3_000; "surrounding spaces")]
 #[test_case(&["0.25"], 250; "a fraction")]
-#[test_case(&["2.500"], 2_500; "a fraction with zeros")]
+#[test_case(&["2.500"], 2_500; "a fraction with trailing zeros")]
 #[test_case(&["Sun, 06 Nov 1994 08:49:40 GMT"], 3_000; "a date")]
-#[test_case(&["Sunday, 06-Nov-94 08:49:40 GMT"], 3_000; "a date in an older form")]
-#[test_case(&["Sun, 06 Nov 1994 08:49:00 GMT"], 0; "a date that has passed")]
-#[test_case(&["1", "4", "2"], 4_000; "several")]
-#[test_case(&["soon", "2"], 2_000; "one of two can be read")]
-#[test_case(&["99999999999999999999999"], 3_600_000; "more than a number holds")]
-#[test_case(&["86400"], 3_600_000; "longer than is kept to")]
-#[test_case(&["Sat, 06 Nov 2094 08:49:40 GMT"], 3_600_000; "a date far away")]
-fn a_time_is_read(values: &[&str], millis: u64) {
+#[test_case(&["Sunday, 06-Nov-94 08:49:40 GMT"], 3_000; "a date in the obsolete RFC 850 format")]
+#[test_case(&["Sun, 06 Nov 1994 08:49:00 GMT"], 0; "a date in the past")]
+#[test_case(&["1", "4", "2"], 4_000; "the longest of several")]
+#[test_case(&["soon", "2"], 2_000; "one of two is valid")]
+#[test_case(&["99999999999999999999999"], 3_600_000; "more seconds than a Duration holds")]
+#[test_case(&["86400"], 3_600_000; "longer than the limit")]
+#[test_case(&["Sat, 06 Nov 2094 08:49:40 GMT"], 3_600_000; "a date beyond the limit")]
+fn valid_values_are_parsed(values: &[&str], millis: u64) {
     assert_eq!(read(values), Ok(Duration::from_millis(millis)));
     assert!(MAX_REST >= Duration::from_millis(millis));
 }
 
-#[test_case(""; "nothing")]
-#[test_case("-1"; "below zero")]
+#[test_case(""; "empty")]
+#[test_case("-1"; "negative")]
 #[test_case("+1"; "a sign")]
 #[test_case("1e3"; "an exponent")]
-#[test_case("nan"; "no number")]
-#[test_case("inf"; "without an end")]
-#[test_case("1.2.3"; "two points")]
-#[test_case("."; "a point")]
+#[test_case("nan"; "not a number")]
+#[test_case("inf"; "infinite")]
+#[test_case("1.2.3"; "two decimal points")]
+#[test_case("."; "only a decimal point")]
 #[test_case("3 s"; "a unit")]
 #[test_case("3, 4"; "a list")]
 #[test_case("soon"; "a word")]
-fn what_is_no_time_is_named(value: &str) {
-    let error = read(&[value]).expect_err("it can't be read");
+fn invalid_values_are_reported_with_a_remedy(value: &str) {
+    let error = read(&[value]).expect_err("the value is invalid");
     assert!(error.to_string().contains("correct the endpoint's Retry-After"), "{error}");
 }
 
 #[test]
-fn an_answer_that_turns_nothing_away_asks_for_no_rest() {
+fn retry_after_counts_only_for_rejected_requests() {
     assert_eq!(HeaderAdvice::parse(false, ["3"], false), HeaderAdvice::default());
     let heard = HeaderAdvice::parse(true, ["3"], true);
     assert_eq!(heard.advice, EndpointAdvice { rest: Duration::from_secs(3), leaving: true });
--- a/crates/micaspool-backpressure/tests/table.rs
+++ b/crates/micaspool-backpressure/tests/table.rs
@@ -1,4 +1,4 @@
-//! What holds of what endpoints said, at any moment.
+//! Applying, querying and expiring advice.
 
 use micaspool_backpressure::{AdviceBoard, AdviceChange, AdviceSource, AdviceTable, EndpointStanding};
 use micaspool_types::{EndpointAdvice, EndpointName, Moment, ServiceName};
@@ -33,12 +33,12 @@
     assert_eq!(standing(&table, 1_500), EndpointStanding::Open);
     assert!(table.expire(at(1_499)).is_empty());
     let ended = table.expire(at(1_500));
-    assert_eq!((ended[0].lasted, ended[0].asked), (Duration::from_millis(1_500), 2));
+    assert_eq!((ended[0].lasted, ended[0].request_count), (Duration::from_millis(1_500), 2));
     assert!(table.is_empty());
 }
 
 #[test]
-fn leaving_is_final_and_forgotten_long_after_the_end() {
+fn leaving_outlasts_rests_and_expires_after_its_retention() {
     let mut table = AdviceTable::default();
     let at = Moment::from_millis;
     assert_eq!(table.apply(at(0), &name(1), &service("plain"), LEAVING), AdviceChange::Left);
@@ -48,34 +48,34 @@
     assert_eq!(
         table.standing(at(300_000), &name(2)),
         EndpointStanding::Open,
-        "a later start has another name"
+        "another start of the endpoint is unaffected"
     );
     table.expire(at(700_000));
     assert!(table.is_empty());
 }
 
 #[test]
-fn a_dispatcher_hears_of_its_own_service_only() {
+fn records_cover_only_the_requested_service() {
     let mut table = AdviceTable::default();
     let now = Moment::from_millis(5);
     table.apply(now, &name(2), &service("plain"), rest(1_000));
     table.apply(now, &name(1), &service("plain"), LEAVING);
     table.apply(now, &name(3), &service("engines"), rest(1_000));
     let records = table.records(Moment::from_millis(405), &service("plain"));
-    let said: Vec<_> = records.iter().map(|record| (record.endpoint.clone(), record.advice)).collect();
-    assert_eq!(said, [(name(1), LEAVING), (name(2), rest(600))]);
+    let advices: Vec<_> = records.iter().map(|record| (record.endpoint.clone(), record.advice)).collect();
+    assert_eq!(advices, [(name(1), LEAVING), (name(2), rest(600))]);
     assert_eq!(table.counts(now), (2, 1));
 }
 
 #[test]
-fn the_board_gives_what_has_changed_for_the_dispatcher() {
+fn the_board_returns_only_changed_advice() {
     let board = AdviceBoard::new();
     let (endpoint, service) = (name(1), service("plain"));
     let source = AdviceSource { endpoint: &endpoint, service: &service, request: "r" };
     assert!(board.may_send(&endpoint));
     assert_eq!(board.apply(source, EndpointAdvice::default()), None);
-    let told = board.apply(source, rest(60_000)).expect("a rest begins");
-    assert!(told.advice.rest > Duration::from_secs(59), "{told:?}");
+    let record = board.apply(source, rest(60_000)).expect("a rest begins");
+    assert!(record.advice.rest > Duration::from_secs(59), "{record:?}");
     assert!(!board.may_send(&endpoint));
     assert_eq!(board.apply(source, rest(10)), None);
     assert!(board.apply(source, LEAVING).expect("it leaves").advice.leaving);
@@ -83,15 +83,14 @@
 }
 
 proptest! {
-    /// Whatever is said in whatever order, nothing may be sent before the latest moment that was asked for, and
-    /// something may be right then.
+    /// Whatever rests are requested, in whatever order, the endpoint opens exactly at the latest requested end.
     #[test]
-    fn the_latest_moment_that_was_asked_for_holds(said in prop::collection::vec((0u64..200, 0u64..3_000), 1..20)) {
+    fn the_latest_requested_end_holds(advices in prop::collection::vec((0u64..200, 0u64..3_000), 1..20)) {
         let mut table = AdviceTable::default();
         let mut now = 0;
         let mut latest = 0;
-        for (passed, millis) in said {
-            now += passed;
+        for (gap, millis) in advices {
+            now += gap;
             if now >= latest {
                 table.expire(Moment::from_millis(now));
             }
