--- a/crates/micaspool-quarantine/src/lib.rs
+++ b/crates/micaspool-quarantine/src/lib.rs
@@ -1,12 +1,13 @@
-//! Requests that end the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! * [`CrashTable`] remembers under which requests endpoints ended, and says how a request stands by that,
-//! * [`CrashRecord`] is what one process tells another of a request,
-//! * [`QuarantineOptions`] has the limits and times.
+//! * [`CrashTable`] records which endpoints crashed while running a request and derives the standing of the request,
+//! * [`CrashRecord`] is the form in which processes exchange the crashes of a request,
+//! * [`QuarantineOptions`] holds limits and durations.
 //!
-//! A request is told by its digest. What counts is how many *starts of endpoints* ended under it: two copies at one
-//! endpoint are one. An answer that came whole, from any endpoint, acquits it; an endpoint that shows that it is alive
-//! takes what was held against requests on its account back. Nothing here performs I/O or reads a clock.
+//! Requests are identified by their digest. The count that matters is the number of *starts of endpoints* that crashed
+//! while running a request: two copies of it at one endpoint count once. A complete response from any endpoint clears
+//! the request; an endpoint that turns out to be alive retracts the crashes attributed to it. Nothing here performs
+//! I/O or reads a clock.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-quarantine/src/options.rs
+++ b/crates/micaspool-quarantine/src/options.rs
@@ -1,33 +1,35 @@
-//! Limits and times.
+//! Limits and durations of quarantine.
 
 use std::time::Duration;
 
-/// Endpoints that may end under a request before it is shut out. One or two may have ended for reasons of their own.
-const CRASHES: usize = 3;
-/// How long it is shut out after the third. A trial afterwards may cost an endpoint.
-const QUARANTINE: Duration = Duration::from_secs(3_600);
-/// How much longer after each further one.
-const GROWTH: u32 = 4;
-/// The longest time that it is shut out.
-const LONGEST_QUARANTINE: Duration = Duration::from_secs(24 * 3_600);
-/// How long one or two crashes are held against a request: longer than callers go on trying.
-const SUSPICION: Duration = Duration::from_secs(1_800);
-/// The most requests that a table remembers, some 200 bytes each.
+/// The number of crashes at which a request is quarantined. One or two endpoints may have crashed for other reasons.
+const CRASH_LIMIT: usize = 3;
+/// The quarantine after the crash that reaches the limit. Trying the request again afterwards may crash another
+/// endpoint.
+const BASE_QUARANTINE: Duration = Duration::from_secs(3_600);
+/// The factor by which each further crash lengthens the quarantine.
+const QUARANTINE_GROWTH: u32 = 4;
+/// The upper limit of a quarantine.
+const MAX_QUARANTINE: Duration = Duration::from_secs(24 * 3_600);
+/// How long crashes below the limit are remembered: longer than callers keep retrying.
+const SUSPICION_RETENTION: Duration = Duration::from_secs(1_800);
+/// The maximum number of requests in a table, at about 200 bytes each.
 const CAPACITY: usize = 4_096;
-/// The most requests of one customer among them, so that a flood of different ones pushes out only its own.
+/// The maximum number of requests of one customer, so that a customer that sends many different requests evicts only
+/// its own.
 const CUSTOMER_CAPACITY: usize = 512;
 
-/// Limits and times of a table; made by [`QuarantineOptions::builder`].
+/// Limits and durations of a [`CrashTable`](crate::CrashTable); built with [`QuarantineOptions::builder`].
 #[derive(Clone, Copy, Debug)]
 pub struct QuarantineOptions {
-    pub(crate) crashes: usize,
+    pub(crate) crash_limit: usize,
     pub(crate) quarantine: Duration,
     pub(crate) suspicion: Duration,
     pub(crate) capacity: usize,
     pub(crate) customer_capacity: usize,
 }
 
-/// Builds [`QuarantineOptions`]; what is not set keeps its default.
+/// Builds [`QuarantineOptions`]; options that are not set keep their defaults.
 #[derive(Clone, Copy, Debug)]
 pub struct QuarantineOptionsBuilder {
     options: QuarantineOptions,
@@ -36,9 +38,9 @@
 impl Default for QuarantineOptions {
     fn default() -> Self {
         QuarantineOptions {
-            crashes: CRASHES,
-            quarantine: QUARANTINE,
-            suspicion: SUSPICION,
+            crash_limit: CRASH_LIMIT,
+            quarantine: BASE_QUARANTINE,
+            suspicion: SUSPICION_RETENTION,
             capacity: CAPACITY,
             customer_capacity: CUSTOMER_CAPACITY,
         }
@@ -46,45 +48,45 @@
 }
 
 impl QuarantineOptions {
-    /// Starts from the defaults.
+    /// Returns a builder that starts from the defaults.
     pub fn builder() -> QuarantineOptionsBuilder {
         QuarantineOptionsBuilder { options: QuarantineOptions::default() }
     }
 
-    /// How long a request is shut out after so many crashes; `None` while it is not.
+    /// Returns the length of the quarantine after `crashes` crashes, or `None` if they are fewer than the limit.
     pub(crate) fn quarantine_after(&self, crashes: usize) -> Option<Duration> {
-        let further = u32::try_from(crashes.checked_sub(self.crashes)?).unwrap_or(u32::MAX);
-        Some(self.quarantine.saturating_mul(GROWTH.saturating_pow(further)).min(LONGEST_QUARANTINE))
+        let excess = u32::try_from(crashes.checked_sub(self.crash_limit)?).unwrap_or(u32::MAX);
+        Some(self.quarantine.saturating_mul(QUARANTINE_GROWTH.saturating_pow(excess)).min(MAX_QUARANTINE))
     }
 
-    /// How long so many crashes are remembered. After a quarantine as long again, so that the trial that follows
-    /// does not begin from nothing.
-    pub(crate) fn memory_of(&self, crashes: usize) -> Duration {
+    /// Returns how long `crashes` crashes are remembered. For a quarantined request that is twice its quarantine, so
+    /// that a crash in the trial that follows adds to the earlier ones.
+    pub(crate) fn retention_after(&self, crashes: usize) -> Duration {
         self.quarantine_after(crashes).map_or(self.suspicion, |quarantine| quarantine * 2)
     }
 }
 
 impl QuarantineOptionsBuilder {
-    /// How long a request is shut out after the third crash.
+    /// Sets the quarantine after the crash that reaches the limit.
     pub fn quarantine(mut self, quarantine: Duration) -> Self {
         self.options.quarantine = quarantine;
         self
     }
 
-    /// How long one or two crashes are held against a request.
+    /// Sets how long crashes below the limit are remembered.
     pub fn suspicion(mut self, suspicion: Duration) -> Self {
         self.options.suspicion = suspicion;
         self
     }
 
-    /// The most requests in all, and of one customer.
+    /// Sets the maximum number of requests, in total and per customer.
     pub fn capacity(mut self, capacity: usize, customer_capacity: usize) -> Self {
         self.options.capacity = capacity;
         self.options.customer_capacity = customer_capacity;
         self
     }
 
-    /// The options.
+    /// Returns the options.
     pub fn build(self) -> QuarantineOptions {
         self.options
     }
--- a/crates/micaspool-quarantine/src/record.rs
+++ b/crates/micaspool-quarantine/src/record.rs
@@ -1,24 +1,25 @@
-//! What is remembered of one request.
+//! The crash record of one request, as processes exchange it.
 
 use micaspool_types::{CustomerName, EndpointName, RequestDigest};
 use std::time::Duration;
 
-/// A start of an endpoint that ended under a request.
+/// The crash of one start of an endpoint while it ran a request.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct EndpointCrash {
-    /// Its name. Where starts have names of their own it is the start's; else one that ends again later counts again.
+    /// The name of the start, or of the endpoint where all its starts share one name; in that case a later crash of
+    /// the endpoint counts again.
     pub endpoint: EndpointName,
-    /// How long ago it ended.
+    /// How long ago it crashed.
     pub age: Duration,
 }
 
-/// Which endpoints ended under a request, as one process tells another.
+/// The endpoints that crashed while running a request.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct CrashRecord {
-    /// What was asked for.
+    /// The digest of the request.
     pub digest: RequestDigest,
-    /// Whose request it is.
+    /// The customer that sent the request.
     pub customer: CustomerName,
-    /// The endpoints that ended under it; none once nothing is held against it any more.
+    /// The crashes; empty once the request is cleared.
     pub crashes: Vec<EndpointCrash>,
 }
--- a/crates/micaspool-quarantine/src/standing.rs
+++ b/crates/micaspool-quarantine/src/standing.rs
@@ -1,19 +1,20 @@
-//! How a request stands by the endpoints that ended under it.
+//! The standing of a request, as derived from the endpoints that crashed while running it.
 
 use micaspool_types::Moment;
 
-/// How a request stands.
+/// The standing of a request, in order of severity.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub enum RequestStanding {
-    /// Nothing is held against it.
+    /// No crash is on record.
     #[default]
     Clear,
-    /// One endpoint ended while it ran there, as under all that ran beside it. Only one copy of it runs at a time.
+    /// One endpoint crashed while running it, which also casts doubt on every request that ran there at the time. Only
+    /// one copy of it runs at a time.
     Doubted,
-    /// More ended, or it was shut out before. Besides, no other suspected request runs beside it: so the next end of
-    /// an endpoint tells them apart.
+    /// Several endpoints crashed, or an earlier quarantine has ended. In addition to the limit on copies, it runs on
+    /// no endpoint together with another suspected request, so that the next crash tells the two apart.
     Suspected,
-    /// It is shut out until then.
+    /// It is refused.
     Quarantined {
         /// The end of the quarantine.
         until: Moment,
@@ -21,17 +22,17 @@
 }
 
 impl RequestStanding {
-    /// True when copies of it have to wait for each other.
+    /// Returns true if only one copy of the request may run at a time.
     pub fn is_in_doubt(self) -> bool {
         self != RequestStanding::Clear
     }
 
-    /// True when it may not run beside others of which the same is true.
+    /// Returns true if the request may not run together with other requests for which this is true.
     pub fn is_suspected(self) -> bool {
         self >= RequestStanding::Suspected
     }
 
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             RequestStanding::Clear => "clear",
--- a/crates/micaspool-quarantine/src/table.rs
+++ b/crates/micaspool-quarantine/src/table.rs
@@ -1,4 +1,4 @@
-//! The requests that are in doubt.
+//! The table of requests that endpoints crashed under.
 
 use crate::options::QuarantineOptions;
 use crate::record::{CrashRecord, EndpointCrash};
@@ -8,66 +8,67 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// How far apart news of one end of an endpoint are at most. Where endpoints keep their names, one that ends again
-/// later has started again in between, or it would not have run anything.
-const ONE_END: Duration = Duration::from_secs(2);
+/// The maximum time between two reports of the same crash of an endpoint. Where the starts of an endpoint share one
+/// name, a report after this time is another crash: the endpoint must have restarted to run anything.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(2);
 
-/// An endpoint that ended under a request, and when.
+/// The crash of an endpoint while it ran a request, and the time of the crash.
 #[derive(Clone, Debug)]
-struct KnownCrash {
+struct CrashEntry {
     endpoint: EndpointName,
     at: Moment,
 }
 
-impl KnownCrash {
-    fn is_same_start(&self, other: &KnownCrash) -> bool {
-        let apart = self.at.since(other.at).max(other.at.since(self.at));
-        self.endpoint == other.endpoint && apart <= ONE_END
+impl CrashEntry {
+    fn is_same_crash(&self, other: &CrashEntry) -> bool {
+        let distance = self.at.since(other.at).max(other.at.since(self.at));
+        self.endpoint == other.endpoint && distance <= SAME_CRASH_WINDOW
     }
 }
 
 #[derive(Clone, Debug)]
-struct KnownRequest {
+struct RequestEntry {
     customer: CustomerName,
-    /// The oldest first.
-    crashes: Vec<KnownCrash>,
+    /// Ordered by time, oldest first.
+    crashes: Vec<CrashEntry>,
 }
 
-/// A request whose record has changed, and how it stood before.
+/// A change of the record of a request, with its standing before and after.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct TableChange {
-    /// The request.
+    /// The digest of the request.
     pub digest: RequestDigest,
-    /// Whose request it is.
+    /// The customer that sent the request.
     pub customer: CustomerName,
-    /// How it stood.
+    /// The standing before the change.
     pub before: RequestStanding,
-    /// How it stands now.
+    /// The standing after the change.
     pub after: RequestStanding,
 }
 
-/// Under which requests endpoints ended. Its memory is bounded, in all and for each customer.
+/// The crashes on record for each request. The number of requests is bounded, in total and per customer.
 #[derive(Debug, Default)]
 pub struct CrashTable {
     options: QuarantineOptions,
-    requests: HashMap<RequestDigest, KnownRequest>,
-    /// Those with more than one crash; few, and asked for often.
+    requests: HashMap<RequestDigest, RequestEntry>,
+    /// The requests with more than one crash. Kept separately, because they are few and queried often.
     repeated: BTreeSet<RequestDigest>,
-    /// The requests that each endpoint ended under.
+    /// The requests that have a crash of each endpoint on record.
     endpoints: HashMap<EndpointName, BTreeSet<RequestDigest>>,
+    /// The number of requests of each customer.
     customers: HashMap<CustomerName, usize>,
 }
 
-impl KnownRequest {
-    fn newest(&self) -> Moment {
+impl RequestEntry {
+    fn newest_crash_at(&self) -> Moment {
         self.crashes.last().map_or(Moment(0), |crash| crash.at)
     }
 
     fn standing(&self, now: Moment, options: &QuarantineOptions) -> RequestStanding {
         match (self.crashes.len(), options.quarantine_after(self.crashes.len())) {
             (0, _) => RequestStanding::Clear,
-            (_, Some(quarantine)) if now < self.newest() + quarantine => {
-                RequestStanding::Quarantined { until: self.newest() + quarantine }
+            (_, Some(quarantine)) if now < self.newest_crash_at() + quarantine => {
+                RequestStanding::Quarantined { until: self.newest_crash_at() + quarantine }
             }
             (1, None) => RequestStanding::Doubted,
             _ => RequestStanding::Suspected,
@@ -76,33 +77,33 @@
 }
 
 impl CrashTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(options: QuarantineOptions) -> CrashTable {
         CrashTable { options, ..CrashTable::default() }
     }
 
-    /// True when nothing is held against any request.
+    /// Returns true if no crash is on record.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// True when something is held against a request.
+    /// Returns true if a crash is on record for a request.
     pub fn contains(&self, digest: RequestDigest) -> bool {
         self.requests.contains_key(&digest)
     }
 
-    /// How a request stands.
+    /// Returns the standing of a request.
     pub fn standing(&self, now: Moment, digest: RequestDigest) -> RequestStanding {
-        let known = self.requests.get(&digest);
-        known.map(|known| known.standing(now, &self.options)).unwrap_or_default()
+        let entry = self.requests.get(&digest);
+        entry.map(|entry| entry.standing(now, &self.options)).unwrap_or_default()
     }
 
-    /// When the newest endpoint ended under a request.
+    /// Returns the time of the newest crash on record for a request.
     pub fn newest_crash(&self, digest: RequestDigest) -> Option<Moment> {
-        self.requests.get(&digest).map(KnownRequest::newest)
+        self.requests.get(&digest).map(RequestEntry::newest_crash_at)
     }
 
-    /// Notes that an endpoint seems to have ended while the request ran there.
+    /// Records that an endpoint seems to have crashed while running a request.
     pub fn note_crash(
         &mut self,
         now: Moment,
@@ -110,85 +111,86 @@
         customer: &CustomerName,
         endpoint: &EndpointName,
     ) -> TableChange {
-        self.add(now, digest, customer, KnownCrash { endpoint: endpoint.clone(), at: now })
+        self.add(now, digest, customer, CrashEntry { endpoint: endpoint.clone(), at: now })
     }
 
-    /// Takes in what another process knows of a request; the endpoints add up.
+    /// Adds the crashes that another process has on record for a request.
     pub fn merge(&mut self, now: Moment, record: &CrashRecord) -> TableChange {
         let (digest, customer) = (record.digest, record.customer.clone());
         let before = self.standing(now, digest);
         for crash in &record.crashes {
             let age = u64::try_from(crash.age.as_micros()).unwrap_or(u64::MAX);
             let at = Moment(now.0.saturating_sub(age));
-            let crash = KnownCrash { endpoint: crash.endpoint.clone(), at };
+            let crash = CrashEntry { endpoint: crash.endpoint.clone(), at };
             self.add(now, digest, &customer, crash);
         }
         TableChange { digest, customer, before, after: self.standing(now, digest) }
     }
 
-    /// Takes the word of another process in place of what was known of a request.
+    /// Replaces the crashes on record for a request by those that another process has.
     pub fn replace(&mut self, now: Moment, record: &CrashRecord) {
         self.remove(record.digest);
         self.merge(now, record);
     }
 
-    /// Holds nothing against a request any more, since it ran to its end or an operator says so. `None` when
-    /// nothing was held against it.
+    /// Clears a request, because it ran to completion or an operator lifted its quarantine. Returns `None` if no crash
+    /// was on record for it.
     pub fn clear(&mut self, now: Moment, digest: RequestDigest) -> Option<TableChange> {
         let before = self.standing(now, digest);
         let customer = self.remove(digest)?;
         Some(TableChange { digest, customer, before, after: RequestStanding::Clear })
     }
 
-    /// True when an endpoint seems to have ended under some request.
+    /// Returns true if a crash of an endpoint is on record for any request.
     pub fn has_endpoint(&self, endpoint: &EndpointName) -> bool {
         self.endpoints.contains_key(endpoint)
     }
 
-    /// An endpoint that seemed to have ended within `seen` is alive: what was held against requests on its account is
-    /// taken back.
+    /// Retracts the crashes of an endpoint within `window`, because it turned out to be alive. Returns the changed
+    /// requests.
     pub fn note_alive(
         &mut self,
         now: Moment,
         endpoint: &EndpointName,
-        seen: &RangeInclusive<Moment>,
+        window: &RangeInclusive<Moment>,
     ) -> Vec<TableChange> {
         let Some(digests) = self.endpoints.get(endpoint).cloned() else { return Vec::new() };
-        digests.into_iter().filter_map(|digest| self.take_back(now, digest, endpoint, seen)).collect()
+        digests.into_iter().filter_map(|digest| self.retract_crashes(now, digest, endpoint, window)).collect()
     }
 
-    /// Forgets what is older than it is remembered.
+    /// Clears the requests whose newest crash is older than its retention.
     pub fn expire(&mut self, now: Moment) -> Vec<TableChange> {
         let options = self.options;
-        let is_old =
-            |known: &KnownRequest| now.since(known.newest()) >= options.memory_of(known.crashes.len());
-        let old = self.requests.iter().filter(|(_, known)| is_old(known)).map(|(digest, _)| *digest);
-        let mut old: Vec<RequestDigest> = old.collect();
-        old.sort_unstable();
-        old.into_iter().filter_map(|digest| self.clear(now, digest)).collect()
+        let is_expired = |entry: &RequestEntry| {
+            now.since(entry.newest_crash_at()) >= options.retention_after(entry.crashes.len())
+        };
+        let expired = self.requests.iter().filter(|(_, entry)| is_expired(entry)).map(|(digest, _)| *digest);
+        let mut expired: Vec<RequestDigest> = expired.collect();
+        expired.sort_unstable();
+        expired.into_iter().filter_map(|digest| self.clear(now, digest)).collect()
     }
 
-    /// What is known of one request.
+    /// Returns the crash record of a request.
     pub fn record(&self, now: Moment, digest: RequestDigest) -> Option<CrashRecord> {
-        let known = self.requests.get(&digest)?;
-        let crashes = known.crashes.iter();
+        let entry = self.requests.get(&digest)?;
+        let crashes = entry.crashes.iter();
         let crashes =
             crashes.map(|crash| EndpointCrash { endpoint: crash.endpoint.clone(), age: now.since(crash.at) });
-        Some(CrashRecord { digest, customer: known.customer.clone(), crashes: crashes.collect() })
+        Some(CrashRecord { digest, customer: entry.customer.clone(), crashes: crashes.collect() })
     }
 
-    /// What is known of the requests that are suspected or shut out, in the order of their digests.
+    /// Returns standing and crash record of the suspected and quarantined requests, ordered by digest.
     pub fn suspects(&self, now: Moment) -> Vec<(RequestStanding, CrashRecord)> {
         let record = |digest: &RequestDigest| Some((self.standing(now, *digest), self.record(now, *digest)?));
         self.repeated.iter().filter_map(record).collect()
     }
 
-    /// The requests that are suspected or shut out.
+    /// Returns the digests of the suspected and quarantined requests.
     pub fn suspected(&self) -> impl Iterator<Item = RequestDigest> + '_ {
         self.repeated.iter().copied()
     }
 
-    /// What is known of all requests, in the order of their digests.
+    /// Returns the crash records of all requests, ordered by digest.
     pub fn records(&self, now: Moment) -> Vec<CrashRecord> {
         let mut digests: Vec<RequestDigest> = self.requests.keys().copied().collect();
         digests.sort_unstable();
@@ -200,64 +202,66 @@
         now: Moment,
         digest: RequestDigest,
         customer: &CustomerName,
-        crash: KnownCrash,
+        crash: CrashEntry,
     ) -> TableChange {
         let before = self.standing(now, digest);
         if !self.requests.contains_key(&digest) {
-            self.make_room(customer);
+            self.evict_if_full(customer);
             *self.customers.entry(customer.clone()).or_default() += 1;
         }
         self.endpoints.entry(crash.endpoint.clone()).or_default().insert(digest);
-        let fresh = || KnownRequest { customer: customer.clone(), crashes: Vec::new() };
-        let known = self.requests.entry(digest).or_insert_with(fresh);
-        match known.crashes.iter_mut().find(|other| other.is_same_start(&crash)) {
+        let new_entry = || RequestEntry { customer: customer.clone(), crashes: Vec::new() };
+        let entry = self.requests.entry(digest).or_insert_with(new_entry);
+        match entry.crashes.iter_mut().find(|other| other.is_same_crash(&crash)) {
             Some(same) => same.at = same.at.max(crash.at),
-            None => known.crashes.push(crash),
+            None => entry.crashes.push(crash),
         }
-        known.crashes.sort_by_key(|crash| crash.at);
-        if known.crashes.len() > 1 {
+        entry.crashes.sort_by_key(|crash| crash.at);
+        if entry.crashes.len() > 1 {
             self.repeated.insert(digest);
         }
         TableChange { digest, customer: customer.clone(), before, after: self.standing(now, digest) }
     }
 
-    /// Forgets a request of this customer, or of any once the table is full: the one with the fewest crashes,
-    /// the oldest of these.
-    fn make_room(&mut self, customer: &CustomerName) {
-        let own = self.customers.get(customer).copied().unwrap_or(0);
-        let owner_is_full = own >= self.options.customer_capacity;
-        if !owner_is_full && self.requests.len() < self.options.capacity {
+    /// Makes room for another request of this customer if the customer or the whole table is at its limit. Evicts the
+    /// request with the fewest crashes, among these the one whose newest crash is oldest. If the customer is at its
+    /// limit, only its own requests are candidates.
+    fn evict_if_full(&mut self, customer: &CustomerName) {
+        let customer_count = self.customers.get(customer).copied().unwrap_or(0);
+        let customer_is_full = customer_count >= self.options.customer_capacity;
+        if !customer_is_full && self.requests.len() < self.options.capacity {
             return;
         }
         let candidates =
-            self.requests.iter().filter(|(_, known)| !owner_is_full || known.customer == *customer);
-        let least = candidates.min_by_key(|(digest, known)| (known.crashes.len(), known.newest(), **digest));
-        if let Some(digest) = least.map(|(digest, _)| *digest) {
+            self.requests.iter().filter(|(_, entry)| !customer_is_full || entry.customer == *customer);
+        let victim =
+            candidates.min_by_key(|(digest, entry)| (entry.crashes.len(), entry.newest_crash_at(), **digest));
+        if let Some(digest) = victim.map(|(digest, _)| *digest) {
             self.remove(digest);
         }
     }
 
-    fn take_back(
+    fn retract_crashes(
         &mut self,
         now: Moment,
         digest: RequestDigest,
         endpoint: &EndpointName,
-        seen: &RangeInclusive<Moment>,
+        window: &RangeInclusive<Moment>,
     ) -> Option<TableChange> {
         let before = self.standing(now, digest);
-        let known = self.requests.get_mut(&digest)?;
-        let held = known.crashes.len();
-        known.crashes.retain(|crash| crash.endpoint != *endpoint || !seen.contains(&crash.at));
-        if known.crashes.len() == held {
+        let entry = self.requests.get_mut(&digest)?;
+        let count_before = entry.crashes.len();
+        entry.crashes.retain(|crash| crash.endpoint != *endpoint || !window.contains(&crash.at));
+        if entry.crashes.len() == count_before {
             return None;
         }
-        let is_clear = known.crashes.is_empty();
-        let customer = known.customer.clone();
-        if known.crashes.len() < 2 {
+        let is_clear = entry.crashes.is_empty();
+        let customer = entry.customer.clone();
+        if entry.crashes.len() < 2 {
             self.repeated.remove(&digest);
         }
-        if known.crashes.iter().all(|crash| crash.endpoint != *endpoint) {
-            self.forget_endpoint(endpoint, digest);
+        if entry.crashes.iter().all(|crash| crash.endpoint != *endpoint) {
+            self.unlink_endpoint(endpoint, digest);
         }
         if is_clear {
             self.remove(digest);
@@ -265,23 +269,23 @@
         Some(TableChange { digest, customer, before, after: self.standing(now, digest) })
     }
 
-    /// Removes a request, and gives whose it was.
+    /// Removes a request and returns its customer.
     fn remove(&mut self, digest: RequestDigest) -> Option<CustomerName> {
-        let known = self.requests.remove(&digest)?;
+        let entry = self.requests.remove(&digest)?;
         self.repeated.remove(&digest);
-        for crash in &known.crashes {
-            self.forget_endpoint(&crash.endpoint, digest);
+        for crash in &entry.crashes {
+            self.unlink_endpoint(&crash.endpoint, digest);
         }
-        if let Some(count) = self.customers.get_mut(&known.customer) {
+        if let Some(count) = self.customers.get_mut(&entry.customer) {
             *count -= 1;
             if *count == 0 {
-                self.customers.remove(&known.customer);
+                self.customers.remove(&entry.customer);
             }
         }
-        Some(known.customer)
+        Some(entry.customer)
     }
 
-    fn forget_endpoint(&mut self, endpoint: &EndpointName, digest: RequestDigest) {
+    fn unlink_endpoint(&mut self, endpoint: &EndpointName, digest: RequestDigest) {
         if let Some(digests) = self.endpoints.get_mut(endpoint) {
             digests.remove(&digest);
             if digests.is_empty() {
--- a/crates/micaspool-quarantine/tests/table.rs
+++ b/crates/micaspool-quarantine/tests/table.rs
@@ -1,4 +1,4 @@
-//! What a table remembers, for how long, and of how many.
+//! Standing, retention, eviction and merging of crash records.
 
 use micaspool_quarantine::{CrashRecord, CrashTable, EndpointCrash, QuarantineOptions, RequestStanding};
 use micaspool_types::{CustomerName, EndpointName, Moment, RequestDigest};
@@ -31,27 +31,27 @@
 }
 
 #[test_case(&[0] => RequestStanding::Doubted; "one")]
-#[test_case(&[0, 0, 0, 0] => RequestStanding::Doubted; "the same start again")]
+#[test_case(&[0, 0, 0, 0] => RequestStanding::Doubted; "repeated reports of one start")]
 #[test_case(&[0, 1] => RequestStanding::Suspected; "two")]
 #[test_case(&[0, 1, 2] => RequestStanding::Quarantined { until: at(3_600) }; "three")]
-#[test_case(&[0, 1, 2, 3] => RequestStanding::Quarantined { until: at(4 * 3_600) }; "a fourth lasts longer")]
-fn starts_of_endpoints_count(numbers: &[usize]) -> RequestStanding {
+#[test_case(&[0, 1, 2, 3] => RequestStanding::Quarantined { until: at(4 * 3_600) }; "four lead to a longer quarantine")]
+fn each_crashed_start_counts_once(numbers: &[usize]) -> RequestStanding {
     let mut table = table();
     let standings = numbers.iter().map(|number| crash(&mut table, at(0), 1, *number));
     standings.last().expect("there are crashes")
 }
 
-/// Where settings name the endpoints, each start of one has the same name.
-#[test_case(&[0, 1, 2] => RequestStanding::Doubted; "news of one end")]
-#[test_case(&[0, 5, 10] => RequestStanding::Quarantined { until: at(3_610) }; "three ends of one endpoint")]
-fn an_endpoint_that_keeps_its_name_may_end_more_than_once(seconds: &[u64]) -> RequestStanding {
+/// All starts of an endpoint share one name where settings list the endpoints.
+#[test_case(&[0, 1, 2] => RequestStanding::Doubted; "three reports of one crash")]
+#[test_case(&[0, 5, 10] => RequestStanding::Quarantined { until: at(3_610) }; "three crashes of one endpoint")]
+fn later_crashes_of_an_endpoint_with_a_fixed_name_count_again(seconds: &[u64]) -> RequestStanding {
     let mut table = table();
     let standings = seconds.iter().map(|seconds| crash(&mut table, at(*seconds), 1, 0));
     standings.last().expect("there are crashes")
 }
 
 #[test]
-fn after_its_quarantine_a_request_is_tried_and_one_more_end_shuts_it_out_for_longer() {
+fn a_crash_after_quarantine_leads_to_a_longer_quarantine() {
     let mut table = table();
     (0..3).for_each(|number| {
         crash(&mut table, at(0), 1, number);
@@ -62,10 +62,10 @@
     assert_eq!(trial, RequestStanding::Quarantined { until: at(3_700 + 4 * 3_600) });
 }
 
-#[test_case(1, 1_800; "one is forgotten after half an hour")]
-#[test_case(2, 1_800; "two as well")]
-#[test_case(3, 7_200; "three after twice the quarantine")]
-fn what_is_long_ago_is_forgotten(crashes: usize, seconds: u64) {
+#[test_case(1, 1_800; "one crash after half an hour")]
+#[test_case(2, 1_800; "two crashes after half an hour")]
+#[test_case(3, 7_200; "three crashes after twice the quarantine")]
+fn crashes_expire_after_their_retention(crashes: usize, seconds: u64) {
     let mut table = table();
     (0..crashes).for_each(|number| {
         crash(&mut table, at(0), 1, number);
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn an_endpoint_that_is_alive_takes_back_what_is_held_on_its_account() {
+fn a_live_endpoint_retracts_its_crashes() {
     let mut table = table();
     (0..3).for_each(|number| {
         crash(&mut table, at(number as u64), 1, number);
     });
     assert!(
         table.note_alive(at(3), &endpoint(1), &(at(2)..=at(3))).is_empty(),
-        "that says nothing of before"
+        "crashes before the window stay"
     );
     let changes = table.note_alive(at(3), &endpoint(1), &(at(0)..=at(3)));
     assert_eq!(changes.len(), 1);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_customer_with_many_pushes_out_only_its_own_and_the_least_first() {
+fn a_customer_at_its_limit_evicts_only_its_own_requests_with_the_fewest_crashes() {
     let options = QuarantineOptions::builder().capacity(100, 10).build();
     let mut table = CrashTable::new(options);
     table.note_crash(at(0), RequestDigest(1_000), &customer("b"), &endpoint(0));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_full_table_keeps_those_with_the_most_crashes() {
+fn a_full_table_keeps_requests_with_the_most_crashes() {
     let mut table = CrashTable::new(QuarantineOptions::builder().capacity(10, 10).build());
     crash(&mut table, at(0), 1, 0);
     crash(&mut table, at(0), 1, 1);
@@ -120,11 +120,11 @@
     assert_eq!(table.standing(at(1), DIGEST), RequestStanding::Suspected);
 }
 
-/// Records of different witnesses add up to the same, whatever their order and however often they come.
+/// Merging the records of several processes gives the same result in any order and with any repetition.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn records_add_up_in_any_order(seed: u64) {
+fn merging_is_independent_of_order_and_repetition(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let record = |number: usize| CrashRecord {
         digest: DIGEST,
@@ -145,8 +145,9 @@
     assert!(results.all(|other| other == first));
 }
 
+/// A router replaces its own record of a request by the dispatcher's, here by one that clears the request.
 #[test]
-fn the_word_of_a_dispatcher_takes_the_place_of_what_a_router_knew() {
+fn replace_discards_earlier_crashes() {
     let mut table = table();
     crash(&mut table, at(0), 1, 0);
     let cleared = CrashRecord { digest: DIGEST, customer: customer("a"), crashes: Vec::new() };
