--- a/crates/micaspool-halls/src/lib.rs
+++ b/crates/micaspool-halls/src/lib.rs
@@ -1,8 +1,8 @@
-//! Operators' orders about whole data halls: evacuate one, take it back.
+//! Operators' orders to evacuate a data hall or to return it to use.
 //!
-//! [`HallOrders`] is a deterministic state machine that keepers replicate, and what every process of the fleet merges
-//! from what keepers tell. Each change has a number. An order carries the newest number that was known where it came
-//! in, so that one that was held up on its way takes back nothing that was ordered after it.
+//! [`HallOrders`] is a deterministic state machine that keepers replicate. Every process of the fleet also keeps a
+//! copy, into which it merges the orders that keepers publish. Each change has a number. An order carries the newest
+//! number known where it was received, so that a delayed order cannot override a newer one for its hall.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-halls/src/order.rs
+++ b/crates/micaspool-halls/src/order.rs
@@ -1,4 +1,4 @@
-//! One order and what comes of it.
+//! Orders about data halls and their outcomes.
 
 use micaspool_types::HallName;
 use serde::{Deserialize, Serialize};
@@ -7,15 +7,15 @@
 /// Whether the endpoints of a data hall get requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub enum HallUse {
-    /// They do.
+    /// The endpoints get requests.
     #[default]
     Open,
-    /// They get none.
+    /// The endpoints get no requests.
     Evacuated,
 }
 
 impl HallUse {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             HallUse::Open => "open",
@@ -24,41 +24,42 @@
     }
 }
 
-/// The newest order about a hall.
+/// The order in force for a hall.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct HallOrder {
-    /// Its number; each change of any hall has a higher one.
+    /// The number of the order; each later change of any hall has a higher one.
     pub number: u64,
-    /// What is wanted.
+    /// The ordered use of the hall.
     pub wanted: HallUse,
-    /// Who ordered it, for people.
+    /// The operator who gave the order; informational.
     pub ordered_by: Arc<str>,
-    /// When it was taken, in milliseconds since 1970 by the clock of the keeper that led; for people.
+    /// When the order was proposed, in milliseconds since the Unix epoch by the clock of the leading keeper;
+    /// informational.
     pub at_millis: u64,
 }
 
-/// An order on its way.
+/// A replicated command that carries an order.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct OrderCommand {
-    /// The hall.
+    /// The data hall.
     pub hall: HallName,
-    /// What is wanted.
+    /// The ordered use of the hall.
     pub wanted: HallUse,
-    /// The number of the newest order of any hall that was known where this one came in.
+    /// The number of the newest order about any hall that was known where this order was received.
     pub known: u64,
-    /// Who orders it.
+    /// The operator who gives the order.
     pub ordered_by: Arc<str>,
-    /// When it was proposed, in milliseconds since 1970.
+    /// When the order was proposed, in milliseconds since the Unix epoch.
     pub at_millis: u64,
 }
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OrderVerdict {
-    /// The hall is used as was wanted, since the order with this number.
+    /// The hall is in the ordered state, as of the order with this number; zero if no order was ever given.
     InForce(u64),
-    /// The contrary was ordered, under this number, after the order came in; nothing was changed.
+    /// The opposite was ordered, under this number, after this order was received; nothing was changed.
     Overtaken(u64),
-    /// There are orders about as many halls as a fleet may have.
+    /// There are already orders about as many halls as a fleet may have.
     TooManyHalls,
 }
--- a/crates/micaspool-halls/src/orders.rs
+++ b/crates/micaspool-halls/src/orders.rs
@@ -1,11 +1,11 @@
-//! The newest order about each hall.
+//! The order in force for each hall.
 
 use crate::order::{HallOrder, HallUse, OrderCommand, OrderVerdict};
 use micaspool_types::{HallName, MAX_HALLS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The newest order about each hall that any was given about.
+/// The order in force for each hall about which one was given. All other halls are open.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct HallOrders {
     newest: u64,
@@ -13,16 +13,17 @@
 }
 
 impl HallOrders {
-    /// Decides on an order. One that wants what holds already changes nothing and is confirmed again.
+    /// Accepts or rejects an order. An order for the state that is already in force changes nothing and is confirmed
+    /// again.
     pub fn accept(&mut self, command: &OrderCommand) -> OrderVerdict {
-        let since = self.halls.get(&command.hall).map_or(0, |order| order.number);
+        let in_force_number = self.halls.get(&command.hall).map_or(0, |order| order.number);
         if self.use_of(&command.hall) == command.wanted {
-            return OrderVerdict::InForce(since);
+            return OrderVerdict::InForce(in_force_number);
         }
-        if since > command.known {
-            return OrderVerdict::Overtaken(since);
+        if in_force_number > command.known {
+            return OrderVerdict::Overtaken(in_force_number);
         }
-        if since == 0 && self.halls.len() >= MAX_HALLS {
+        if in_force_number == 0 && self.halls.len() >= MAX_HALLS {
             return OrderVerdict::TooManyHalls;
         }
         self.newest += 1;
@@ -36,7 +37,7 @@
         OrderVerdict::InForce(self.newest)
     }
 
-    /// Takes over what a keeper tells of a hall, if that is newer; true when it was.
+    /// Adopts the order that a keeper reports for a hall if it is newer than the known one. Returns true if it was.
     pub fn merge(&mut self, hall: &HallName, order: HallOrder) -> bool {
         let known = self.halls.get(hall).map_or(0, |known| known.number);
         if order.number <= known {
@@ -47,27 +48,27 @@
         true
     }
 
-    /// The number of the newest order; zero before the first.
+    /// Returns the number of the newest order about any hall, or zero before the first.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Whether the endpoints of a hall get requests.
+    /// Returns whether the endpoints of a hall get requests.
     pub fn use_of(&self, hall: &HallName) -> HallUse {
         self.halls.get(hall).map_or(HallUse::Open, |order| order.wanted)
     }
 
-    /// True while the endpoints of a hall get no requests.
+    /// Returns true if the endpoints of a hall get no requests.
     pub fn is_evacuated(&self, hall: &HallName) -> bool {
         self.use_of(hall) == HallUse::Evacuated
     }
 
-    /// Every hall that an order was given about, with the newest, by name.
+    /// Iterates over the halls about which an order was given, in name order, each with the order in force.
     pub fn iter(&self) -> impl Iterator<Item = (&HallName, &HallOrder)> {
         self.halls.iter()
     }
 
-    /// How many halls are evacuated.
+    /// Returns the number of evacuated halls.
     pub fn evacuated(&self) -> usize {
         self.halls.values().filter(|order| order.wanted == HallUse::Evacuated).count()
     }
--- a/crates/micaspool-halls/tests/orders.rs
+++ b/crates/micaspool-halls/tests/orders.rs
@@ -1,4 +1,4 @@
-//! What orders come to, however late, often and crossed they come.
+//! Orders that arrive late, repeatedly or out of order.
 
 use micaspool_halls::{HallOrder, HallOrders, HallUse, OrderCommand, OrderVerdict};
 use micaspool_types::{HallName, MAX_HALLS};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_order_holds_and_is_confirmed_again() {
+fn an_accepted_order_is_confirmed_when_resent() {
     let mut orders = HallOrders::default();
     assert_eq!(orders.accept(&order("a", Evacuated, 0)), OrderVerdict::InForce(1));
     assert_eq!(orders.accept(&order("a", Evacuated, 0)), OrderVerdict::InForce(1), "sent again");
@@ -25,30 +25,30 @@
 }
 
 #[test]
-fn a_hall_that_was_never_evacuated_is_taken_back_without_a_change() {
+fn returning_a_hall_that_was_never_evacuated_changes_nothing() {
     let mut orders = HallOrders::default();
     assert_eq!(orders.accept(&order("a", Open, 0)), OrderVerdict::InForce(0));
     assert_eq!(orders.newest(), 0);
 }
 
-/// An order was held up at a keeper while its sender sent it again and then ordered the contrary.
-#[test_case(Evacuated, Open; "an evacuation does not come back")]
-#[test_case(Open, Evacuated; "a return does not come back")]
-fn an_order_that_was_held_up_takes_nothing_back(first: HallUse, then: HallUse) {
+/// An order is delayed at one keeper, while its sender resends it and then orders the opposite.
+#[test_case(Evacuated, Open; "a delayed evacuation")]
+#[test_case(Open, Evacuated; "a delayed return")]
+fn a_delayed_order_does_not_override_a_newer_one(first: HallUse, then: HallUse) {
     let mut orders = HallOrders::default();
     if first == Open {
         orders.accept(&order("a", Evacuated, 0));
     }
     let known = orders.newest();
-    let held_up = order("a", first, known);
+    let delayed = order("a", first, known);
     assert_eq!(orders.accept(&order("a", first, known)), OrderVerdict::InForce(known + 1));
     assert_eq!(orders.accept(&order("a", then, known + 1)), OrderVerdict::InForce(known + 2));
-    assert_eq!(orders.accept(&held_up), OrderVerdict::Overtaken(known + 2));
+    assert_eq!(orders.accept(&delayed), OrderVerdict::Overtaken(known + 2));
     assert_eq!(orders.use_of(&hall("a")), then);
 }
 
 #[test]
-fn orders_about_another_hall_do_not_overtake() {
+fn an_order_is_not_overtaken_by_orders_about_other_halls() {
     let mut orders = HallOrders::default();
     orders.accept(&order("a", Evacuated, 0));
     assert_eq!(orders.accept(&order("b", Evacuated, 0)), OrderVerdict::InForce(2));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn halls_are_as_many_as_a_fleet_has() {
+fn orders_about_too_many_halls_are_rejected() {
     let mut orders = HallOrders::default();
     for number in 0..MAX_HALLS {
         orders.accept(&order(&format!("h{number}"), Evacuated, orders.newest()));
@@ -66,26 +66,26 @@
 }
 
 proptest! {
-    /// Whatever order keepers' news come in, and however often, the newest order about each hall holds.
+    /// Merging reported orders in any sequence and with repetitions leaves the newest order of each hall in force.
     #[test]
-    fn news_merge_in_any_order(wanted in proptest::collection::vec((0..3u8, any::<bool>()), 1..20), shuffle in any::<u64>()) {
-        let mut told = Vec::new();
+    fn merging_is_independent_of_order_and_repetition(wanted in proptest::collection::vec((0..3u8, any::<bool>()), 1..20), shuffle in any::<u64>()) {
+        let mut reported = Vec::new();
         for (number, (name, evacuated)) in wanted.iter().enumerate() {
             let wanted = if *evacuated { Evacuated } else { Open };
             let number = number as u64 + 1;
-            told.push((hall(&format!("h{name}")), HallOrder { number, wanted, ordered_by: "x".into(), at_millis: 0 }));
+            reported.push((hall(&format!("h{name}")), HallOrder { number, wanted, ordered_by: "x".into(), at_millis: 0 }));
         }
-        let mut straight = HallOrders::default();
-        for (name, order) in &told {
-            straight.merge(name, order.clone());
+        let mut in_order = HallOrders::default();
+        for (name, order) in &reported {
+            in_order.merge(name, order.clone());
         }
-        let mut crossed = told.clone();
-        crossed.extend(told.iter().take(3).cloned());
-        crossed.sort_by_key(|(_, order)| (order.number.wrapping_mul(shuffle | 1)) % 17);
+        let mut reordered = reported.clone();
+        reordered.extend(reported.iter().take(3).cloned());
+        reordered.sort_by_key(|(_, order)| (order.number.wrapping_mul(shuffle | 1)) % 17);
         let mut merged = HallOrders::default();
-        for (name, order) in crossed {
+        for (name, order) in reordered {
             merged.merge(&name, order);
         }
-        prop_assert_eq!(straight, merged);
+        prop_assert_eq!(in_order, merged);
     }
 }
