--- a/crates/micaspool-ledger/src/command.rs
+++ b/crates/micaspool-ledger/src/command.rs
@@ -1,4 +1,4 @@
-//! What goes into the ledger and what comes out of it.
+//! Commands to the ledger and their results.
 
 use micaspool_types::CustomerName;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 /// A customer's idempotency key.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Debug)]
 pub struct ClaimKey {
-    /// Whose key it is.
+    /// The customer that chose the key.
     pub customer: CustomerName,
     /// The key as the caller sent it.
     pub key: Arc<str>,
@@ -17,52 +17,52 @@
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct BodyDigest(pub [u8; 32]);
 
-/// Tells one arrival of a request from another with the same key; random.
+/// Identifies one arrival of a request among all with the same key; random.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct ClaimToken(pub u64);
 
-/// Milliseconds since 1970 by the clock of the keeper that led when the command was made.
+/// Milliseconds since the Unix epoch by the clock of the keeper that was leader when the command was created.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Debug)]
 pub struct LedgerTime(pub u64);
 
-/// Asks to run a call.
+/// Requests permission to run a call.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct ClaimCommand {
     /// The key of the call.
     pub key: ClaimKey,
-    /// Its content.
+    /// The digest of the call.
     pub body: BodyDigest,
-    /// This arrival.
+    /// The token of this arrival.
     pub token: ClaimToken,
-    /// When the command was made.
+    /// When the command was created.
     pub at: LedgerTime,
 }
 
-/// Says how a claimed call ended.
+/// Reports the outcome of a claimed call.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct FinishCommand {
     /// The key of the call.
     pub key: ClaimKey,
-    /// The arrival that claimed it.
+    /// The token of the arrival that claimed the call.
     pub token: ClaimToken,
-    /// How it ended.
+    /// The outcome.
     pub kind: FinishKind,
-    /// When the command was made.
+    /// When the command was created.
     pub at: LedgerTime,
 }
 
-/// How a claimed call ended.
+/// The outcome of a claimed call.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub enum FinishKind {
-    /// Provably no byte was sent: the key is free again.
+    /// Provably no byte of the call was sent, so that the key is free again.
     Released,
-    /// It ran, with this answer.
+    /// The call ran and gave this answer.
     Answered(StoredAnswer),
-    /// It may have run; the answer was lost.
+    /// The call may have run, but its answer was lost.
     Unknown,
 }
 
-/// An answer that later arrivals get.
+/// A stored answer, which later arrivals get without another run.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct StoredAnswer {
     /// The HTTP status.
@@ -73,21 +73,21 @@
     pub body: Vec<u8>,
 }
 
-/// What an arrival is told.
+/// The decision on an arrival.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub enum ClaimVerdict {
-    /// Run it now.
+    /// This arrival may run the call.
     Granted,
-    /// Another arrival runs it.
+    /// Another arrival is running the call, or this arrival was released before its claim came in.
     Running,
-    /// It ran; this is its answer.
+    /// The call ran; holds its answer.
     Done(StoredAnswer),
-    /// It ran; its answer was too large or too old to be kept.
+    /// The call ran, but its answer was too large or too old to be kept.
     AnswerDropped,
-    /// It may have run.
+    /// The call may have run.
     MayHaveRun,
-    /// The key was used for another call.
+    /// The key was used before with another method, path or body.
     KeyReused,
-    /// The ledger holds as many keys as it may.
+    /// The ledger holds the maximum number of keys.
     Full,
 }
--- a/crates/micaspool-ledger/src/options.rs
+++ b/crates/micaspool-ledger/src/options.rs
@@ -1,20 +1,20 @@
-//! How long and how much the ledger keeps.
+//! Limits and durations of the ledger.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Bounds of the ledger. All keepers of a group must have the same.
+/// Limits and durations of the ledger. All keepers of a group must use the same values.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct LedgerOptions {
-    /// For how long after its end a key is remembered.
+    /// How long a key is remembered after its call has ended.
     pub retention: Duration,
-    /// After this time a call that has not ended counts as one that may have run.
+    /// The time after which a call that has not ended counts as one that may have run.
     pub running_limit: Duration,
-    /// The most keys; new ones are refused beyond it, since forgetting one could run a call twice.
+    /// The maximum number of keys. New keys are refused beyond it, since evicting one could let a call run twice.
     pub max_keys: usize,
-    /// The most bytes of answers; the oldest answers go first, their keys stay.
+    /// The maximum total size of stored answers in bytes. Beyond it the oldest answers are dropped, but not their keys.
     pub max_answer_bytes: usize,
-    /// The largest answer that is kept.
+    /// The maximum size of one stored answer in bytes.
     pub max_answer: usize,
 }
 
--- a/crates/micaspool-ledger/src/state.rs
+++ b/crates/micaspool-ledger/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machine of the ledger.
+//! The replicated state machine of the ledger.
 
 use crate::command::{
     BodyDigest, ClaimCommand, ClaimKey, ClaimToken, ClaimVerdict, FinishCommand, FinishKind, LedgerTime,
@@ -9,25 +9,27 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How many early releases are remembered. Each is looked at by each claim.
-const MOST_RELEASES: usize = 4_096;
+/// The maximum number of remembered early releases. Bounded because every claim scans all of them.
+const MAX_RELEASES: usize = 4_096;
 
-/// Every remembered key.
+/// The claims of all remembered keys, with the queues that bound them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LedgerState {
     options: LedgerOptions,
     claims: HashMap<ClaimKey, ClaimRecord>,
-    /// The keys that have ended, in the order of their ends.
+    /// The keys whose calls have ended, in the order in which they ended.
     ended: VecDeque<EndedKey>,
-    /// The keys whose answers are kept, the oldest first.
+    /// The keys whose answers are stored, oldest first.
     answered: VecDeque<EndedKey>,
+    /// The total size of the stored answers.
     answer_bytes: usize,
+    /// The newest time of any command; never goes back.
     newest: LedgerTime,
-    /// Arrivals that were released before their claims came in, the oldest first.
+    /// The arrivals that were released before their claims came in, oldest first.
     released: VecDeque<EndedKey>,
 }
 
-/// The ledger as versions wrote it that did not remember early releases.
+/// The stored form of the ledger in versions that did not remember early releases.
 #[derive(Deserialize)]
 pub struct LegacyLedger {
     options: LedgerOptions,
@@ -39,14 +41,14 @@
 }
 
 impl From<LegacyLedger> for LedgerState {
-    fn from(earlier: LegacyLedger) -> LedgerState {
+    fn from(legacy: LegacyLedger) -> LedgerState {
         LedgerState {
-            options: earlier.options,
-            claims: earlier.claims,
-            ended: earlier.ended,
-            answered: earlier.answered,
-            answer_bytes: earlier.answer_bytes,
-            newest: earlier.newest,
+            options: legacy.options,
+            claims: legacy.claims,
+            ended: legacy.ended,
+            answered: legacy.answered,
+            answer_bytes: legacy.answer_bytes,
+            newest: legacy.newest,
             released: VecDeque::new(),
         }
     }
@@ -67,7 +69,8 @@
     Unknown,
 }
 
-/// A key with the arrival that ended, since a key may end again after it was forgotten.
+/// A key with the token of the arrival that ended. The token is needed because a forgotten key can be claimed again and
+/// then end again.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct EndedKey {
     key: ClaimKey,
@@ -76,40 +79,40 @@
 }
 
 impl LedgerState {
-    /// An empty ledger with these bounds.
+    /// Creates an empty ledger.
     pub fn new(options: LedgerOptions) -> LedgerState {
         LedgerState { options, ..LedgerState::default() }
     }
 
-    /// The number of remembered keys.
+    /// Returns the number of remembered keys.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// True when no key is remembered.
+    /// Returns true if no key is remembered.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// The bytes of all answers that are kept.
+    /// Returns the total size of the stored answers in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// The number of arrivals that were released before their claims came in.
+    /// Returns the number of arrivals that were released before their claims came in.
     pub fn released(&self) -> usize {
         self.released.len()
     }
 
-    /// Decides on an arrival. The same arrival, sent again, gets the same verdict; one that was released already runs
-    /// no more.
+    /// Decides on an arrival. While its call runs, a resend of the same arrival is granted again. An arrival whose
+    /// release came in before its claim is never granted.
     pub fn claim(&mut self, command: &ClaimCommand) -> ClaimVerdict {
-        let now = self.pass(command.at);
+        let now = self.advance_time(command.at);
         let limit = self.options.running_limit;
         if self.is_released(&command.key, command.token) {
             return ClaimVerdict::Running;
         }
-        let Some(record) = self.claims.get_mut(&command.key) else { return self.start(command, now) };
+        let Some(record) = self.claims.get_mut(&command.key) else { return self.start_claim(command, now) };
         if record.body != command.body {
             return ClaimVerdict::KeyReused;
         }
@@ -118,7 +121,7 @@
             ClaimState::Running { since } if elapsed(*since, now) < limit => ClaimVerdict::Running,
             ClaimState::Running { .. } => {
                 let token = record.token;
-                self.end(&command.key, token, ClaimState::Unknown, now);
+                self.end_claim(&command.key, token, ClaimState::Unknown, now);
                 ClaimVerdict::MayHaveRun
             }
             ClaimState::Answered(answer) => ClaimVerdict::Done((**answer).clone()),
@@ -127,31 +130,34 @@
         }
     }
 
-    /// Records how a call ended. Only the arrival that claimed it is heard.
+    /// Records the outcome of a call. Outcomes from any arrival but the one that claimed the call are ignored, except
+    /// that a release is remembered in case its claim comes in later.
     pub fn finish(&mut self, command: &FinishCommand) {
-        let now = self.pass(command.at);
+        let now = self.advance_time(command.at);
         let Some(record) = self.claims.get(&command.key).filter(|record| record.token == command.token)
         else {
             if command.kind == FinishKind::Released {
-                self.note_release(command, now);
+                self.record_release(command, now);
             }
             return;
         };
-        let running = matches!(record.state, ClaimState::Running { .. });
-        let open = running || matches!(record.state, ClaimState::Unknown);
+        let is_running = matches!(record.state, ClaimState::Running { .. });
+        let is_open = is_running || matches!(record.state, ClaimState::Unknown);
         match &command.kind {
-            FinishKind::Released if running => {
+            FinishKind::Released if is_running => {
                 self.claims.remove(&command.key);
             }
-            FinishKind::Unknown if running => self.end(&command.key, command.token, ClaimState::Unknown, now),
-            FinishKind::Answered(answer) if open => self.keep_answer(command, answer, now),
+            FinishKind::Unknown if is_running => {
+                self.end_claim(&command.key, command.token, ClaimState::Unknown, now)
+            }
+            FinishKind::Answered(answer) if is_open => self.keep_answer(command, answer, now),
             _ => {}
         }
     }
 
-    /// Remembers the release of an arrival whose claim has not come in; it may be on its way.
-    fn note_release(&mut self, command: &FinishCommand, now: LedgerTime) {
-        if self.released.len() >= MOST_RELEASES.min(self.options.max_keys) {
+    /// Remembers the release of an arrival whose claim has not come in and may still be in flight.
+    fn record_release(&mut self, command: &FinishCommand, now: LedgerTime) {
+        if self.released.len() >= MAX_RELEASES.min(self.options.max_keys) {
             self.released.pop_front();
         }
         self.released.push_back(EndedKey { key: command.key.clone(), token: command.token, at: now });
@@ -161,7 +167,7 @@
         self.released.iter().any(|released| released.token == token && released.key == *key)
     }
 
-    fn start(&mut self, command: &ClaimCommand, now: LedgerTime) -> ClaimVerdict {
+    fn start_claim(&mut self, command: &ClaimCommand, now: LedgerTime) -> ClaimVerdict {
         if self.claims.len() >= self.options.max_keys {
             return ClaimVerdict::Full;
         }
@@ -173,11 +179,11 @@
 
     fn keep_answer(&mut self, command: &FinishCommand, answer: &StoredAnswer, now: LedgerTime) {
         if answer.body.len() > self.options.max_answer {
-            self.end(&command.key, command.token, ClaimState::AnswerDropped, now);
+            self.end_claim(&command.key, command.token, ClaimState::AnswerDropped, now);
             return;
         }
         let state = ClaimState::Answered(Box::new(answer.clone()));
-        self.end(&command.key, command.token, state, now);
+        self.end_claim(&command.key, command.token, state, now);
         self.answer_bytes += answer.body.len();
         self.answered.push_back(EndedKey { key: command.key.clone(), token: command.token, at: now });
         while self.answer_bytes > self.options.max_answer_bytes {
@@ -197,15 +203,16 @@
         }
     }
 
-    fn end(&mut self, key: &ClaimKey, token: ClaimToken, state: ClaimState, now: LedgerTime) {
+    fn end_claim(&mut self, key: &ClaimKey, token: ClaimToken, state: ClaimState, now: LedgerTime) {
         if let Some(record) = self.claims.get_mut(key) {
             record.state = state;
             self.ended.push_back(EndedKey { key: key.clone(), token, at: now });
         }
     }
 
-    /// Moves the ledger's time on, never back, and forgets keys whose retention has passed.
-    fn pass(&mut self, at: LedgerTime) -> LedgerTime {
+    /// Advances the ledger's time, never backwards, and drops everything that has expired: ended keys and answers after
+    /// their retention, early releases after the running limit. Returns the new time.
+    fn advance_time(&mut self, at: LedgerTime) -> LedgerTime {
         self.newest = self.newest.max(at);
         let now = self.newest;
         let retention = self.options.retention;
--- a/crates/micaspool-ledger/tests/state.rs
+++ b/crates/micaspool-ledger/tests/state.rs
@@ -1,4 +1,4 @@
-//! What each arrival of a key is told, in every state of its call.
+//! Verdicts on arrivals in every state of their calls, and the bounds of the ledger.
 
 use micaspool_ledger::{
     BodyDigest, ClaimCommand, ClaimKey, ClaimToken, ClaimVerdict, FinishCommand, FinishKind, LedgerOptions,
@@ -31,7 +31,7 @@
 #[test_case(Some(FinishKind::Unknown), ClaimVerdict::MayHaveRun; "outcome lost")]
 #[test_case(Some(FinishKind::Answered(answer(3))), ClaimVerdict::Done(answer(3)); "answered")]
 #[test_case(Some(FinishKind::Answered(answer(300 * 1024))), ClaimVerdict::AnswerDropped; "answer too large")]
-fn second_arrival(end: Option<FinishKind>, expected: ClaimVerdict) {
+fn the_verdict_on_a_second_arrival_depends_on_the_outcome(end: Option<FinishKind>, expected: ClaimVerdict) {
     let mut ledger = LedgerState::new(LedgerOptions::default());
     assert_eq!(ledger.claim(&claim("k", 1, 0)), ClaimVerdict::Granted);
     if let Some(kind) = end {
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn the_same_arrival_sent_again_is_granted_again() {
+fn a_resent_arrival_is_granted_again() {
     let mut ledger = LedgerState::new(LedgerOptions::default());
     assert_eq!(ledger.claim(&claim("k", 1, 0)), ClaimVerdict::Granted);
     assert_eq!(ledger.claim(&claim("k", 1, 5)), ClaimVerdict::Granted);
 }
 
 #[test]
-fn another_body_is_refused() {
+fn a_key_with_another_body_is_refused() {
     let mut ledger = LedgerState::new(LedgerOptions::default());
     ledger.claim(&claim("k", 1, 0));
     let other = ClaimCommand { body: BodyDigest([2; 32]), ..claim("k", 2, 1) };
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn only_the_arrival_that_claimed_is_heard() {
+fn only_the_claiming_arrival_can_finish_a_call() {
     let mut ledger = LedgerState::new(LedgerOptions::default());
     ledger.claim(&claim("k", 1, 0));
     ledger.finish(&finish("k", 2, FinishKind::Released, 1));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_forgets_nothing() {
+fn a_clock_that_steps_back_drops_nothing() {
     let mut ledger = LedgerState::new(LedgerOptions::default());
     ledger.claim(&claim("k", 1, 100 * HOUR));
     ledger.finish(&finish("k", 1, FinishKind::Answered(answer(1)), HOUR));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn keys_are_forgotten_after_their_retention() {
+fn keys_expire_after_their_retention() {
     let mut ledger = LedgerState::new(LedgerOptions::default());
     ledger.claim(&claim("k", 1, 0));
     ledger.finish(&finish("k", 1, FinishKind::Answered(answer(9)), 0));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_oldest_answers_go_first_and_their_keys_stay() {
+fn the_oldest_answers_are_dropped_first_and_their_keys_stay() {
     let options = LedgerOptions { max_answer_bytes: 100, ..LedgerOptions::default() };
     let mut ledger = LedgerState::new(options);
     for (number, text) in ["a", "b", "c"].into_iter().enumerate() {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn retention_is_bounded_by_options() {
+fn the_number_of_ended_keys_is_bounded_by_retention() {
     let options = LedgerOptions { retention: Duration::from_secs(1), ..LedgerOptions::default() };
     let mut ledger = LedgerState::new(options);
     for number in 0..1_000_u64 {
@@ -134,10 +134,10 @@
     assert!(ledger.len() <= 101);
 }
 
-/// A router whose claim got no answer in time releases it. Where the release overtakes the claim, the arrival is over
-/// all the same, and the key stays free for the next one.
+/// A router releases a claim that got no answer in time. If the release overtakes the claim, the late claim must not
+/// hold the key: the arrival is over, and the next one gets the key.
 #[test]
-fn a_claim_that_comes_after_its_own_release_holds_no_key() {
+fn a_claim_after_its_own_release_does_not_hold_the_key() {
     let mut ledger = LedgerState::new(LedgerOptions::default());
     ledger.finish(&finish("k", 1, FinishKind::Released, 0));
     assert_eq!(ledger.claim(&claim("k", 1, 10)), ClaimVerdict::Running);
@@ -145,9 +145,9 @@
     assert_eq!(ledger.claim(&claim("k", 1, 30)), ClaimVerdict::Running, "the second arrival runs it");
 }
 
-/// What was released is remembered for as long as a claim may be on its way, and no longer.
+/// An early release is remembered only for as long as its claim may be in flight.
 #[test]
-fn releases_are_forgotten_in_the_end() {
+fn early_releases_expire() {
     let options = LedgerOptions::default();
     let mut ledger = LedgerState::new(options);
     ledger.finish(&finish("k", 1, FinishKind::Released, 0));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn releases_of_what_was_never_claimed_take_bounded_room() {
+fn the_number_of_early_releases_is_bounded() {
     let mut ledger = LedgerState::new(LedgerOptions { max_keys: 10, ..LedgerOptions::default() });
     for token in 0..100 {
         ledger.finish(&finish("k", token, FinishKind::Released, token));
