--- a/crates/micaspool-registry/src/lib.rs
+++ b/crates/micaspool-registry/src/lib.rs
@@ -1,10 +1,9 @@
-//! Endpoints that register themselves: soft state without I/O or clock.
+//! The registry of self-registered endpoints: soft state without I/O or a clock.
 //!
-//! Each endpoint sends records of itself with rising sequence numbers to any keeper. Whoever
-//! follows the keepers merges what each of them heard: [`EndpointRegistry::merge`] keeps the newest
-//! record of each endpoint, whatever the order of arrival. An endpoint may start again under its name; records of
-//! earlier starts change nothing then. An endpoint that has left stays known as
-//! left for a while, so that a late record does not bring it back.
+//! Each endpoint sends records with increasing sequence numbers to any keeper. Followers of the keepers merge the
+//! records that each of them received: [`EndpointRegistry::merge`] keeps the newest record of each endpoint, whatever
+//! the order of arrival. An endpoint may restart under the same identity; records of earlier starts are ignored from
+//! then on. An endpoint that left is remembered as left for a while, so that a late record does not bring it back.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-registry/src/record.rs
+++ b/crates/micaspool-registry/src/record.rs
@@ -1,23 +1,23 @@
-//! What an endpoint says of itself.
+//! Endpoint records.
 
 use micaspool_types::{EndpointName, HallName, Incarnation, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where an endpoint stands in its life.
+/// The lifecycle stage of an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum EndpointStage {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Serving,
-    /// It finishes what runs and takes nothing new.
+    /// The endpoint finishes running requests and accepts no new ones.
     Draining,
-    /// It has said goodbye.
+    /// The endpoint has deregistered.
     Left,
 }
 
 impl EndpointStage {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             EndpointStage::Serving => "serving",
@@ -27,28 +27,29 @@
     }
 }
 
-/// One record of an endpoint.
+/// The state that an endpoint reports about itself.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// The name of this start of the endpoint. No other start has it, so nothing that is known of one under its name is
-    /// believed of the next.
+    /// The name of this start of the endpoint. It is unique to the start, so that nothing recorded under it carries
+    /// over to the next start.
     pub name: EndpointName,
-    /// The name that the endpoint itself goes by, which all its starts share.
+    /// The endpoint's own name, which all its starts share.
     pub identity: EndpointName,
-    /// Higher for each later start; zero for an endpoint that does not tell its starts apart.
+    /// The number of the start, higher for each later one; zero for an endpoint that does not distinguish its starts.
     pub incarnation: Incarnation,
-    /// The service that it offers.
+    /// The service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// The data hall that the endpoint is in.
     pub hall: HallName,
-    /// How many requests it runs at once.
+    /// The number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Where it stands in its life.
+    /// The lifecycle stage.
     pub stage: EndpointStage,
-    /// Rises with each record of this endpoint.
+    /// Increases with each record of this start.
     pub sequence: u64,
-    /// How much longer it is cold and bears few requests, from when the record is told; zero once it is warm.
+    /// How much longer the endpoint is cold and can take only few requests, counted from when the record is sent; zero
+    /// once it is warm.
     pub cold: Duration,
 }
--- a/crates/micaspool-registry/src/registry.rs
+++ b/crates/micaspool-registry/src/registry.rs
@@ -1,53 +1,55 @@
-//! The newest record of each endpoint.
+//! The registry: the newest record of each endpoint.
 
 use crate::record::{EndpointRecord, EndpointStage};
 use micaspool_types::{EndpointName, Incarnation, Moment};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long an endpoint that left stays known as left, and the newest start of each is known. Late records come within
-/// seconds; a longer time costs memory only.
-const LEFT_LIFE: Duration = Duration::from_secs(120);
-/// Records that differ by no more about when an endpoint will be warm say the same: they take different times to come.
+/// How long an endpoint that left, and the newest start of each endpoint, are remembered after they were last seen.
+/// Late records arrive within seconds; a longer time costs only memory.
+const LEFT_RETENTION: Duration = Duration::from_secs(120);
+/// The difference in the announced end of the cold phase up to which two records count as equal, since their transit
+/// times differ.
 const COLD_TOLERANCE: Duration = Duration::from_millis(300);
 
-/// What came of a record.
+/// The result of merging a record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MergeOutcome {
-    /// It says something new about the endpoint.
+    /// The record changed what is known about the endpoint.
     Changed,
-    /// The endpoint has started again; what it was before is forgotten.
+    /// The record belongs to a new start of the endpoint; the record of the previous start was removed.
     Restarted,
-    /// It shows that the endpoint is alive and otherwise says what was known.
+    /// The record only confirmed that the endpoint is alive.
     Refreshed,
-    /// It is older than what is known, and was ignored.
+    /// The record is older than what is known and was ignored.
     Stale,
 }
 
 impl MergeOutcome {
-    /// True when others want to hear of it.
+    /// Returns true if the merge changed the registry in a way that followers need to know.
     pub fn is_change(self) -> bool {
         matches!(self, MergeOutcome::Changed | MergeOutcome::Restarted)
     }
 }
 
 #[derive(Clone, Debug)]
-struct KnownEndpoint {
+struct EndpointEntry {
     record: EndpointRecord,
-    heard: Moment,
+    last_seen: Moment,
     cold_until: Moment,
 }
 
-impl KnownEndpoint {
-    fn new(now: Moment, record: EndpointRecord) -> KnownEndpoint {
-        KnownEndpoint { cold_until: now + record.cold, heard: now, record }
+impl EndpointEntry {
+    fn new(now: Moment, record: EndpointRecord) -> EndpointEntry {
+        EndpointEntry { cold_until: now + record.cold, last_seen: now, record }
     }
 
-    /// True when an endpoint that is cold until this moment is warm much earlier or later than was known.
-    fn differs_in_warmth(&self, now: Moment, cold_until: Moment) -> bool {
-        let concerns_now = self.cold_until > now || cold_until > now;
+    /// Returns true if `cold_until` differs from the known end of the cold phase by more than [`COLD_TOLERANCE`] and
+    /// the endpoint is still cold according to either.
+    fn cold_end_differs(&self, now: Moment, cold_until: Moment) -> bool {
+        let is_relevant = self.cold_until > now || cold_until > now;
         let distance = self.cold_until.since(cold_until).max(cold_until.since(self.cold_until));
-        concerns_now && distance > COLD_TOLERANCE
+        is_relevant && distance > COLD_TOLERANCE
     }
 }
 
@@ -56,29 +58,31 @@
 struct NewestStart {
     name: EndpointName,
     incarnation: Incarnation,
-    heard: Moment,
+    last_seen: Moment,
 }
 
-/// The newest record of each endpoint, and when it was heard.
+/// The newest record of each endpoint and when it was last seen.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRegistry {
-    /// By the names of their starts.
-    endpoints: BTreeMap<EndpointName, KnownEndpoint>,
-    /// By the names that starts share. Longer known than the records, since late ones come from starts before.
+    /// The records by the name of the start.
+    endpoints: BTreeMap<EndpointName, EndpointEntry>,
+    /// The newest start of each endpoint by its identity. Kept longer than the records, so that late records of earlier
+    /// starts are still recognised.
     newest: BTreeMap<EndpointName, NewestStart>,
 }
 
 impl EndpointRegistry {
-    /// Takes a record in. A record of an earlier start of the endpoint changes nothing, whenever it comes; one of a later
-    /// start takes the place of all before. Stages only move forward within a start, so that a late record can't take
-    /// a farewell back.
+    /// Merges a record. A record of an earlier start of the endpoint is always ignored; one of a later start replaces
+    /// all earlier ones. Within a start the stage only moves forward, so that a late record cannot undo a drain or a
+    /// deregistration.
     pub fn merge(&mut self, now: Moment, record: EndpointRecord) -> MergeOutcome {
         let newest = self.newest.get(&record.identity);
         if newest.is_some_and(|newest| record.incarnation < newest.incarnation) {
             return MergeOutcome::Stale;
         }
         let before = newest.filter(|newest| newest.name != record.name).map(|newest| newest.name.clone());
-        let start = NewestStart { name: record.name.clone(), incarnation: record.incarnation, heard: now };
+        let start =
+            NewestStart { name: record.name.clone(), incarnation: record.incarnation, last_seen: now };
         self.newest.insert(record.identity.clone(), start);
         let outcome = self.merge_start(now, record);
         match before {
@@ -90,81 +94,81 @@
         }
     }
 
-    /// Takes a record of the newest start in.
+    /// Merges a record of the newest start.
     fn merge_start(&mut self, now: Moment, record: EndpointRecord) -> MergeOutcome {
-        let Some(known) = self.endpoints.get_mut(&record.name) else {
-            self.endpoints.insert(record.name.clone(), KnownEndpoint::new(now, record));
+        let Some(entry) = self.endpoints.get_mut(&record.name) else {
+            self.endpoints.insert(record.name.clone(), EndpointEntry::new(now, record));
             return MergeOutcome::Changed;
         };
-        let older = record.sequence < known.record.sequence;
-        let backwards = record.stage < known.record.stage;
-        let sequence = record.sequence.max(known.record.sequence);
-        if backwards || (older && record.stage == known.record.stage) {
-            known.record.sequence = sequence;
+        let is_older = record.sequence < entry.record.sequence;
+        let goes_back = record.stage < entry.record.stage;
+        let sequence = record.sequence.max(entry.record.sequence);
+        if goes_back || (is_older && record.stage == entry.record.stage) {
+            entry.record.sequence = sequence;
             return MergeOutcome::Stale;
         }
         let cold_until = now + record.cold;
-        let differs = known.differs_in_warmth(now, cold_until);
-        known.cold_until = cold_until;
-        let record = EndpointRecord { sequence, cold: known.record.cold, ..record };
-        let same = EndpointRecord { sequence, ..known.record.clone() } == record && !differs;
-        known.record = record;
-        known.heard = known.heard.max(now);
-        if same {
+        let cold_differs = entry.cold_end_differs(now, cold_until);
+        entry.cold_until = cold_until;
+        let record = EndpointRecord { sequence, cold: entry.record.cold, ..record };
+        let is_same = EndpointRecord { sequence, ..entry.record.clone() } == record && !cold_differs;
+        entry.record = record;
+        entry.last_seen = entry.last_seen.max(now);
+        if is_same {
             MergeOutcome::Refreshed
         } else {
             MergeOutcome::Changed
         }
     }
 
-    /// Notes that an endpoint has left, by the name that its starts share; gives the name of the start that
-    /// was known, if any was.
+    /// Marks the newest start of an endpoint as left and returns its name, or `None` if no record of it is known.
     pub fn leave(&mut self, now: Moment, identity: &EndpointName) -> Option<EndpointName> {
         let name = self.newest.get(identity)?.name.clone();
-        let known = self.endpoints.get_mut(&name)?;
-        known.record.stage = EndpointStage::Left;
-        known.heard = now;
+        let entry = self.endpoints.get_mut(&name)?;
+        entry.record.stage = EndpointStage::Left;
+        entry.last_seen = now;
         Some(name)
     }
 
-    /// Forgets endpoints that were silent for longer than `life`; true when one went.
-    pub fn expire(&mut self, now: Moment, life: Duration) -> bool {
+    /// Removes endpoints that were not seen for longer than `max_silence`, or, if they left, for longer than
+    /// [`LEFT_RETENTION`]. Returns true if any was removed.
+    pub fn expire(&mut self, now: Moment, max_silence: Duration) -> bool {
         let before = self.endpoints.len();
-        self.newest.retain(|_, start| now.since(start.heard) <= LEFT_LIFE);
-        self.endpoints.retain(|_, known| {
-            let limit = if known.record.stage == EndpointStage::Left { LEFT_LIFE } else { life };
-            now.since(known.heard) <= limit
+        self.newest.retain(|_, start| now.since(start.last_seen) <= LEFT_RETENTION);
+        self.endpoints.retain(|_, entry| {
+            let limit = if entry.record.stage == EndpointStage::Left { LEFT_RETENTION } else { max_silence };
+            now.since(entry.last_seen) <= limit
         });
         self.endpoints.len() != before
     }
 
-    /// The record of the newest start of an endpoint, by the name that its starts share.
+    /// Returns the record of the newest start of an endpoint.
     pub fn newest(&self, identity: &EndpointName) -> Option<&EndpointRecord> {
         self.newest.get(identity).and_then(|start| self.get(&start.name))
     }
 
-    /// The record of a start of an endpoint.
+    /// Returns the record of a start of an endpoint by the name of the start.
     pub fn get(&self, name: &EndpointName) -> Option<&EndpointRecord> {
-        self.endpoints.get(name).map(|known| &known.record)
+        self.endpoints.get(name).map(|entry| &entry.record)
     }
 
-    /// Every record, also of endpoints that left, in name order.
+    /// Iterates over all records in name order, including those of endpoints that left.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
-        self.endpoints.values().map(|known| &known.record)
+        self.endpoints.values().map(|entry| &entry.record)
     }
 
-    /// How much longer an endpoint is cold; zero for one that is warm or not known.
+    /// Returns how much longer an endpoint is cold; zero if it is warm or unknown.
     pub fn cold_left(&self, now: Moment, name: &EndpointName) -> Duration {
-        self.endpoints.get(name).map_or(Duration::ZERO, |known| known.cold_until.since(now))
+        self.endpoints.get(name).map_or(Duration::ZERO, |entry| entry.cold_until.since(now))
     }
 
-    /// A record as it is to be told at this moment.
+    /// Returns the record with `cold` counted from now, as it is to be sent to others.
     pub fn with_cold_left(&self, now: Moment, record: &EndpointRecord) -> EndpointRecord {
         EndpointRecord { cold: self.cold_left(now, &record.name), ..record.clone() }
     }
 
-    /// How long ago an endpoint was heard.
+    /// Returns the time since the endpoint was last seen.
     pub fn age(&self, now: Moment, name: &EndpointName) -> Option<Duration> {
-        self.endpoints.get(name).map(|known| now.since(known.heard))
+        self.endpoints.get(name).map(|entry| now.since(entry.last_seen))
     }
 }
--- a/crates/micaspool-registry/tests/registry.rs
+++ b/crates/micaspool-registry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Records that come late, twice, or after a farewell.
+//! Records that arrive late, out of order, or after a restart or deregistration.
 
 use micaspool_registry::{EndpointRecord, EndpointRegistry, EndpointStage, MergeOutcome};
 use micaspool_types::{EndpointName, HallName, Incarnation, Moment, ServiceName};
@@ -25,9 +25,14 @@
 #[test_case(EndpointStage::Serving, 2, EndpointStage::Serving, 3 => MergeOutcome::Refreshed; "next record")]
 #[test_case(EndpointStage::Serving, 2, EndpointStage::Draining, 3 => MergeOutcome::Changed; "drain")]
 #[test_case(EndpointStage::Draining, 3, EndpointStage::Serving, 2 => MergeOutcome::Stale; "late serving after drain")]
-#[test_case(EndpointStage::Draining, 3, EndpointStage::Serving, 4 => MergeOutcome::Stale; "a drain is not taken back")]
-#[test_case(EndpointStage::Left, 0, EndpointStage::Serving, 9 => MergeOutcome::Stale; "a farewell is final")]
-fn a_second_record(first: EndpointStage, at: u64, second: EndpointStage, next: u64) -> MergeOutcome {
+#[test_case(EndpointStage::Draining, 3, EndpointStage::Serving, 4 => MergeOutcome::Stale; "a drain is final")]
+#[test_case(EndpointStage::Left, 0, EndpointStage::Serving, 9 => MergeOutcome::Stale; "a deregistration is final")]
+fn the_outcome_of_a_second_record_depends_on_stage_and_sequence(
+    first: EndpointStage,
+    at: u64,
+    second: EndpointStage,
+    next: u64,
+) -> MergeOutcome {
     let mut registry = EndpointRegistry::default();
     registry.merge(Moment(0), record(at, first));
     registry.merge(Moment(1), record(next, second))
@@ -52,7 +57,7 @@
 }
 
 #[test]
-fn a_silent_endpoint_is_forgotten_and_one_that_left_is_remembered() {
+fn a_silent_endpoint_is_removed_and_one_that_left_is_remembered() {
     let mut registry = EndpointRegistry::default();
     let name = record(1, EndpointStage::Serving).name;
     registry.merge(Moment(0), record(1, EndpointStage::Serving));
@@ -64,17 +69,17 @@
     assert_eq!(registry.merge(Moment(1), record(2, EndpointStage::Serving)), MergeOutcome::Stale);
 }
 
-/// A record of the endpoint's start `born`.
-fn started(born: u64, sequence: u64, stage: EndpointStage) -> EndpointRecord {
-    let name = EndpointName::parse(&format!("e-1.{born}")).expect("a name");
-    EndpointRecord { name, incarnation: Incarnation(born), ..record(sequence, stage) }
+/// A record of the start with this incarnation.
+fn started(incarnation: u64, sequence: u64, stage: EndpointStage) -> EndpointRecord {
+    let name = EndpointName::parse(&format!("e-1.{incarnation}")).expect("a name");
+    EndpointRecord { name, incarnation: Incarnation(incarnation), ..record(sequence, stage) }
 }
 
-/// An endpoint that starts again counts its records from one again, and what it said before it ended holds no more.
+/// A restarted endpoint counts its records from one again, and the records of its previous start no longer count.
 #[test_case(EndpointStage::Serving; "after a crash")]
 #[test_case(EndpointStage::Draining; "while it drained")]
 #[test_case(EndpointStage::Left; "after it left")]
-fn a_later_start_takes_the_place_of_the_one_before(before: EndpointStage) {
+fn a_later_start_replaces_the_previous_one(before: EndpointStage) {
     let mut registry = EndpointRegistry::default();
     registry.merge(Moment(0), started(100, 900, before));
     let again = started(200, 1, EndpointStage::Serving);
@@ -83,11 +88,12 @@
     assert!(registry.get(&started(100, 900, before).name).is_none());
 }
 
-/// Records that a cut held back come in after the endpoint has started again, also when it has ended once more.
+/// Records delayed by a network partition arrive after the endpoint has restarted, and again after its newest start was
+/// removed.
 #[test_case(EndpointStage::Serving)]
 #[test_case(EndpointStage::Draining)]
 #[test_case(EndpointStage::Left)]
-fn a_late_record_of_an_earlier_start_changes_nothing(late: EndpointStage) {
+fn a_late_record_of_an_earlier_start_is_ignored(late: EndpointStage) {
     let mut registry = EndpointRegistry::default();
     let newest = started(200, 1, EndpointStage::Serving);
     registry.merge(Moment(0), newest.clone());
@@ -99,16 +105,16 @@
     assert_eq!(registry.iter().count(), 0);
 }
 
-/// One that tells its starts is not ended by a record that does not, as from another writer.
+/// A record without an incarnation, such as one from another client, must not end an endpoint that reports its starts.
 #[test]
-fn a_record_without_a_start_is_older_than_any_with_one() {
+fn a_record_without_an_incarnation_is_older_than_any_with_one() {
     let mut registry = EndpointRegistry::default();
     registry.merge(Moment(0), started(200, 1, EndpointStage::Serving));
     assert_eq!(registry.merge(Moment(1), record(900, EndpointStage::Draining)), MergeOutcome::Stale);
 }
 
 #[test]
-fn a_farewell_ends_the_newest_start() {
+fn leaving_marks_the_newest_start() {
     let mut registry = EndpointRegistry::default();
     registry.merge(Moment(0), started(100, 9, EndpointStage::Serving));
     registry.merge(Moment(1), started(200, 1, EndpointStage::Serving));
@@ -120,16 +126,16 @@
 fn any_record() -> impl Strategy<Value = EndpointRecord> {
     let stages =
         prop_oneof![Just(EndpointStage::Serving), Just(EndpointStage::Draining), Just(EndpointStage::Left)];
-    (0_u64..4, 1_u64..6, stages).prop_map(|(born, sequence, stage)| match born {
+    (0_u64..4, 1_u64..6, stages).prop_map(|(incarnation, sequence, stage)| match incarnation {
         0 => record(sequence, stage),
-        _ => started(born, sequence, stage),
+        _ => started(incarnation, sequence, stage),
     })
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whichever keeper heard what first, all end with the same.
+    /// The result of merging the same records does not depend on the order in which they arrive.
     #[test]
     fn the_order_of_records_does_not_matter(
         (records, shuffled) in proptest::collection::vec(any_record(), 1..12)
@@ -150,13 +156,13 @@
     EndpointRecord { cold: Duration::from_millis(millis), ..record(sequence, EndpointStage::Serving) }
 }
 
-/// A heartbeat each second while an endpoint warms up tells nothing new: each says how much is left, and comes a little
-/// earlier or later than the one before.
-#[test_case(1_000, 2_000, MergeOutcome::Refreshed; "as was expected")]
-#[test_case(1_200, 2_000, MergeOutcome::Refreshed; "as was expected, a little late")]
+/// A cold endpoint sends a heartbeat each second with the remaining cold time. They arrive with jitter; only those that
+/// differ noticeably from what is expected may count as changes.
+#[test_case(1_000, 2_000, MergeOutcome::Refreshed; "as expected")]
+#[test_case(1_200, 2_000, MergeOutcome::Refreshed; "as expected, a little late")]
 #[test_case(1_000, 0, MergeOutcome::Changed; "warm much earlier")]
 #[test_case(1_000, 3_000, MergeOutcome::Changed; "cold again")]
-fn what_a_cold_endpoint_says_is_news_where_it_differs(after: u64, left: u64, expected: MergeOutcome) {
+fn a_changed_end_of_the_cold_phase_counts_as_a_change(after: u64, left: u64, expected: MergeOutcome) {
     let mut registry = EndpointRegistry::default();
     let start = Moment::from_millis(10_000);
     registry.merge(start, cold(1, 3_000));
@@ -165,9 +171,9 @@
     assert_eq!(registry.cold_left(later, &cold(1, 0).name), Duration::from_millis(left));
 }
 
-/// It ends by the clock of whoever heard it, without another word, and is told on as what is left.
+/// The cold phase ends by the receiver's clock without another record, and is passed on as the remaining time.
 #[test]
-fn an_endpoint_becomes_warm_by_itself() {
+fn the_cold_phase_ends_without_another_record() {
     let mut registry = EndpointRegistry::default();
     let start = Moment::from_millis(10_000);
     registry.merge(start, cold(1, 3_000));
@@ -175,13 +181,13 @@
     let left = |millis: u64| registry.cold_left(start + Duration::from_millis(millis), &name).as_millis();
     assert_eq!([left(0), left(1_000), left(2_999), left(3_000), left(9_000)], [3_000, 2_000, 1, 0, 0]);
     let known = registry.get(&name).expect("it was heard");
-    let told = registry.with_cold_left(start + Duration::from_millis(1_000), known);
-    assert_eq!(told.cold, Duration::from_millis(2_000));
+    let refreshed = registry.with_cold_left(start + Duration::from_millis(1_000), known);
+    assert_eq!(refreshed.cold, Duration::from_millis(2_000));
 }
 
-/// A record that was overtaken on its way says nothing of now.
+/// A record that was overtaken by a newer one must not change the cold phase.
 #[test]
-fn an_older_record_makes_nothing_cold() {
+fn an_older_record_does_not_change_the_cold_phase() {
     let mut registry = EndpointRegistry::default();
     let start = Moment::from_millis(10_000);
     registry.merge(start, cold(5, 0));
