--- a/crates/micaspool-routes/src/format.rs
+++ b/crates/micaspool-routes/src/format.rs
@@ -1,4 +1,4 @@
-//! Plans as text.
+//! Text formats of route plans.
 
 use crate::check::Error;
 use crate::plan::{PlanParts, RoutePlan};
@@ -6,31 +6,31 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A plan under the number that its operator gave it.
+/// A plan with the number that its operator assigned to it.
 #[derive(Clone, Debug, Default)]
 pub struct NumberedPlan {
-    /// The number; a higher one replaces a lower one. Zero means that none is known.
+    /// The number; a plan with a higher number replaces one with a lower number. Zero means that no plan is known.
     pub number: u64,
     /// The plan.
     pub plan: Arc<RoutePlan>,
 }
 
-/// Why a text is not a plan.
+/// The reason why a text could not be decoded as a plan.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum FormatError {
-    /// The text cannot be read whole; the message names the place.
+    /// The text could not be parsed; holds the reason, with the position where known.
     Malformed(String),
-    /// What it says contradicts itself.
-    Faulty(Error),
+    /// The plan was parsed but is invalid.
+    Invalid(Error),
 }
 
 impl fmt::Display for FormatError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FormatError::Malformed(place) => {
-                write!(f, "the plan cannot be read: {place}; correct it and send it again")
+            FormatError::Malformed(reason) => {
+                write!(f, "the plan cannot be read: {reason}; correct it and send it again")
             }
-            FormatError::Faulty(error) => error.fmt(f),
+            FormatError::Invalid(error) => error.fmt(f),
         }
     }
 }
@@ -39,17 +39,17 @@
 
 impl From<Error> for FormatError {
     fn from(error: Error) -> Self {
-        FormatError::Faulty(error)
+        FormatError::Invalid(error)
     }
 }
 
-/// A text form of plans.
+/// A text format of plans.
 pub trait PlanFormat: fmt::Debug + Send + Sync + 'static {
-    /// Reads and checks a plan.
+    /// Parses and validates a plan.
     fn decode(&self, text: &str) -> Result<NumberedPlan, FormatError>;
 }
 
-/// The product's own form: `{"number": N, "plan": {...}}` with the fields of [`PlanParts`].
+/// The product's own format: `{"number": N, "plan": {...}}` with the fields of [`PlanParts`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JsonFormat;
 
--- a/crates/micaspool-routes/src/plan.rs
+++ b/crates/micaspool-routes/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan and how it is searched.
+//! The route plan and its lookup tables.
 
 use crate::check::{check_parts, Error};
 use crate::split::ServiceShare;
@@ -8,139 +8,139 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a request of a route may run.
+/// Whether and how a request of a route may be sent again.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum RunRule {
-    /// It may be sent again after any failure.
+    /// The request may be sent again after any failure.
     Repeatable,
-    /// It runs at most once; it may be sent again only when it provably has not run.
+    /// The request runs at most once; it may be sent again only if it provably has not run.
     Once,
-    /// A stream of events that runs at most once.
+    /// The response is a stream of events; the request runs at most once.
     Stream,
-    /// A stream of events that another endpoint may continue after its last event.
+    /// The response is a stream of events that another endpoint may continue after the last event received.
     ResumableStream,
 }
 
 impl RunRule {
-    /// True when a request may be sent again although it may have run.
+    /// Returns true if a request may be sent again although it may have run.
     pub fn is_repeatable(self) -> bool {
         matches!(self, RunRule::Repeatable | RunRule::ResumableStream)
     }
 
-    /// True when the answer is a stream of events.
+    /// Returns true if the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RunRule::Stream | RunRule::ResumableStream)
     }
 }
 
-/// One route: a host, a path prefix, and what holds for the requests that match.
+/// One route: a host, a path prefix, and the rules for the requests that match them.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct RouteRule {
     /// The name of the route.
     pub name: Arc<str>,
     /// The host, compared without case and port.
     pub host: Arc<str>,
-    /// The beginning of the path; it begins and ends with a slash.
+    /// The path prefix, which begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// The services that share its requests.
+    /// The services that its requests are split over.
     pub shares: Vec<ServiceShare>,
-    /// How often a request may run.
+    /// Whether and how a request may be sent again.
     pub run: RunRule,
-    /// The longest time that a request may be held, in milliseconds.
+    /// The maximum time that a request may be held, in milliseconds.
     pub time_limit_ms: u64,
-    /// The time within which an answer is wanted, in milliseconds; to the first event of a stream.
+    /// The target latency of the response, or of the first event of a stream, in milliseconds.
     pub objective_ms: u64,
-    /// The most endpoints that one request may be sent to.
+    /// The maximum number of endpoints that one request may be sent to.
     pub attempts: u32,
-    /// The rank of its requests; lower is more urgent.
+    /// The priority of its requests; lower is more urgent.
     pub priority: u8,
-    /// True when no customer key is needed.
+    /// True if no customer key is needed.
     pub public: bool,
-    /// The longest pause between events that is wanted, in milliseconds; zero when none is set.
+    /// The target for the longest pause between two events of a stream, in milliseconds; zero if there is none.
     pub pause_ms: u64,
 }
 
 impl RouteRule {
-    /// The longest time that a request may be held.
+    /// Returns the maximum time that a request may be held.
     pub fn time_limit(&self) -> Duration {
         Duration::from_millis(self.time_limit_ms)
     }
 
-    /// The time within which an answer is wanted.
+    /// Returns the target latency of the response, or of the first event of a stream.
     pub fn objective(&self) -> Duration {
         Duration::from_millis(self.objective_ms)
     }
 }
 
-/// What a language model engine of a service can do; the same for each of its endpoints.
+/// The capacity of a language model engine; the same for every endpoint of a service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct EngineProfile {
-    /// How many requests it runs in a batch.
+    /// The number of requests that run in one batch.
     pub batch: u32,
-    /// The tokens that its memory holds, of running requests and kept prompt parts together.
+    /// The number of tokens that fit into its memory, for running requests and cached prompt prefixes together.
     pub memory_tokens: u64,
-    /// How many tokens one event of a stream holds.
+    /// The number of tokens in one event of a stream.
     pub event_tokens: u32,
 }
 
 /// One service: a set of endpoints that register under its name.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct ServiceRule {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceName,
     /// The path of the health check.
     pub health_path: Arc<str>,
-    /// The most connections that one of its endpoints takes from all callers.
+    /// The maximum number of connections that one endpoint accepts from all callers together.
     pub max_connections: u32,
-    /// Set for a language model.
+    /// Set if the service is a language model.
     pub engine: Option<EngineProfile>,
-    /// Set where endpoints bear few requests for a while after their start.
+    /// Set if endpoints can take only few requests for a while after they start.
     #[serde(default)]
     pub cold: Option<ColdProfile>,
 }
 
-/// What an endpoint bears while it is cold.
+/// The capacity of an endpoint while it is cold.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct ColdProfile {
-    /// For how long after its start it is cold, in milliseconds.
+    /// How long the endpoint is cold after its start, in milliseconds.
     pub start_ms: u64,
-    /// The time that each request needs, one after the other, in microseconds.
+    /// The processing time of each request, which run one after the other, in microseconds.
     pub request_us: u64,
 }
 
 impl ColdProfile {
-    /// For how long after its start an endpoint is cold.
+    /// Returns how long an endpoint is cold after its start.
     pub fn start(&self) -> Duration {
         Duration::from_millis(self.start_ms)
     }
 
-    /// The time that each request needs.
+    /// Returns the processing time of each request while the endpoint is cold.
     pub fn request_time(&self) -> Duration {
         Duration::from_micros(self.request_us)
     }
 }
 
-/// A customer and the keys that name it.
+/// A customer and the API keys that identify it.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct CustomerKeys {
-    /// The customer.
+    /// The name of the customer.
     pub name: CustomerName,
-    /// Its keys.
+    /// The API keys of the customer.
     pub keys: Vec<Arc<str>>,
-    /// The rank of its requests, before that of the route; lower is more urgent.
+    /// The priority of its requests, which is compared before that of the route; lower is more urgent.
     pub priority: u8,
 }
 
-/// What a caller may send, and how slowly.
+/// Limits on the size and slowness of what callers send.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub head_bytes: u64,
-    /// The largest body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// The longest time that a head may take, in milliseconds.
+    /// The maximum time for receiving a request head, in milliseconds.
     pub head_ms: u64,
-    /// The longest rest of a kept connection, in milliseconds.
+    /// The maximum idle time of a kept-alive connection, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -150,32 +150,33 @@
     }
 }
 
-/// What a plan is made from, not checked yet.
+/// The data that a plan is built from, not validated yet.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct PlanParts {
     /// The routes.
     pub routes: Vec<RouteRule>,
     /// The services.
     pub services: Vec<ServiceRule>,
-    /// The customers; without any, every route is public.
+    /// The customers; if there are none, every route is public.
     pub customers: Vec<CustomerKeys>,
     /// The limits for callers.
     pub limits: CallerLimits,
-    /// What all endpoints deliver together, in units of cost a second; zero when not known.
+    /// The throughput of all endpoints together, in units of cost per second; zero if unknown.
     pub capacity: u64,
 }
 
-/// A checked plan.
+/// A validated plan.
 #[derive(Clone, Debug, Default)]
 pub struct RoutePlan {
     parts: PlanParts,
-    /// For each host in lower case its routes, the longest prefix first.
+    /// The indices of the routes by host in lower case, ordered by prefix length, longest first.
     hosts: HashMap<Box<str>, Vec<usize>>,
+    /// The indices of the customers by key.
     keys: HashMap<Arc<str>, usize>,
 }
 
 impl RoutePlan {
-    /// Checks the parts and builds the search tables.
+    /// Validates the parts and builds the lookup tables.
     pub fn build(parts: PlanParts) -> Result<RoutePlan, Error> {
         check_parts(&parts)?;
         let mut hosts: HashMap<Box<str>, Vec<usize>> = HashMap::new();
@@ -192,34 +193,34 @@
         Ok(RoutePlan { parts, hosts, keys })
     }
 
-    /// The route of a request: the longest prefix among those of its host.
+    /// Returns the route of a request: the one of its host with the longest prefix that matches the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let routes = self.hosts.get(&host_key(host))?.iter();
         routes.map(|index| &self.parts.routes[*index]).find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// The customer that holds a key.
+    /// Returns the customer that holds a key.
     pub fn customer_of_key(&self, key: &str) -> Option<&CustomerKeys> {
         self.keys.get(key).map(|index| &self.parts.customers[*index])
     }
 
-    /// True when routes that are not public need a key.
+    /// Returns true if requests to routes that are not public need a key.
     pub fn has_customers(&self) -> bool {
         !self.parts.customers.is_empty()
     }
 
-    /// The service with this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&ServiceRule> {
         self.parts.services.iter().find(|service| service.name.as_str() == name)
     }
 
-    /// What the plan was made from.
+    /// Returns the data that the plan was built from.
     pub fn parts(&self) -> &PlanParts {
         &self.parts
     }
 }
 
-/// A host without its port, in lower case.
+/// Returns a host without its port, in lower case.
 fn host_key(host: &str) -> Box<str> {
     let name = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
     name.map_or(host, |(name, _)| name).to_ascii_lowercase().into_boxed_str()
--- a/crates/micaspool-routes/src/split.rs
+++ b/crates/micaspool-routes/src/split.rs
@@ -1,4 +1,4 @@
-//! Splitting a route's requests over services by weight.
+//! Weighted split of a route's requests over services.
 
 use crate::plan::RouteRule;
 use micaspool_types::{stable_hash, ServiceName};
@@ -7,23 +7,24 @@
 /// A service and its share of a route's requests.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct ServiceShare {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceName,
-    /// Its share relative to the others of the route.
+    /// Its weight relative to the other services of the route.
     pub weight: u32,
 }
 
 impl RouteRule {
-    /// The service of a request, the same for the same text in every process.
+    /// Returns the service for a request id, or `None` if all weights are zero. The choice is deterministic, so that
+    /// every process makes the same one.
     pub fn choose_service(&self, request: &str) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
-        let mut place = stable_hash(request.bytes()).rotate_left(32) % total.max(1);
+        let mut offset = stable_hash(request.bytes()).rotate_left(32) % total.max(1);
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if place < weight {
+            if offset < weight {
                 return Some(&share.service);
             }
-            place -= weight;
+            offset -= weight;
         }
         None
     }
--- a/crates/micaspool-routes/tests/plan.rs
+++ b/crates/micaspool-routes/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Checks, search and shares of a plan.
+//! Validation, lookup and weighted split of a plan.
 
 use micaspool_routes::{
     CallerLimits, CustomerKeys, Error, FormatError, JsonFormat, PlanFormat, PlanParts, RoutePlan, RouteRule,
@@ -50,35 +50,35 @@
 }
 
 #[test_case("h.example", "/a/b/c" => Some("long".to_owned()); "longest prefix")]
-#[test_case("H.Example:80", "/a/c" => Some("short".to_owned()); "host without case and port")]
+#[test_case("H.Example:80", "/a/c" => Some("short".to_owned()); "the host is compared without case and port")]
 #[test_case("h.example", "/a" => None; "a prefix ends with a slash")]
 #[test_case("other.example", "/a/b" => None; "another host")]
-fn a_route_is_found(host: &str, path: &str) -> Option<String> {
+fn requests_match_the_longest_prefix_of_their_host(host: &str, path: &str) -> Option<String> {
     let plan = RoutePlan::build(parts()).expect("a valid plan");
     plan.find(host, path).map(|route| route.name.to_string())
 }
 
 #[test]
-fn faults_are_named() {
-    let fault = |change: &dyn Fn(&mut PlanParts)| {
+fn invalid_plans_are_rejected() {
+    let error_of = |change: &dyn Fn(&mut PlanParts)| {
         let mut parts = parts();
         change(&mut parts);
-        RoutePlan::build(parts).expect_err("a fault")
+        RoutePlan::build(parts).expect_err("an invalid plan")
     };
-    let same = fault(&|parts| parts.routes[1].prefix = "/a/".into());
-    assert_eq!(same, Error::SamePlace { route: "long".into() });
-    let limit = fault(&|parts| parts.routes[0].time_limit_ms = 0);
-    assert_eq!(limit, Error::NoTimeLimit { route: "short".into() });
-    let weight = fault(&|parts| parts.routes[0].shares[0].weight = 0);
-    assert_eq!(weight, Error::NoWeight { route: "short".into() });
-    let unknown = fault(&|parts| parts.routes[0].shares[0].service = service("x"));
+    let duplicate_route = error_of(&|parts| parts.routes[1].prefix = "/a/".into());
+    assert_eq!(duplicate_route, Error::DuplicateRoute { route: "long".into() });
+    let zero_limit = error_of(&|parts| parts.routes[0].time_limit_ms = 0);
+    assert_eq!(zero_limit, Error::ZeroTimeLimit { route: "short".into() });
+    let zero_weight = error_of(&|parts| parts.routes[0].shares[0].weight = 0);
+    assert_eq!(zero_weight, Error::ZeroWeight { route: "short".into() });
+    let unknown = error_of(&|parts| parts.routes[0].shares[0].service = service("x"));
     assert_eq!(unknown, Error::UnknownService { route: "short".into(), service: "x".into() });
-    let shared = fault(&|parts| parts.customers[1].keys.push("k1".into()));
-    assert_eq!(shared, Error::SharedKey { customer: "c2".into() });
+    let duplicate_key = error_of(&|parts| parts.customers[1].keys.push("k1".into()));
+    assert_eq!(duplicate_key, Error::DuplicateKey { customer: "c2".into() });
 }
 
 #[test]
-fn a_split_follows_the_weights() {
+fn requests_are_split_by_weight() {
     let mut rule = route("r", "h", "/");
     rule.shares = vec![
         ServiceShare { service: service("s"), weight: 90 },
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_text_that_is_cut_short_is_malformed() {
+fn a_truncated_text_is_malformed() {
     let result = JsonFormat.decode("{\"number\": 3, \"plan\": {\"routes\": [");
     assert!(matches!(result, Err(FormatError::Malformed(_))));
 }
