--- a/crates/micaspool-registry/src/registry.rs
+++ b/crates/micaspool-registry/src/registry.rs
@@ -131,7 +131,7 @@
     }
 
     /// Removes endpoints that were not seen for longer than `max_silence`, or, if they left, for longer than
-    /// [`LEFT_RETENTION`]. Returns true if any was removed.
+    /// `LEFT_RETENTION`. Returns true if any was removed.
     pub fn expire(&mut self, now: Moment, max_silence: Duration) -> bool {
         let before = self.endpoints.len();
         self.newest.retain(|_, start| now.since(start.last_seen) <= LEFT_RETENTION);
