--- a/crates/micaspool-clock/src/lib.rs
+++ b/crates/micaspool-clock/src/lib.rs
@@ -1,11 +1,10 @@
-//! The clock by which leases, lives, deadlines and ages are reckoned.
+//! The clock for leases, lifetimes, deadlines and ages.
 //!
-//! * [`BootInstant`] is a moment on the system's clock since boot, which also counts while the machine is suspended;
-//!   [`std::time::Instant`] does not, so that a process that wakes would take all that it believed for as young as
-//!   before,
-//! * [`SuspensionWatch`] tells from the difference of the two clocks that the machine was suspended, and for how long.
+//! * [`BootInstant`] is an instant of the system's boot-time clock, which also advances while the machine is suspended.
+//!   [`std::time::Instant`] does not, so that after a resume a process would consider its state as fresh as before,
+//! * [`SuspensionWatch`] detects from the difference of the two clocks that the machine was suspended, and for how long.
 //!
-//! Neither clock ever steps back, and neither follows the time of day.
+//! Neither clock ever steps back or follows the wall clock.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-clock/src/suspension.rs
+++ b/crates/micaspool-clock/src/suspension.rs
@@ -1,53 +1,55 @@
-//! Noticing that the machine was suspended.
+//! Detection of machine suspension.
 
-use crate::instant::{steady_now, BootInstant};
+use crate::instant::{monotonic_now, BootInstant};
 use std::time::Duration;
 
-/// A difference between the two clocks that is taken for a suspension. They are read one after the other, some
-/// 100 ns apart; a process that is stopped in between reads the steady clock twice.
-const THRESHOLD: Duration = Duration::from_millis(50);
-/// How far apart the two readings of the steady clock may lie for the pair to be of use.
-const CLOSE: Duration = Duration::from_millis(10);
+/// The smallest growth of the difference between the two clocks that counts as a suspension. The clocks are read one
+/// after the other, about 100 ns apart. That the process is stopped in between is detected by reading the monotonic
+/// clock twice.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(50);
+/// The maximum time between the two readings of the monotonic clock for the pair to be usable.
+const MAX_READING_GAP: Duration = Duration::from_millis(10);
 
-/// Both clocks at one moment.
+/// Readings of both clocks at the same moment.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ClockPair {
-    /// The time since boot, with all suspensions.
+    /// The time since boot, including suspensions.
     pub boot: Duration,
-    /// The time that the machine ran.
-    pub steady: Duration,
+    /// The time since boot, excluding suspensions.
+    pub monotonic: Duration,
 }
 
 impl ClockPair {
-    /// Both clocks now; `None` when the process was held up between the readings.
+    /// Reads both clocks. Returns `None` if the process was delayed between the readings.
     pub fn read() -> Option<ClockPair> {
-        let before = steady_now();
+        let before = monotonic_now();
         let boot = BootInstant::now().since_boot();
-        let steady = steady_now();
-        (steady.saturating_sub(before) <= CLOSE).then_some(ClockPair { boot, steady })
+        let monotonic = monotonic_now();
+        (monotonic.saturating_sub(before) <= MAX_READING_GAP).then_some(ClockPair { boot, monotonic })
     }
 
     fn suspended(&self) -> Duration {
-        self.boot.saturating_sub(self.steady)
+        self.boot.saturating_sub(self.monotonic)
     }
 }
 
-/// Tells suspensions from readings of both clocks.
+/// Detects suspensions from successive readings of both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionWatch {
     last: ClockPair,
 }
 
 impl SuspensionWatch {
-    /// A watch that begins with this reading; suspensions before it don't count.
+    /// Creates a watch that reports suspensions after the given reading.
     pub fn new(first: ClockPair) -> SuspensionWatch {
         SuspensionWatch { last: first }
     }
 
-    /// How long the machine was suspended since the last reading; `None` when it was not.
+    /// Returns how long the machine was suspended since the last reported suspension, or since the first reading.
+    /// Returns `None` while that is below `SUSPENSION_THRESHOLD`, so that short suspensions add up.
     pub fn observe(&mut self, now: ClockPair) -> Option<Duration> {
         let length = now.suspended().saturating_sub(self.last.suspended());
-        if length < THRESHOLD {
+        if length < SUSPENSION_THRESHOLD {
             return None;
         }
         self.last = now;
