--- a/crates/micaspool-registry/tests/registry.rs
+++ b/crates/micaspool-registry/tests/registry.rs
@@ -69,10 +69,10 @@
     assert_eq!(registry.merge(Moment(1), record(2, EndpointStage::Serving)), MergeOutcome::Stale);
 }
 
-/// A record of the start with this incarnation.
-fn started(incarnation: u64, sequence: u64, stage: EndpointStage) -> EndpointRecord {
-    let name = EndpointName::parse(&format!("e-1.{incarnation}")).expect("a name");
-    EndpointRecord { name, incarnation: Incarnation(incarnation), ..record(sequence, stage) }
+/// A record of the start with this incarnation number.
+fn started(number: u64, sequence: u64, stage: EndpointStage) -> EndpointRecord {
+    let name = EndpointName::parse(&format!("e-1.{number}")).expect("a name");
+    EndpointRecord { name, incarnation: Incarnation(number), ..record(sequence, stage) }
 }
 
 /// A restarted endpoint counts its records from one again, and the records of its previous start no longer count.
