--- a/crates/micaspool-quarantine/src/table.rs
+++ b/crates/micaspool-quarantine/src/table.rs
@@ -211,13 +211,13 @@
         }
         self.endpoints.entry(crash.endpoint.clone()).or_default().insert(digest);
         let new_entry = || RequestEntry { customer: customer.clone(), crashes: Vec::new() };
-        let entry = self.requests.entry(digest).or_insert_with(new_entry);
-        match entry.crashes.iter_mut().find(|other| other.is_same_crash(&crash)) {
+        let request = self.requests.entry(digest).or_insert_with(new_entry);
+        match request.crashes.iter_mut().find(|other| other.is_same_crash(&crash)) {
             Some(same) => same.at = same.at.max(crash.at),
-            None => entry.crashes.push(crash),
+            None => request.crashes.push(crash),
         }
-        entry.crashes.sort_by_key(|crash| crash.at);
-        if entry.crashes.len() > 1 {
+        request.crashes.sort_by_key(|crash| crash.at);
+        if request.crashes.len() > 1 {
             self.repeated.insert(digest);
         }
         TableChange { digest, customer: customer.clone(), before, after: self.standing(now, digest) }
