--- a/crates/micaspool-types/src/advice.rs
+++ b/crates/micaspool-types/src/advice.rs
@@ -1,29 +1,29 @@
-//! What endpoints say of themselves in the heads of their answers, and how processes pass it on.
+//! Advice that endpoints give in response heads, and the form in which processes pass it on.
 
 use crate::EndpointName;
 use std::time::Duration;
 
-/// What the head of an endpoint's answer says beside the answer itself.
+/// Advice from an endpoint to those that send requests to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointAdvice {
-    /// It wants nothing more from whoever asked for so long; zero when it does not say.
+    /// How long the sender should not send anything to the endpoint; zero if not given.
     pub rest: Duration,
-    /// It is about to end and takes nothing new; final for this start of the endpoint.
+    /// True if the endpoint is about to stop and accepts no new requests; final for this start of the endpoint.
     pub leaving: bool,
 }
 
 impl EndpointAdvice {
-    /// True when nothing was said.
+    /// Returns true if no advice was given.
     pub fn is_empty(&self) -> bool {
         *self == EndpointAdvice::default()
     }
 }
 
-/// What one process has been told by an endpoint and keeps to.
+/// Advice that one process got from an endpoint and follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdviceRecord {
-    /// The start of the endpoint that said so.
+    /// The name of the start of the endpoint that gave the advice.
     pub endpoint: EndpointName,
-    /// What is left of it.
+    /// The advice, with the remaining rest.
     pub advice: EndpointAdvice,
 }
--- a/crates/micaspool-types/src/digest.rs
+++ b/crates/micaspool-types/src/digest.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, whoever carries it and however often it comes.
+//! Digests that identify equal requests across retries and processes.
 
 use crate::names::CustomerName;
 use serde::{Deserialize, Serialize};
@@ -7,13 +7,14 @@
 /// The number of hexadecimal digits in a printed [`RequestDigest`].
 const DIGEST_DIGITS: usize = 32;
 
-/// Identifies what is asked for: the same customer, method, target and body have the same digest, at any router and
-/// in any process. 128 bits of a cryptographic hash, so that no customer can make a request that has the digest of
-/// another's. Headers are left out: a repeat has another id and another deadline, and endpoints read the same body.
+/// Identifies the content of a request: the same customer, method, target and body have the same digest at any router
+/// and in any process. It consists of 128 bits of a cryptographic hash, so that no customer can forge a request with
+/// the digest of another customer's. Headers are excluded, because a retry has another id and another deadline, but the
+/// endpoint reads the same body.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestDigest(pub u128);
 
-/// Why a text is not a digest.
+/// The reason why a text is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DigestError {
     /// The text does not consist of 32 hexadecimal digits.
@@ -29,18 +30,18 @@
 impl std::error::Error for DigestError {}
 
 impl RequestDigest {
-    /// The digest of a request; `target` is its path with its query. A body of 17 KB takes 10 us, one of 1 MB 285 us
-    /// (bench `digest`).
+    /// Computes the digest of a request; `target` is its path with the query. A body of 17 KB takes 10 us, one of 1 MB
+    /// 285 us (bench `digest`).
     pub fn of(customer: &CustomerName, method: &str, target: &str, body: &[u8]) -> RequestDigest {
         let mut hasher = blake3::Hasher::new();
         for part in [customer.as_str().as_bytes(), method.as_bytes(), target.as_bytes(), body] {
-            // The length keeps parts apart: else "a" + "bc" would be "ab" + "c".
+            // Length prefixes separate the parts: otherwise "a" + "bc" and "ab" + "c" would have the same digest.
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
-        let mut first = [0; 16];
-        hasher.finalize_xof().fill(&mut first);
-        RequestDigest(u128::from_be_bytes(first))
+        let mut prefix = [0; 16];
+        hasher.finalize_xof().fill(&mut prefix);
+        RequestDigest(u128::from_be_bytes(prefix))
     }
 
     /// Parses the 32 hexadecimal digits that `Display` prints.
--- a/crates/micaspool-types/src/ids.rs
+++ b/crates/micaspool-types/src/ids.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u128);
 
-/// Why a text is not a request id.
+/// The reason why a text is not a request id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestIdError {
     /// The text does not consist of 32 hexadecimal digits.
@@ -48,11 +48,11 @@
     }
 }
 
-/// The position of a ticket in the arrival order of its shard. Later arrivals have higher numbers.
+/// The position of a ticket in the arrival order of its shard; later arrivals have higher numbers.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Debug)]
 pub struct OrderNumber(pub u64);
 
-/// The number of accepted changes to the settings tree; it only grows.
+/// The revision of the settings tree: the number of accepted changes, which only grows.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Debug)]
 pub struct Revision(pub u64);
 
@@ -62,10 +62,11 @@
     }
 }
 
-/// An election period of the keepers; at most one leader exists in each.
+/// An election term of the keepers; there is at most one leader in each.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Debug)]
 pub struct Term(pub u64);
 
-/// A random number that tells one life of a process, or of a data folder, from the next.
+/// Distinguishes one start of a process or endpoint, or one data folder, from the next. Random, except for endpoints,
+/// where later starts have higher numbers and zero means that starts are not distinguished.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Debug)]
 pub struct Incarnation(pub u64);
--- a/crates/micaspool-types/src/lib.rs
+++ b/crates/micaspool-types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Names, identifiers, units and the refusal kinds that every crate of the workspace shares.
+//! Names, identifiers, units and refusal kinds shared by all crates of the workspace.
 //!
 //! Nothing here performs I/O or reads a clock.
 #![deny(missing_docs, rust_2018_idioms)]
--- a/crates/micaspool-types/src/refusal.rs
+++ b/crates/micaspool-types/src/refusal.rs
@@ -1,10 +1,10 @@
-//! What a caller is told when its request gets no answer from an endpoint.
+//! Refusals: the responses to requests that get no response from an endpoint.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
 
-/// Whether a refused request may have had an effect.
+/// Whether a refused request may have run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum RunState {
     /// No byte of the request reached an endpoint.
@@ -14,7 +14,7 @@
 }
 
 impl RunState {
-    /// The value of the `micaspool-run` header and body field.
+    /// Returns the value of the `micaspool-run` header and of the `run` field in the body.
     pub fn as_str(self) -> &'static str {
         match self {
             RunState::NotRun => "not-run",
@@ -28,11 +28,11 @@
 pub enum RefusalKind {
     /// The request is not well-formed HTTP.
     MalformedRequest,
-    /// The request head is larger than the router reads.
+    /// The request head is larger than the limit.
     HeadTooLarge,
     /// The request head or body did not arrive in time.
     SlowRequest,
-    /// The body is not the JSON that the service needs.
+    /// The body is not the JSON that the service requires.
     MalformedBody,
     /// The body is larger than the customer's limit.
     BodyTooLarge,
@@ -42,52 +42,53 @@
     UnknownService,
     /// The customer's settings allow no data hall for this service.
     PlacementForbidden,
-    /// The settings name no endpoint in an allowed data hall that takes work.
+    /// No endpoint in an allowed data hall accepts requests.
     NoEndpoint,
     /// The customer has as many waiting requests as its limits allow.
     CustomerBacklogFull,
-    /// The router or shard holds as much waiting work as it may.
+    /// The router or shard has reached its limit of waiting work.
     FleetBacklogFull,
-    /// The service has more work than it can begin in time.
+    /// The service has more work than it can start in time.
     Overloaded,
-    /// The service takes so little of what the customer asks for that the router refused it itself.
+    /// The dispatcher refuses so many of the customer's requests that the router refused this one itself.
     Throttled,
-    /// Endpoints ended while what it asks for ran there, so that it is not run again for a while.
+    /// Endpoints crashed while running the same request, so that it is not run again for a while.
     Quarantined,
-    /// An endpoint ended while what it asks for ran there; it runs once at a time until that is settled.
+    /// An endpoint crashed while running the same request; until the request is cleared, only one copy of it may run at
+    /// a time.
     CopyRunning,
-    /// Every endpoint that may run it has asked to be left alone for longer than it can wait.
+    /// Every endpoint that may run the request is resting for longer than the request can wait.
     EndpointsRest,
-    /// Every endpoint that may run it is in a data hall that an operator has evacuated.
+    /// Every endpoint that may run the request is in a data hall that an operator has evacuated.
     HallsEvacuated,
     /// The deadline passed while the request waited.
     DeadlinePassed,
-    /// Retries are spent, or the retry budget is.
+    /// The attempts of the request or the retry budget are used up.
     RetriesExhausted,
     /// No dispatcher can be reached.
     NoDispatcher,
     /// No settings have been received yet.
     NoSettings,
-    /// The keepers that record claims cannot be reached or have no majority.
+    /// The keepers that record claims cannot be reached, have no majority, or hold the maximum number of keys.
     NoLedger,
     /// The endpoint failed after the request was sent.
     EndpointFailed,
     /// A request with the same idempotency key is running.
     KeyRunning,
-    /// A request with the same idempotency key may have run; its outcome was lost.
+    /// A request with the same idempotency key may have run, but its outcome was lost.
     KeyOutcomeUnknown,
-    /// The idempotency key was used before with another body.
+    /// The idempotency key was used before for a request with another method, path or body.
     KeyReused,
-    /// The request with this key ran, and its answer was too large or too old to be kept.
+    /// The request with this key ran, but its answer was too large or too old to be kept.
     KeyAnswerDropped,
     /// The router is stopping.
     Draining,
-    /// The router has as many open connections as it takes.
+    /// The router has reached its limit of open connections.
     TooManyConnections,
 }
 
 impl RefusalKind {
-    /// The HTTP status of the refusal.
+    /// Returns the HTTP status of the kind, without regard to the run state; see [`RefusalKind::status_for`].
     pub fn status(self) -> u16 {
         use RefusalKind::*;
         match self {
@@ -110,8 +111,8 @@
         }
     }
 
-    /// The HTTP status of a refusal with this run state. One that may have run never gets a status
-    /// that callers take for a promise that it has not.
+    /// Returns the HTTP status of a refusal with this run state. A request that may have run never
+    /// gets a status from which callers conclude that it has not run.
     pub fn status_for(self, run: RunState) -> u16 {
         match (run, self.status()) {
             (RunState::Unknown, 408 | 421 | 429 | 503) => 502,
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The value of the `kind` field in the answer.
+    /// Returns the value of the `kind` field in the response body.
     pub fn as_str(self) -> &'static str {
         use RefusalKind::*;
         match self {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// What the caller, or its operator, can do about it.
+    /// Returns what the caller or the operator can do about the refusal.
     pub fn remedy(self) -> &'static str {
         use RefusalKind::*;
         match self {
@@ -198,29 +199,29 @@
     }
 }
 
-/// A refusal with what the caller needs to act on it.
+/// A refusal of a request.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Refusal {
     /// Why the request was refused.
     pub kind: RefusalKind,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub run: RunState,
-    /// When coming back may help; `None` where it does not.
+    /// The time after which a retry may succeed; `None` if a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of a request of which no byte reached an endpoint.
+    /// Creates a refusal of a request of which no byte reached an endpoint.
     pub fn not_run(kind: RefusalKind) -> Refusal {
         Refusal { kind, run: RunState::NotRun, retry_after: None }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn unknown(kind: RefusalKind) -> Refusal {
         Refusal { kind, run: RunState::Unknown, retry_after: None }
     }
 
-    /// The same refusal with a time after which to come back.
+    /// Sets the time after which a retry may succeed.
     pub fn after(mut self, wait: Duration) -> Refusal {
         self.retry_after = Some(wait);
         self
--- a/crates/micaspool-types/tests/digest.rs
+++ b/crates/micaspool-types/tests/digest.rs
@@ -1,4 +1,4 @@
-//! What counts as the same request.
+//! Which requests have the same digest, and parsing of digests.
 
 use micaspool_types::{CustomerName, DigestError, RequestDigest};
 use test_case::test_case;
@@ -9,22 +9,22 @@
 }
 
 #[test]
-fn what_is_asked_for_again_has_the_same_digest() {
+fn equal_requests_have_the_same_digest() {
     assert_eq!(digest("coop", "POST", "/a/b?c", "body"), digest("coop", "POST", "/a/b?c", "body"));
 }
 
 #[test_case(digest("other", "POST", "/a/b?c", "body"); "another customer")]
 #[test_case(digest("coop", "GET", "/a/b?c", "body"); "another method")]
 #[test_case(digest("coop", "POST", "/a/b?d", "body"); "another query")]
-#[test_case(digest("coop", "POST", "/a/b", "?cbody"); "a part that moved into the next")]
+#[test_case(digest("coop", "POST", "/a/b", "?cbody"); "bytes moved from the target to the body")]
 #[test_case(digest("coop", "POST", "/a/b?c", "body "); "another body")]
 #[test_case(digest("coop", "POST", "/a/b?c", ""); "no body")]
-fn what_is_not_the_same_has_another(other: RequestDigest) {
+fn different_requests_have_different_digests(other: RequestDigest) {
     assert_ne!(digest("coop", "POST", "/a/b?c", "body"), other);
 }
 
 #[test]
-fn a_digest_is_read_as_it_is_printed() {
+fn a_printed_digest_can_be_parsed() {
     let digest = digest("coop", "POST", "/", "x");
     assert_eq!(RequestDigest::parse(&digest.to_string()), Ok(digest));
 }
@@ -32,7 +32,7 @@
 #[test_case(""; "empty")]
 #[test_case("0123456789abcdef0123456789abcde"; "too short")]
 #[test_case("+123456789abcdef0123456789abcdef"; "a sign")]
-fn other_texts_are_refused_with_a_remedy(text: &str) {
+fn invalid_texts_are_rejected_with_a_remedy(text: &str) {
     assert_eq!(RequestDigest::parse(text), Err(DigestError::Malformed));
     assert!(DigestError::Malformed.to_string().contains("copy it whole"));
 }
