--- a/crates/micaspool-settings/src/apply/change.rs
+++ b/crates/micaspool-settings/src/apply/change.rs
@@ -1,4 +1,4 @@
-//! Changes, updates and the reasons to reject a change.
+//! Changes, updates, and the errors for rejected changes.
 
 use crate::document::{join_faults, SettingsFault};
 use micaspool_types::Revision;
@@ -6,16 +6,16 @@
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// A change that an operator asks for.
+/// A change of the settings tree, as submitted by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsChange {
-    /// Chosen by the operator; a resend has the same one.
+    /// The id chosen by the operator; a resend has the same id.
     pub id: String,
-    /// Who asks.
+    /// The operator who submitted the change.
     pub operator: String,
-    /// The revision that the operator read.
+    /// The revision that the change is based on.
     pub base: Revision,
-    /// A JSON Merge Patch for the tree.
+    /// The JSON Merge Patch to apply to the tree.
     pub patch: String,
 }
 
@@ -24,7 +24,7 @@
 pub struct ChangeDigest([u8; 32]);
 
 impl ChangeDigest {
-    /// The digest of a change's content: its base and its patch.
+    /// Computes the digest of a change.
     pub fn of(change: &SettingsChange) -> ChangeDigest {
         let mut hasher = Sha256::new();
         hasher.update(change.base.0.to_be_bytes());
@@ -33,29 +33,29 @@
     }
 }
 
-/// A change that was accepted.
+/// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedChange {
     /// The id of the change.
     pub id: String,
-    /// Who asked.
+    /// The operator who submitted the change.
     pub operator: String,
     /// The revision before the change.
     pub base: Revision,
-    /// The content in short.
+    /// The digest of base and patch, by which resends are recognised.
     pub digest: ChangeDigest,
-    /// The patch as it was sent.
+    /// The patch as it was submitted.
     pub patch: String,
 }
 
 impl AcceptedChange {
-    /// The revision that the change made.
+    /// Returns the revision that the change created.
     pub fn revision(&self) -> Revision {
         Revision(self.base.0 + 1)
     }
 }
 
-/// What moves a watcher to a newer revision.
+/// An update that brings a watcher to a newer revision: either a patch or the whole tree.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsUpdate {
     /// The revision that a patch applies to; unused for a whole tree.
@@ -78,28 +78,28 @@
     }
 }
 
-/// Why a change was not accepted; the tree is as it was.
+/// The reason why a change was rejected. The tree is unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Error {
-    /// Another change was accepted on the same base.
+    /// The base of the change is not the newest revision.
     Conflict {
-        /// The revision that the rejected change was made on.
+        /// The revision that the rejected change was based on.
         base: Revision,
         /// The newest revision.
         newest: Revision,
-        /// The id and operator of the change that was accepted on that base, if still remembered.
+        /// The id and operator of the change that was accepted on that base, if it is still remembered.
         winner: Option<(String, String)>,
     },
-    /// A change with the same id and other content was accepted before.
+    /// A change with the same id but different content was accepted before.
     IdTaken {
-        /// The operator whose change has the id.
+        /// The operator who submitted the accepted change.
         winner: String,
-        /// The revision that it made.
+        /// The revision that the accepted change created.
         revision: Revision,
     },
-    /// The patch is not JSON.
+    /// The patch is not valid JSON; holds the parser's message.
     Malformed(String),
-    /// The resulting tree has faults.
+    /// The resulting tree is invalid.
     #[serde(skip)]
     Invalid(Vec<SettingsFault>),
 }
@@ -120,9 +120,9 @@
                 f,
                 "conflict: {winner} used this change id with other content for revision {revision}; choose a new id"
             ),
-            Error::Malformed(reason) => write!(f, "the patch is not JSON ({reason}); mend it and send it again"),
+            Error::Malformed(reason) => write!(f, "the patch is not valid JSON ({reason}); correct it and send it again"),
             Error::Invalid(faults) => {
-                write!(f, "the tree would have faults; mend them and send the change again:\n{}", join_faults(faults))
+                write!(f, "the change would make the tree invalid; correct it and send it again:\n{}", join_faults(faults))
             }
         }
     }
--- a/crates/micaspool-settings/src/apply/mod.rs
+++ b/crates/micaspool-settings/src/apply/mod.rs
@@ -1,8 +1,8 @@
-//! The state machine of the settings tree: which changes are accepted, and what a resend gets.
+//! The replicated state machine of the settings tree, which accepts or rejects changes and recognises resends.
 //!
-//! A change names the revision that its operator read. It is accepted only when that revision is
-//! still the newest and the resulting tree has no fault. A resend with the same id and content
-//! gets the first outcome again, within a window of [`REMEMBERED_CHANGES`] changes.
+//! A change names the revision that it is based on. It is accepted only if that revision is
+//! still the newest and the resulting tree is valid. A resend with the same id and content
+//! gets the outcome of the first submission, within a window of [`REMEMBERED_CHANGES`] changes.
 
 mod change;
 
@@ -15,12 +15,12 @@
 use serde_json::Value;
 use std::collections::VecDeque;
 
-/// How many accepted changes are kept, to answer resends and to send deltas.
+/// The number of accepted changes that are kept to answer resends and to send patches to watchers.
 pub const REMEMBERED_CHANGES: usize = 2_048;
-/// A watcher that is further behind than this many revisions gets the whole tree.
-const SNAPSHOT_DISTANCE: u64 = 128;
+/// The maximum number of patches sent to a watcher that is behind; beyond it, the watcher gets the whole tree.
+const MAX_PATCHES: u64 = 128;
 
-/// The settings tree with its revision and its newest changes.
+/// The settings tree with its revision and its latest changes.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct SettingsState {
     revision: Revision,
@@ -29,48 +29,49 @@
 }
 
 impl SettingsState {
-    /// The number of accepted changes.
+    /// Returns the current revision, which is the number of accepted changes.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The tree as JSON; an empty object before the first change.
+    /// Returns the tree as JSON; an empty object before the first change.
     pub fn tree(&self) -> Value {
         serde_json::from_str(&self.tree).unwrap_or_else(|_| Value::Object(Default::default()))
     }
 
-    /// The accepted changes that are still remembered, oldest first.
+    /// Iterates over the accepted changes that are still remembered, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &AcceptedChange> {
         self.changes.iter()
     }
 
-    /// Checks what a change would make of the tree. A change on another base than the newest
-    /// passes: [`SettingsState::accept`] rejects it.
+    /// Checks whether a change would leave the tree valid. A change on any base but the newest revision
+    /// passes this check: [`SettingsState::accept`] rejects it.
     pub fn check(&self, change: &SettingsChange) -> Result<(), Error> {
         if change.base != self.revision {
             return Ok(());
         }
-        let tree = self.patched(change)?;
+        let tree = self.apply_patch(change)?;
         compile_tree(Revision(self.revision.0 + 1), &tree).map(|_| ()).map_err(Error::Invalid)
     }
 
-    /// Accepts or rejects a change that was checked; a resend gets the outcome of its first
-    /// arrival. Checking stays outside, so that keepers of different versions never differ.
+    /// Accepts or rejects a change that was checked before with [`SettingsState::check`]. A resend gets the outcome of
+    /// the first submission. The check is not part of this transition, so that keepers of different versions, whose
+    /// checks may differ, never reach different states.
     pub fn accept(&mut self, change: &SettingsChange) -> Result<Revision, Error> {
-        if let Some(outcome) = self.earlier_outcome(change) {
+        if let Some(outcome) = self.find_earlier_outcome(change) {
             return outcome;
         }
         if change.base != self.revision {
-            return Err(self.conflict(change));
+            return Err(self.conflict_error(change));
         }
-        let tree = self.patched(change)?;
+        let tree = self.apply_patch(change)?;
         self.tree = tree.to_string();
         self.revision = Revision(self.revision.0 + 1);
-        self.remember(change);
+        self.push_history(change);
         Ok(self.revision)
     }
 
-    fn patched(&self, change: &SettingsChange) -> Result<Value, Error> {
+    fn apply_patch(&self, change: &SettingsChange) -> Result<Value, Error> {
         let patch: Value =
             serde_json::from_str(&change.patch).map_err(|error| Error::Malformed(error.to_string()))?;
         let mut tree = self.tree();
@@ -78,26 +79,26 @@
         Ok(tree)
     }
 
-    /// What a watcher needs that holds `from`: the patches after it, or the whole tree when they
-    /// are no longer remembered. Empty when there is nothing newer.
+    /// Returns the updates for a watcher at revision `from`: the patches after it, or the whole tree if these
+    /// are no longer remembered or too many. Empty if there is nothing newer.
     pub fn updates_since(&self, from: Revision) -> Vec<SettingsUpdate> {
         if from >= self.revision {
             return Vec::new();
         }
         let oldest = self.changes.front().map_or(self.revision, |change| change.base);
-        if from < oldest || self.revision.0 - from.0 > SNAPSHOT_DISTANCE {
+        if from < oldest || self.revision.0 - from.0 > MAX_PATCHES {
             return vec![self.snapshot()];
         }
         let newer = self.changes.iter().filter(|change| change.base >= from);
         newer.map(|change| SettingsUpdate::patch(change.base, change.revision(), &change.patch)).collect()
     }
 
-    /// The whole tree as an update.
+    /// Returns the whole tree as an update.
     pub fn snapshot(&self) -> SettingsUpdate {
         SettingsUpdate::tree(self.revision, &self.tree)
     }
 
-    fn earlier_outcome(&self, change: &SettingsChange) -> Option<Result<Revision, Error>> {
+    fn find_earlier_outcome(&self, change: &SettingsChange) -> Option<Result<Revision, Error>> {
         let earlier = self.changes.iter().rev().find(|earlier| earlier.id == change.id)?;
         if earlier.digest == ChangeDigest::of(change) {
             return Some(Ok(earlier.revision()));
@@ -105,7 +106,7 @@
         Some(Err(Error::IdTaken { winner: earlier.operator.clone(), revision: earlier.revision() }))
     }
 
-    fn conflict(&self, change: &SettingsChange) -> Error {
+    fn conflict_error(&self, change: &SettingsChange) -> Error {
         let winner = self.changes.iter().find(|accepted| accepted.base == change.base);
         Error::Conflict {
             base: change.base,
@@ -114,7 +115,7 @@
         }
     }
 
-    fn remember(&mut self, change: &SettingsChange) {
+    fn push_history(&mut self, change: &SettingsChange) {
         self.changes.push_back(AcceptedChange {
             id: change.id.clone(),
             operator: change.operator.clone(),
--- a/crates/micaspool-settings/src/document.rs
+++ b/crates/micaspool-settings/src/document.rs
@@ -1,4 +1,4 @@
-//! Reading JSON while collecting every fault with its path and remedy.
+//! Reading of JSON documents that collects all faults, each with its path and remedy.
 
 use serde_json::{Map, Value};
 use std::fmt;
@@ -6,9 +6,9 @@
 /// One fault in a JSON document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Where the fault is, as keys joined by dots; `.` is the document itself.
+    /// The path of the faulty value as keys joined by dots; `.` is the document itself.
     pub path: String,
-    /// What is wrong and how to mend it.
+    /// How to correct the fault.
     pub remedy: String,
 }
 
@@ -18,13 +18,13 @@
     }
 }
 
-/// Joins faults into one text, a line each.
+/// Joins faults into one text with one line each.
 pub fn join_faults(faults: &[SettingsFault]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
-/// A value inside a document together with its path.
+/// A value in a document together with its path.
 #[derive(Clone, Copy, Debug)]
 pub struct DocumentNode<'a> {
     value: &'a Value,
@@ -44,7 +44,7 @@
         self.faults.push(SettingsFault { path: node.path(), remedy: remedy.into() });
     }
 
-    /// Gives the value when there is no fault, else every fault.
+    /// Returns the value if there are no faults, otherwise all faults.
     pub fn finish<T>(self, value: T) -> Result<T, Vec<SettingsFault>> {
         if self.faults.is_empty() {
             Ok(value)
@@ -55,12 +55,12 @@
 }
 
 impl<'a> DocumentNode<'a> {
-    /// The node of a whole document.
+    /// Creates the root node of a document.
     pub fn root(value: &'a Value) -> Self {
         DocumentNode { value, parent: None, key: "" }
     }
 
-    /// The keys from the document to this node, joined by dots.
+    /// Returns the keys from the root to this node, joined by dots.
     pub fn path(&self) -> String {
         match self.parent {
             None if self.key.is_empty() => ".".to_owned(),
@@ -70,17 +70,17 @@
         }
     }
 
-    /// The last key of the path.
+    /// Returns the last key of the path.
     pub fn key(&self) -> &'a str {
         self.key
     }
 
-    /// The JSON value at this node.
+    /// Returns the JSON value at this node.
     pub fn value(&self) -> &'a Value {
         self.value
     }
 
-    /// The members of an object that has no keys besides `known`; a fault for each other key.
+    /// Returns the members of an object and adds a fault for each key that is not in `known`.
     pub fn object(&self, known: &[&str], faults: &mut FaultList) -> Option<&'a Map<String, Value>> {
         let members = self.members(faults)?;
         for key in members.keys().filter(|key| !known.contains(&key.as_str())) {
@@ -89,7 +89,7 @@
         Some(members)
     }
 
-    /// The members of an object with any keys.
+    /// Returns the members of an object with arbitrary keys.
     pub fn members(&self, faults: &mut FaultList) -> Option<&'a Map<String, Value>> {
         let members = self.value.as_object();
         if members.is_none() {
@@ -98,13 +98,13 @@
         members
     }
 
-    /// The member with this key, when the node is an object that has it and it is not null.
+    /// Returns the member with this key if the node is an object that has it and it is not null.
     pub fn child<'b>(&'b self, key: &'b str) -> Option<DocumentNode<'b>> {
         let value = self.value.as_object()?.get(key)?;
         (!value.is_null()).then_some(DocumentNode { value, parent: Some(self), key })
     }
 
-    /// The member with this key; a fault when it is missing.
+    /// Returns the member with this key, or adds a fault if it is missing.
     pub fn required<'b>(&'b self, key: &'b str, faults: &mut FaultList) -> Option<DocumentNode<'b>> {
         let child = self.child(key);
         if child.is_none() {
@@ -113,7 +113,7 @@
         child
     }
 
-    /// The node as text.
+    /// Returns the node as a string.
     pub fn text(&self, faults: &mut FaultList) -> Option<&'a str> {
         let text = self.value.as_str();
         if text.is_none() {
@@ -122,7 +122,7 @@
         text
     }
 
-    /// The node as a whole number within a range.
+    /// Returns the node as an integer from `low` to `high`, both inclusive.
     pub fn number(&self, low: u64, high: u64, faults: &mut FaultList) -> Option<u64> {
         let number = self.value.as_u64().filter(|number| (low..=high).contains(number));
         if number.is_none() {
@@ -131,7 +131,7 @@
         number
     }
 
-    /// The node as true or false.
+    /// Returns the node as a boolean.
     pub fn boolean(&self, faults: &mut FaultList) -> Option<bool> {
         let value = self.value.as_bool();
         if value.is_none() {
@@ -140,7 +140,7 @@
         value
     }
 
-    /// The node as an array of texts.
+    /// Returns the node as an array of strings.
     pub fn texts(&self, faults: &mut FaultList) -> Option<Vec<&'a str>> {
         let items: Option<Vec<&'a str>> =
             self.value.as_array().and_then(|items| items.iter().map(Value::as_str).collect());
@@ -150,7 +150,7 @@
         items
     }
 
-    /// The node as a value that `parse` reads from text.
+    /// Returns the node as a value that `parse` reads from a string.
     pub fn parsed<T, E: fmt::Display>(
         &self,
         parse: impl Fn(&str) -> Result<T, E>,
--- a/crates/micaspool-settings/src/lib.rs
+++ b/crates/micaspool-settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! The settings tree: checks, inheritance and changes, and the settings file of a process.
+//! The settings tree with its validation, inheritance and changes, and the settings file of a process.
 //!
-//! * [`document`] reads JSON and collects every fault with its path and remedy,
-//! * [`policy`] turns a tree into the checked form that routers and dispatchers use,
-//! * [`apply`] is the state machine that accepts or rejects changes,
+//! * [`document`] reads JSON and collects all faults, each with its path and remedy,
+//! * [`policy`] compiles a tree into the validated form that routers and dispatchers use,
+//! * [`apply`] is the replicated state machine that accepts or rejects changes,
 //! * [`process`] reads the settings file of one process,
-//! * [`merge`] and [`diff`] combine and compare trees.
+//! * [`merge`] patches a tree, and [`diff`] compares two trees.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-settings/src/merge.rs
+++ b/crates/micaspool-settings/src/merge.rs
@@ -1,8 +1,8 @@
-//! Combining a tree with a patch (JSON Merge Patch, RFC 7396).
+//! JSON Merge Patch (RFC 7396).
 
 use serde_json::{Map, Value};
 
-/// Changes `target` as `patch` says: objects merge, null removes, anything else replaces.
+/// Applies `patch` to `target`: objects are merged, null removes a member, and any other value replaces the old one.
 pub fn merge_patch(target: &mut Value, patch: &Value) {
     let Value::Object(changes) = patch else {
         *target = patch.clone();
--- a/crates/micaspool-settings/src/policy/compile.rs
+++ b/crates/micaspool-settings/src/policy/compile.rs
@@ -1,4 +1,4 @@
-//! From a JSON tree to a [`FleetPolicy`], with every fault reported at once.
+//! Compilation of a JSON tree into a [`FleetPolicy`], which reports all faults at once.
 
 use super::layer::PolicyLayer;
 use super::{
@@ -29,7 +29,7 @@
 const DEFAULT_SILENCE_LIMIT: Duration = Duration::from_secs(60);
 const DEFAULT_PRIORITY: u8 = 5;
 
-/// Checks a tree and gives its policy, or every fault with its path and remedy.
+/// Validates a tree and returns its policy, or all faults, each with its path and remedy.
 pub fn compile_tree(revision: Revision, tree: &Value) -> Result<FleetPolicy, Vec<SettingsFault>> {
     let mut faults = FaultList::default();
     let root = DocumentNode::root(tree);
@@ -84,7 +84,7 @@
 }
 
 /// Calls `visit` for each member of the object under `key`, in key order.
-fn for_members(
+fn visit_members(
     node: &DocumentNode<'_>,
     key: &str,
     faults: &mut FaultList,
@@ -116,7 +116,7 @@
 
 fn read_hall_list(root: &DocumentNode<'_>, faults: &mut FaultList) -> Vec<HallPolicy> {
     let mut halls = Vec::new();
-    for_members(root, "halls", faults, |node, faults| {
+    visit_members(root, "halls", faults, |node, faults| {
         node.object(HALL_FIELDS, faults);
         let name = read_name(node, HallName::parse, faults);
         let region =
@@ -134,7 +134,7 @@
 
 fn read_services(root: &DocumentNode<'_>, halls: &[HallPolicy], faults: &mut FaultList) -> Vec<ServiceDraft> {
     let mut services = Vec::new();
-    for_members(root, "services", faults, |node, faults| {
+    visit_members(root, "services", faults, |node, faults| {
         node.object(SERVICE_FIELDS, faults);
         let layer = read_layer(node, "policy", halls, faults);
         if let Some(policy) = read_service(node, halls, faults) {
@@ -157,7 +157,7 @@
         faults.add(node, "add 'path_prefix', which a plain service needs, such as \"/rutas/\"");
     }
     let mut endpoints = Vec::new();
-    for_members(node, "endpoints", faults, |child, faults| {
+    visit_members(node, "endpoints", faults, |child, faults| {
         endpoints.extend(read_endpoint(child, halls, faults));
     });
     endpoints.sort_by(|a, b| a.name.cmp(&b.name));
@@ -231,10 +231,10 @@
 ) {
     let halls = policy.halls.clone();
     let customers = &mut policy.customers;
-    for_members(root, "groups", faults, |group, faults| {
+    visit_members(root, "groups", faults, |group, faults| {
         group.object(GROUP_FIELDS, faults);
         let group_layer = read_layer(group, "policy", &halls, faults);
-        for_members(group, "customers", faults, |node, faults| {
+        visit_members(group, "customers", faults, |node, faults| {
             node.object(CUSTOMER_FIELDS, faults);
             let customer_layer = read_layer(node, "policy", &halls, faults);
             let own_layers = read_own_layers(node, services, &halls, faults);
@@ -261,7 +261,7 @@
     faults: &mut FaultList,
 ) -> Vec<PolicyLayer> {
     let mut layers = vec![PolicyLayer::default(); services.len()];
-    for_members(node, "services", faults, |child, faults| {
+    visit_members(node, "services", faults, |child, faults| {
         let found = services.iter().position(|service| service.policy.name.as_str() == child.key());
         match found {
             Some(index) => layers[index] = PolicyLayer::read(child, halls, faults),
@@ -286,7 +286,7 @@
 fn index_customers(policy: &mut FleetPolicy, root: &DocumentNode<'_>, faults: &mut FaultList) {
     for (index, customer) in policy.customers.iter().enumerate() {
         if policy.names.insert(customer.name.clone(), index).is_some() {
-            faults.add(root, format!("give the customer {} in one group only", customer.name));
+            faults.add(root, format!("list the customer {} in one group only", customer.name));
         }
         for key in &customer.keys {
             if policy.keys.insert(*key, index).is_some() {
--- a/crates/micaspool-settings/src/policy/effective.rs
+++ b/crates/micaspool-settings/src/policy/effective.rs
@@ -1,34 +1,33 @@
-//! Each value that holds for a customer and a service, with the level that it came from.
+//! The effective policy values for a customer and a service, each with the level that sets it.
 
 use super::LAYER_FIELDS;
 use serde_json::Value;
 
-/// One value in force and where it was set.
+/// One effective policy value and the level that sets it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EffectiveValue {
-    /// The field of the policy layer.
+    /// The name of the policy field.
     pub field: &'static str,
-    /// The value; `None` when the built-in default holds.
+    /// The value; `None` if the built-in default applies.
     pub value: Option<Value>,
-    /// The path of the level that set the value, or `built-in`.
+    /// The path of the level that sets the value, or `built-in`.
     pub level: String,
 }
 
-/// The values that hold for a customer and a service, one for each policy field.
-///
-/// Returns `None` when the tree has no such customer or service.
+/// Returns the effective values for a customer and a service, one for each policy field, or `None` if the tree has no
+/// such customer or service.
 pub fn effective_values(tree: &Value, customer: &str, service: &str) -> Option<Vec<EffectiveValue>> {
     let levels = level_paths(tree, customer, service)?;
     let values = LAYER_FIELDS.iter().map(|field| effective_value(tree, &levels, field));
     Some(values.collect())
 }
 
-/// The paths of the policy layers, the strongest last.
+/// Returns the paths of the policy layers in ascending order of precedence.
 fn level_paths(tree: &Value, customer: &str, service: &str) -> Option<Vec<Vec<String>>> {
     tree.get("services")?.get(service)?;
     let groups = tree.get("groups")?.as_object()?;
-    let holds = |group: &Value| group.get("customers").and_then(|all| all.get(customer)).is_some();
-    let (group, _) = groups.iter().find(|(_, group)| holds(group))?;
+    let has_customer = |group: &Value| group.get("customers").and_then(|all| all.get(customer)).is_some();
+    let (group, _) = groups.iter().find(|(_, group)| has_customer(group))?;
     let path = |keys: &[&str]| keys.iter().map(|key| (*key).to_owned()).collect::<Vec<String>>();
     Some(vec![
         path(&["policy"]),
--- a/crates/micaspool-settings/src/policy/layer.rs
+++ b/crates/micaspool-settings/src/policy/layer.rs
@@ -1,11 +1,11 @@
-//! One layer of policy values, each of which may be absent.
+//! Policy layers: sets of optional policy values.
 
 use super::{HallPolicy, RequestPolicy};
 use crate::document::{DocumentNode, FaultList};
 use micaspool_types::{HallMask, Weight};
 use std::time::Duration;
 
-/// The keys that a policy layer may have.
+/// The keys allowed in a policy layer.
 pub const LAYER_FIELDS: &[&str] = &[
     "weight",
     "halls",
@@ -24,7 +24,7 @@
 const MAX_LIMIT_MILLIS: u64 = 24 * 3_600 * 1_000;
 const MAX_PRIORITY: u64 = 9;
 
-/// The values that one level of the tree overrides; absent ones are inherited.
+/// The policy values that one level of the tree overrides; absent values are inherited.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PolicyLayer {
     weight: Option<Weight>,
@@ -39,7 +39,7 @@
 }
 
 impl PolicyLayer {
-    /// Reads a layer; every fault goes to `faults`.
+    /// Reads a layer and adds its faults to `faults`.
     pub fn read(node: &DocumentNode<'_>, halls: &[HallPolicy], faults: &mut FaultList) -> PolicyLayer {
         node.object(LAYER_FIELDS, faults);
         let number = |key: &str, low: u64, high: u64, faults: &mut FaultList| {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Overrides the values of `policy` that this layer names.
+    /// Overrides the values of `policy` that this layer sets.
     pub fn apply_to(&self, policy: &mut RequestPolicy) {
         replace(&mut policy.weight, self.weight);
         replace(&mut policy.halls, self.halls);
@@ -81,21 +81,21 @@
     }
 }
 
-/// Reads a list of hall or region names; `*` stands for every hall.
+/// Reads a list of hall or region names, in which `*` matches every hall.
 fn read_halls(node: &DocumentNode<'_>, halls: &[HallPolicy], faults: &mut FaultList) -> Option<HallMask> {
     let mut mask = HallMask::EMPTY;
     for name in node.texts(faults)? {
-        let named =
+        let is_match =
             |hall: &HallPolicy| name == "*" || hall.name.as_str() == name || hall.region.as_str() == name;
-        let matching = halls.iter().enumerate().filter(|(_, hall)| named(hall));
-        let found = matching.fold(HallMask::EMPTY, |sum, (index, _)| sum.union(HallMask::single(index)));
-        if found.is_empty() {
+        let matching = halls.iter().enumerate().filter(|(_, hall)| is_match(hall));
+        let matched = matching.fold(HallMask::EMPTY, |sum, (index, _)| sum.union(HallMask::single(index)));
+        if matched.is_empty() {
             faults.add(
                 node,
                 format!("replace {name:?} by a data hall or region that 'halls' lists, or by \"*\""),
             );
         }
-        mask = mask.union(found);
+        mask = mask.union(matched);
     }
     Some(mask)
 }
--- a/crates/micaspool-settings/src/policy/mod.rs
+++ b/crates/micaspool-settings/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! The checked form of a settings tree.
+//! The validated form of a settings tree.
 //!
-//! A tree has four kinds of policy layer. For one customer and one service they apply in this
-//! order, each overriding only what it names: fleet (`policy`), service (`services.S.policy`),
+//! A tree has five kinds of policy layer. For one customer and one service they apply in this
+//! order, each overriding only the values that it sets: fleet (`policy`), service (`services.S.policy`),
 //! group (`groups.G.policy`), customer (`groups.G.customers.C.policy`), and the customer's own
 //! layer for the service (`groups.G.customers.C.services.S`).
 
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A data hall and the region that it is in.
+/// A data hall and its region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HallPolicy {
     /// The name of the hall.
@@ -48,18 +48,18 @@
     pub name: EndpointName,
     /// The index of its data hall.
     pub hall: usize,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// True when operators have taken it out of use.
+    /// True if an operator has taken it out of use.
     pub leaving: bool,
 }
 
-/// A method and path prefix whose calls may not be repeated.
+/// A method and path prefix whose calls must run at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OnceRule {
-    /// The HTTP method in capitals.
+    /// The HTTP method in upper case.
     pub method: String,
     /// The path prefix.
     pub path: String,
@@ -68,40 +68,40 @@
 /// One service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServicePolicy {
-    /// The name of the service; for a model also the value of `model`.
+    /// The name of the service; for a model also the value of the `model` field in requests.
     pub name: ServiceName,
-    /// How callers reach it.
+    /// How callers reach the service.
     pub kind: ServiceKind,
     /// The path prefix of a plain service.
     pub path_prefix: Option<String>,
-    /// Calls that may not be repeated.
+    /// The calls that must run at most once.
     pub once: Vec<OnceRule>,
     /// The endpoints in name order.
     pub endpoints: Vec<EndpointPolicy>,
-    /// The data halls that have an endpoint of this service.
+    /// The data halls that contain an endpoint of this service.
     pub halls: HallMask,
 }
 
-/// What holds for one customer's requests to one service.
+/// The policy for the requests of one customer to one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestPolicy {
-    /// The customer's share.
+    /// The weight of the customer's share.
     pub weight: Weight,
-    /// The data halls in which its requests may run.
+    /// The data halls in which the requests may run.
     pub halls: HallMask,
-    /// The most requests of the customer that may wait in the shard.
+    /// The maximum number of the customer's requests that may wait in the shard.
     pub max_waiting: u32,
-    /// The most request bytes of the customer that may wait in one router.
+    /// The maximum number of request bytes of the customer that may wait in one router.
     pub max_waiting_bytes: u64,
-    /// The largest request body in bytes.
+    /// The maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// How long a request may wait for an endpoint.
+    /// The maximum time that a request may wait for an endpoint.
     pub wait_limit: Duration,
-    /// How long an endpoint may be silent while it answers.
+    /// The maximum time that an endpoint may send nothing during a response.
     pub silence_limit: Duration,
-    /// The priority of its requests among its own; lower runs first.
+    /// The priority among the requests of the customer; lower runs first.
     pub priority: u8,
-    /// False when no request may be repeated.
+    /// False if no request may be repeated.
     pub repeatable: bool,
 }
 
@@ -112,16 +112,16 @@
     pub name: CustomerName,
     /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// What holds for each service, by the service's index.
+    /// The policy for each service, by the index of the service.
     pub services: Vec<RequestPolicy>,
 }
 
-/// A whole settings tree in checked form.
+/// A whole settings tree in validated form.
 #[derive(Debug, Clone, Default)]
 pub struct FleetPolicy {
-    /// The revision that the tree has.
+    /// The revision of the tree.
     pub revision: Revision,
-    /// The data halls; an index into this list is the bit in a [`HallMask`].
+    /// The data halls; an index into this list is the number of the bit in a [`HallMask`].
     pub halls: Vec<HallPolicy>,
     /// The services in name order.
     pub services: Vec<ServicePolicy>,
@@ -132,7 +132,7 @@
 }
 
 impl FleetPolicy {
-    /// The index of the customer that has this key.
+    /// Returns the index of the customer that holds this key.
     pub fn customer_of_key(&self, key: &str) -> Option<usize> {
         let digest = KeyDigest::of(key);
         let index = *self.keys.get(&digest)?;
@@ -140,17 +140,17 @@
         stored.iter().any(|candidate| candidate.matches(&digest)).then_some(index)
     }
 
-    /// The index of the customer with this name.
+    /// Returns the index of the customer with this name.
     pub fn customer_index(&self, name: &CustomerName) -> Option<usize> {
         self.names.get(name).copied()
     }
 
-    /// The index of the service with this name.
+    /// Returns the index of the service with this name.
     pub fn service_index(&self, name: &str) -> Option<usize> {
         self.services.binary_search_by(|service| service.name.as_str().cmp(name)).ok()
     }
 
-    /// The index of the plain service with the longest prefix of this path.
+    /// Returns the index of the service with the longest prefix that matches this path.
     pub fn service_of_path(&self, path: &str) -> Option<usize> {
         let matching = self.services.iter().enumerate().filter_map(|(index, service)| {
             let prefix = service.path_prefix.as_deref()?;
@@ -159,16 +159,16 @@
         matching.max().map(|(_, index)| index)
     }
 
-    /// The index of the data hall with this name.
+    /// Returns the index of the data hall with this name.
     pub fn hall_index(&self, name: &str) -> Option<usize> {
         self.halls.iter().position(|hall| hall.name.as_str() == name)
     }
 
-    /// The policy for a customer and a service, both given by index.
+    /// Returns the policy for a customer and a service, both given by index.
     pub fn request_policy(&self, customer: usize, service: usize) -> &RequestPolicy {
         &self.customers[customer].services[service]
     }
 }
 
-/// A policy that many tasks read.
+/// A policy shared by many tasks.
 pub type SharedPolicy = Arc<FleetPolicy>;
--- a/crates/micaspool-settings/src/process.rs
+++ b/crates/micaspool-settings/src/process.rs
@@ -26,76 +26,76 @@
 ];
 const PEER_FIELDS: &[&str] = &["name", "hall", "address"];
 
-/// The most threads that may run a process's tasks.
+/// The maximum number of worker threads of a process.
 const MAX_THREADS: u64 = 64;
 
-/// A process of another instance.
+/// A process of another instance and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerAddress {
     /// The name of its instance.
     pub name: InstanceName,
-    /// Where it listens for other processes.
+    /// The address on which it listens for other processes.
     pub address: SocketAddr,
 }
 
-/// The role of a process, which decides which settings it needs.
+/// The role of a process, which determines the settings that it needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessRole {
-    /// Serves callers.
+    /// Accepts requests of callers and sends them to endpoints.
     Router,
-    /// Orders waiting work.
+    /// Decides which waiting request runs at which endpoint.
     Dispatcher,
-    /// Keeps durable state.
+    /// Stores durable state as a member of the replicated log.
     Keeper,
 }
 
 /// The settings of one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessSettings {
-    /// The name of the instance.
+    /// The name of the instance that the process runs on.
     pub instance: InstanceName,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: HallName,
-    /// Its region.
+    /// The region of the instance.
     pub region: RegionName,
-    /// Where a router listens for callers.
+    /// The address on which a router listens for callers.
     pub callers: SocketAddr,
-    /// Where a dispatcher or keeper listens for other processes.
+    /// The address on which a dispatcher or keeper listens for other processes.
     pub wire: SocketAddr,
-    /// Where metrics and health are served.
+    /// The address on which metrics and health are served.
     pub status: SocketAddr,
-    /// The folder of a keeper's files.
+    /// The directory of a keeper's files.
     pub data_folder: PathBuf,
-    /// Every keeper, this one included.
+    /// All keepers, including this process if it is one.
     pub keepers: Vec<PeerAddress>,
-    /// Every dispatcher of the region.
+    /// All dispatchers of the region.
     pub dispatchers: Vec<PeerAddress>,
-    /// Dispatchers of other regions, with whose shards totals are exchanged.
+    /// The dispatchers of other regions, with whose shards totals are exchanged.
     pub remote_dispatchers: Vec<PeerAddress>,
-    /// Where the platform's list of instances is served, if anywhere.
+    /// The address at which the platform serves its list of instances, if it does.
     pub instance_list: Option<SocketAddr>,
-    /// The log file; standard error when absent.
+    /// The log file; standard error if absent.
     pub log_file: Option<PathBuf>,
     /// The log level: error, warn, info, debug or trace.
     pub log_level: String,
-    /// The file of spans; none are written when absent.
+    /// The file that spans are written to; no spans are written if absent.
     pub trace_file: Option<PathBuf>,
-    /// How many threads run its tasks. One does most work for its processor time; more serve an
-    /// instance on which one core is not enough.
+    /// The number of worker threads. One thread does the most work per unit of processor time; more are for
+    /// instances on which one core is not enough.
     pub worker_threads: usize,
 }
 
-/// Reads and checks a settings file for a role; every fault is reported at once.
+/// Reads and validates the settings file of a process with this role. Reports all faults at once.
 pub fn read_file(path: &Path, role: ProcessRole) -> Result<ProcessSettings, Vec<SettingsFault>> {
-    let whole = |remedy: String| vec![SettingsFault { path: ".".to_owned(), remedy }];
+    let file_fault = |remedy: String| vec![SettingsFault { path: ".".to_owned(), remedy }];
     let text = std::fs::read_to_string(path)
-        .map_err(|error| whole(format!("make the file {} readable ({error})", path.display())))?;
-    let value =
-        serde_json::from_str(&text).map_err(|error| whole(format!("write the file as JSON ({error})")))?;
+        .map_err(|error| file_fault(format!("make the file {} readable ({error})", path.display())))?;
+    let value = serde_json::from_str(&text)
+        .map_err(|error| file_fault(format!("make the file valid JSON ({error})")))?;
     read_value(&value, role)
 }
 
-/// Checks settings that are already JSON.
+/// Validates settings that are already parsed as JSON.
 pub fn read_value(value: &Value, role: ProcessRole) -> Result<ProcessSettings, Vec<SettingsFault>> {
     let mut faults = FaultList::default();
     let root = DocumentNode::root(value);
@@ -163,14 +163,14 @@
 fn read_listener(
     root: &DocumentNode<'_>,
     key: &str,
-    needed: bool,
+    is_required: bool,
     faults: &mut FaultList,
 ) -> Option<SocketAddr> {
-    if needed {
+    if is_required {
         return root.required(key, faults).and_then(|node| node.parsed(parse_address, faults));
     }
-    let unused = SocketAddr::from(([127, 0, 0, 1], 0));
-    Some(read_optional_address(root, key, faults).unwrap_or(unused))
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 0));
+    Some(read_optional_address(root, key, faults).unwrap_or(unused_address))
 }
 
 fn read_optional_address(root: &DocumentNode<'_>, key: &str, faults: &mut FaultList) -> Option<SocketAddr> {
@@ -192,10 +192,10 @@
 fn read_peers(
     root: &DocumentNode<'_>,
     key: &str,
-    needed: bool,
+    is_required: bool,
     faults: &mut FaultList,
 ) -> Option<Vec<PeerAddress>> {
-    if !needed && root.child(key).is_none() {
+    if !is_required && root.child(key).is_none() {
         return Some(Vec::new());
     }
     let node = root.required(key, faults)?;
@@ -221,7 +221,7 @@
             faults.add(&node, format!("entry {before}, {}: {}", fault.path, fault.remedy));
         }
     }
-    if needed && items.is_empty() {
+    if is_required && items.is_empty() {
         faults.add(&node, "list at least one process");
     }
     Some(peers)
--- a/crates/micaspool-settings/tests/tree.rs
+++ b/crates/micaspool-settings/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Inheritance, faults and changes of the settings tree.
+//! Validation, inheritance and changes of settings trees, and validation of process files.
 
 use micaspool_settings::apply::{Error, SettingsChange, SettingsState, REMEMBERED_CHANGES};
 use micaspool_settings::diff::diff_trees;
@@ -19,14 +19,14 @@
 }
 
 fn faults(tree: &Value) -> Vec<SettingsFault> {
-    compile_tree(Revision(1), tree).expect_err("it has faults")
+    compile_tree(Revision(1), tree).expect_err("the input has faults")
 }
 
 #[test_case(MILK; "milk")]
 #[test_case(KILNS; "kilns")]
-fn the_examples_have_no_fault_and_sixteen_customers(text: &str) {
+fn the_example_trees_are_valid_and_have_sixteen_customers(text: &str) {
     let tree = serde_json::from_str(text).expect("the example is JSON");
-    let policy = compile_tree(Revision(1), &tree).expect("no fault");
+    let policy = compile_tree(Revision(1), &tree).expect("the tree is valid");
     assert_eq!((policy.customers.len(), policy.halls.len(), policy.services.len()), (16, 3, 2));
 }
 
@@ -41,16 +41,16 @@
             "own": { "policy": { "weight": 5 }, "services": { "m": { "halls": ["c"] } } },
         } } },
     });
-    let policy = compile_tree(Revision(1), &tree).expect("no fault");
-    let of = |name: &str| {
+    let policy = compile_tree(Revision(1), &tree).expect("the tree is valid");
+    let policy_of = |name: &str| {
         let customer = policy.customers.iter().position(|customer| customer.name.as_str() == name);
-        policy.request_policy(customer.expect("it is there"), 0).clone()
+        policy.request_policy(customer.expect("the customer exists"), 0).clone()
     };
-    let (plain, own) = (of("plain"), of("own"));
+    let (plain, own) = (policy_of("plain"), policy_of("own"));
     assert_eq!((plain.weight.get(), plain.max_waiting, plain.halls), (3, 20, HallMask(0b011)));
     assert_eq!((own.weight.get(), own.max_waiting, own.halls), (5, 20, HallMask(0b100)));
     assert_eq!(own.wait_limit, Duration::from_secs(1));
-    let values = effective_values(&tree, "own", "m").expect("both are there");
+    let values = effective_values(&tree, "own", "m").expect("customer and service exist");
     let level =
         |field: &str| values.iter().find(|value| value.field == field).expect("a field").level.clone();
     assert_eq!(level("weight"), "groups.g.customers.own.policy");
@@ -70,8 +70,8 @@
 #[test_case(json!({"groups": {"g": {"customers": {"c": {"services": {"no": {}}}}}}}), "groups.g.customers.c.services.no"; "unknown service")]
 #[test_case(json!([]), "."; "not an object")]
 fn each_fault_names_its_path(tree: Value, path: &str) {
-    let found = faults(&tree);
-    assert!(found.iter().any(|fault| fault.path == path), "{found:?}");
+    let reported = faults(&tree);
+    assert!(reported.iter().any(|fault| fault.path == path), "{reported:?}");
 }
 
 #[test]
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_key_that_two_customers_have_is_refused() {
+fn a_key_shared_by_two_customers_is_rejected() {
     let mut tree = milk();
     let key = tree["groups"]["large-co-ops"]["customers"]["coop-01"]["keys_sha256"].clone();
     tree["groups"]["large-co-ops"]["customers"]["coop-02"]["keys_sha256"] = key;
@@ -90,7 +90,7 @@
 
 #[test]
 fn customers_are_found_by_key_and_services_by_the_longest_prefix() {
-    let policy = compile_tree(Revision(1), &milk()).expect("no fault");
+    let policy = compile_tree(Revision(1), &milk()).expect("the tree is valid");
     let customer = policy.customer_of_key("demo-farm-03").expect("a known key");
     assert_eq!(policy.customers[customer].name.as_str(), "farm-03");
     assert_eq!(policy.customer_of_key("demo-farm-3"), None);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_resend_gets_its_first_outcome_also_after_a_restart() {
+fn a_resend_gets_the_first_outcome_even_after_a_restart() {
     let mut state = SettingsState::default();
     assert_eq!(state.accept(&change("one", 0, 2)), Ok(Revision(1)));
     assert_eq!(state.accept(&change("two", 1, 3)), Ok(Revision(2)));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_change_on_an_old_base_names_the_winner() {
+fn a_conflict_names_the_accepted_change() {
     let mut state = SettingsState::default();
     state.accept(&change("winner", 0, 2)).expect("accepted");
     let error = state.accept(&change("loser", 0, 3)).expect_err("a conflict");
@@ -135,28 +135,28 @@
 }
 
 #[test]
-fn an_invalid_change_is_found_before_it_is_proposed() {
+fn check_rejects_invalid_changes() {
     let state = SettingsState::default();
     assert!(matches!(state.check(&change("bad", 0, 0)), Err(Error::Invalid(_))));
-    let text = SettingsChange { patch: "{".to_owned(), ..change("bad", 0, 1) };
-    assert!(matches!(state.check(&text), Err(Error::Malformed(_))));
+    let malformed = SettingsChange { patch: "{".to_owned(), ..change("bad", 0, 1) };
+    assert!(matches!(state.check(&malformed), Err(Error::Malformed(_))));
 }
 
 #[test]
-fn a_watcher_far_behind_gets_the_whole_tree_and_a_near_one_the_patches() {
+fn a_watcher_gets_patches_or_the_whole_tree_if_far_behind() {
     let mut state = SettingsState::default();
     for number in 0..300 {
         state.accept(&change(&number.to_string(), number, 1 + number)).expect("accepted");
     }
     assert_eq!(state.updates_since(Revision(290)).len(), 10);
-    let far = state.updates_since(Revision(1));
-    assert_eq!((far.len(), far[0].revision, far[0].tree.is_some()), (1, Revision(300), true));
+    let snapshot = state.updates_since(Revision(1));
+    assert_eq!((snapshot.len(), snapshot[0].revision, snapshot[0].tree.is_some()), (1, Revision(300), true));
     assert!(state.updates_since(Revision(300)).is_empty());
-    assert!(state.updates_since(Revision(999)).is_empty(), "a watcher never goes back");
+    assert!(state.updates_since(Revision(999)).is_empty(), "a watcher that is ahead gets no updates");
 }
 
 #[test]
-fn history_is_bounded() {
+fn the_history_is_bounded() {
     let mut state = SettingsState::default();
     for number in 0..REMEMBERED_CHANGES as u64 + 50 {
         state.accept(&change(&number.to_string(), number, 1)).expect("accepted");
@@ -168,8 +168,8 @@
 fn every_fault_of_a_process_file_is_reported_at_once() {
     let file =
         json!({"instance": "a b", "keepers": [{"name": "x"}], "log_level": "loud", "status": "localhost:1"});
-    let found = read_value(&file, ProcessRole::Keeper).expect_err("it has faults");
-    let paths: Vec<&str> = found.iter().map(|fault| fault.path.as_str()).collect();
+    let reported = read_value(&file, ProcessRole::Keeper).expect_err("the input has faults");
+    let paths: Vec<&str> = reported.iter().map(|fault| fault.path.as_str()).collect();
     for path in ["instance", "keepers", "log_level", "status", "."] {
         assert!(paths.contains(&path), "{path} is not in {paths:?}");
     }
@@ -178,7 +178,7 @@
 #[test_case(include_str!("../../../examples/milk/keeper-1.json"), ProcessRole::Keeper; "keeper")]
 #[test_case(include_str!("../../../examples/kilns/dispatcher-2.json"), ProcessRole::Dispatcher; "dispatcher")]
 #[test_case(include_str!("../../../examples/milk/router-3.json"), ProcessRole::Router; "router")]
-fn the_example_process_files_have_no_fault(text: &str, role: ProcessRole) {
+fn the_example_process_files_are_valid(text: &str, role: ProcessRole) {
     let file = serde_json::from_str(text).expect("the example is JSON");
     assert!(read_value(&file, role).is_ok());
 }
