--- /dev/null
+++ b/crates/micaspool-backpressure/src/header.rs
@@ -0,0 +1,39 @@
+//! Advice as carried in the head of a response.
+
+use crate::retry_after::{parse_retry_after, Error};
+use micaspool_types::EndpointAdvice;
+use std::time::SystemTime;
+
+/// The advice that the head of one response carries.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct HeaderAdvice {
+    /// The parsed advice.
+    pub advice: EndpointAdvice,
+    /// Set if no `Retry-After` value could be parsed; `advice.rest` is zero then.
+    pub fault: Option<Error>,
+}
+
+impl HeaderAdvice {
+    /// Builds the advice of a response from its `Retry-After` values and its leaving flag. `Retry-After` is ignored
+    /// unless the response turns its request away.
+    pub fn parse<'a>(
+        turns_away: bool,
+        retry_after: impl IntoIterator<Item = &'a str>,
+        leaving: bool,
+    ) -> HeaderAdvice {
+        let mut values = retry_after.into_iter().filter(|_| turns_away).peekable();
+        if values.peek().is_none() {
+            return HeaderAdvice {
+                advice: EndpointAdvice { leaving, ..EndpointAdvice::default() },
+                fault: None,
+            };
+        }
+        match parse_retry_after(values, SystemTime::now()) {
+            Ok(rest) => HeaderAdvice { advice: EndpointAdvice { rest, leaving }, fault: None },
+            Err(error) => HeaderAdvice {
+                advice: EndpointAdvice { leaving, ..EndpointAdvice::default() },
+                fault: Some(error),
+            },
+        }
+    }
+}
--- a/crates/micaspool-backpressure/src/lib.rs
+++ b/crates/micaspool-backpressure/src/lib.rs
@@ -1,19 +1,19 @@
-//! What endpoints ask of those that send to them: to leave them alone for a while, or for good.
+//! Backpressure from endpoints: requests to pause sending for a while (a rest) or for good (leaving).
 //!
-//! * [`read_retry_after`] reads how long an endpoint wants to be left alone,
-//! * [`HeardAdvice`] is all that the head of one answer says,
-//! * [`AdviceTable`] remembers what each start of an endpoint said, and what may be sent by that,
-//! * [`AdviceBoard`] is the table that everything in one process shares which sends to endpoints, so that the promise
-//!   is kept by the one who sends, whatever becomes of other processes.
+//! * [`parse_retry_after`] parses the length of a requested rest,
+//! * [`HeaderAdvice`] is the advice in the head of one response,
+//! * [`AdviceTable`] stores the advice of each start of an endpoint and decides whether requests may be sent to it,
+//! * [`AdviceBoard`] is the table that all senders of one process share. The sending process enforces the advice
+//!   itself, so that it is respected even if other processes fail.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
 mod board;
-mod heard;
+mod header;
 mod retry_after;
 mod table;
 
 pub use board::{AdviceBoard, AdviceSource};
-pub use heard::HeardAdvice;
-pub use retry_after::{read_retry_after, Error, DRAINING_REST, LONGEST_REST};
+pub use header::HeaderAdvice;
+pub use retry_after::{parse_retry_after, Error, DRAINING_REST, MAX_REST};
 pub use table::{AdviceChange, AdviceTable, EndedRest, EndpointStanding};
