--- a/crates/micaspool-core/src/desk.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -55,7 +55,7 @@
 
 /// Serves operators and endpoints; whichever core instance they ask, the leading keeper decides.
 #[derive(Debug, Clone)]
-pub struct ControlDesk {
+pub struct ControlService {
     client: Arc<KeeperClient>,
     own: PeerAddress,
     hub: Arc<RegistryHub>,
@@ -65,7 +65,7 @@
     halls: Vec<HallName>,
 }
 
-impl ControlDesk {
+impl ControlService {
     /// A desk of the instance whose keeper is `own`.
     pub fn new(
         client: Arc<KeeperClient>,
@@ -73,13 +73,13 @@
         hub: Arc<RegistryHub>,
         mirror: Arc<FleetMirror>,
         format: Arc<dyn PlanFormat>,
-    ) -> ControlDesk {
-        ControlDesk { client, own, hub, mirror, format, halls: Vec::new() }
+    ) -> ControlService {
+        ControlService { client, own, hub, mirror, format, halls: Vec::new() }
     }
 
     /// The same with the data halls that settings name.
-    pub fn with_halls(self, halls: Vec<HallName>) -> ControlDesk {
-        ControlDesk { halls, ..self }
+    pub fn with_halls(self, halls: Vec<HallName>) -> ControlService {
+        ControlService { halls, ..self }
     }
 
     /// Evacuates a data hall or takes it back; gives the number of the order that holds.
--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -1,6 +1,6 @@
 //! Puts a core daemon together.
 
-use crate::desk::ControlDesk;
+use crate::control::ControlService;
 use micaspool_client::{FleetMirror, FleetMirrorOptions, KeeperClient, PeerDirectory, ENDPOINT_LIFE};
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{EndpointProbe, FleetDispatcher, FleetDispatcherOptions, HttpEndpointProbe};
@@ -142,13 +142,13 @@
     keeper: KeeperDaemon,
     dispatcher: FleetDispatcher,
     mirror: Arc<FleetMirror>,
-    desk: ControlDesk,
+    control: ControlService,
 }
 
 impl CoreDaemon {
     /// Where operators and endpoints are served.
-    pub fn desk(&self) -> &ControlDesk {
-        &self.desk
+    pub fn control(&self) -> &ControlService {
+        &self.control
     }
 
     /// The fleet as this process knows it.
@@ -193,9 +193,10 @@
     }
     let own = PeerAddress { name: options.instance.clone(), address: keeper.wire };
     let client = Arc::new(KeeperClient::new(vec![own.clone()], TrafficCounter::default()));
-    let desk = ControlDesk::new(client, own, keeper.hub().clone(), mirror.clone(), options.format.clone())
-        .with_halls(options.halls.clone());
-    Ok(CoreDaemon { keeper, dispatcher, mirror, desk })
+    let control =
+        ControlService::new(client, own, keeper.hub().clone(), mirror.clone(), options.format.clone())
+            .with_halls(options.halls.clone());
+    Ok(CoreDaemon { keeper, dispatcher, mirror, control })
 }
 
 /// Keeper and dispatcher on one page.
