--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderError {
     /// The plan cannot be used.
-    Faulty(FormatError),
+    InvalidPlan(FormatError),
     /// No majority of keepers answered in time. An offered plan may come into force all the same.
     NoMajority,
     /// There is no plan yet.
@@ -35,7 +35,7 @@
 impl fmt::Display for OrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OrderError::Faulty(error) => error.fmt(f),
+            OrderError::InvalidPlan(error) => error.fmt(f),
             OrderError::NoMajority => f.write_str(
                 "no majority of keepers answered in time; send the order again, here or elsewhere",
             ),
@@ -136,7 +136,7 @@
     pub async fn publish(&self, text: &str) -> Result<u64, OrderError> {
         let offered = self.format.decode(text).map_err(|error| {
             record(&events::PLAN_REFUSED, &[field("error", &error)]);
-            OrderError::Faulty(error)
+            OrderError::InvalidPlan(error)
         })?;
         self.list_keepers();
         let request = v1::PublishRequest { number: offered.number, document: text.to_owned() };
--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -34,7 +34,7 @@
     status: Vec<SocketAddr>,
     data_folder: PathBuf,
     may_form: bool,
-    borne_losses: usize,
+    tolerated_failures: usize,
     halls: Vec<HallName>,
     probe: Arc<dyn EndpointProbe>,
 }
@@ -66,7 +66,7 @@
             status: Vec::new(),
             data_folder: PathBuf::from("."),
             may_form: true,
-            borne_losses: 1,
+            tolerated_failures: 1,
             halls: Vec::new(),
             probe: Arc::new(HttpEndpointProbe::default()),
         };
@@ -113,8 +113,8 @@
     }
 
     /// The number of keepers whose loss at once the fleet is to bear.
-    pub fn borne_losses(mut self, losses: usize) -> Self {
-        self.options.borne_losses = losses;
+    pub fn tolerated_failures(mut self, losses: usize) -> Self {
+        self.options.tolerated_failures = losses;
         self
     }
 
@@ -233,7 +233,7 @@
         .wire(options.keeper_address)
         .data_folder(options.data_folder.clone())
         .may_form(options.may_form)
-        .open_group(OpenGroupOptions::bearing(options.borne_losses))
+        .open_group(OpenGroupOptions::bearing(options.tolerated_failures))
         .reopens(true)
         .build()
 }
