--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -5,7 +5,7 @@
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{EndpointProbe, FleetDispatcher, FleetDispatcherOptions, HttpEndpointProbe};
 use micaspool_http::status::{serve_status, StatusSource};
-use micaspool_keeper::{start_keeper, ExchangePlace, KeeperDaemon, KeeperOptions};
+use micaspool_keeper::{start_keeper, ExchangeAddresses, KeeperDaemon, KeeperOptions};
 use micaspool_quorum::OpenGroupOptions;
 use micaspool_routes::PlanFormat;
 use micaspool_settings::process::PeerAddress;
@@ -29,7 +29,7 @@
     keepers: Arc<dyn PeerDirectory>,
     format: Arc<dyn PlanFormat>,
     keeper_address: SocketAddr,
-    exchange: Option<ExchangePlace>,
+    exchange: Option<ExchangeAddresses>,
     dispatcher_address: SocketAddr,
     status: Vec<SocketAddr>,
     data_folder: PathBuf,
@@ -90,7 +90,7 @@
 
     /// Where keepers speak among themselves alone: this one's address, and those of the others.
     pub fn exchange(mut self, own: SocketAddr, directory: Arc<dyn PeerDirectory>) -> Self {
-        self.options.exchange = Some(ExchangePlace { own, directory });
+        self.options.exchange = Some(ExchangeAddresses { own, directory });
         self
     }
 
@@ -113,8 +113,8 @@
     }
 
     /// The number of keepers whose loss at once the fleet is to bear.
-    pub fn tolerated_failures(mut self, losses: usize) -> Self {
-        self.options.tolerated_failures = losses;
+    pub fn tolerated_failures(mut self, failures: usize) -> Self {
+        self.options.tolerated_failures = failures;
         self
     }
 
@@ -233,8 +233,8 @@
         .wire(options.keeper_address)
         .data_folder(options.data_folder.clone())
         .may_form(options.may_form)
-        .open_group(OpenGroupOptions::bearing(options.tolerated_failures))
-        .reopens(true)
+        .open_group(OpenGroupOptions::tolerating(options.tolerated_failures))
+        .reopens_after_failure(true)
         .build()
 }
 
--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -1,6 +1,6 @@
 //! Puts a keeper daemon together.
 
-use crate::engine::{EngineInput, EngineOptions, KeeperEngine, KeeperView, ReopenPlace};
+use crate::engine::{EngineInput, EngineOptions, KeeperEngine, KeeperView, ReopenOptions};
 use crate::peers::{PeerExchange, MAX_FRAME};
 use crate::registry_hub::RegistryHub;
 use crate::service::KeeperService;
@@ -63,15 +63,15 @@
     status: Option<SocketAddr>,
     data_folder: PathBuf,
     directory: Arc<dyn PeerDirectory>,
-    exchange: Option<ExchangePlace>,
+    exchange: Option<ExchangeAddresses>,
     quorum: QuorumOptions,
-    reopens: bool,
+    reopens_after_failure: bool,
     spans: SpanSink,
 }
 
 /// Addresses that keepers use among themselves alone.
 #[derive(Clone, Debug)]
-pub struct ExchangePlace {
+pub struct ExchangeAddresses {
     /// Where this keeper takes the others' messages.
     pub own: SocketAddr,
     /// Where the others take its own.
@@ -100,7 +100,7 @@
             directory,
             exchange: None,
             quorum: QuorumOptions::new(configured),
-            reopens: false,
+            reopens_after_failure: false,
             spans: SpanSink::default(),
         };
         KeeperOptionsBuilder { options }
@@ -116,8 +116,8 @@
 
     /// Where keepers exchange messages; at their common addresses without one. A fleet of hundreds of
     /// processes needs it: see `peers.rs`.
-    pub fn exchange(mut self, place: Option<ExchangePlace>) -> Self {
-        self.options.exchange = place;
+    pub fn exchange(mut self, addresses: Option<ExchangeAddresses>) -> Self {
+        self.options.exchange = addresses;
         self
     }
 
@@ -146,8 +146,8 @@
     }
 
     /// True to open the files again after they failed, instead of stopping.
-    pub fn reopens(mut self, reopens: bool) -> Self {
-        self.options.reopens = reopens;
+    pub fn reopens_after_failure(mut self, reopens_after_failure: bool) -> Self {
+        self.options.reopens_after_failure = reopens_after_failure;
         self
     }
 
@@ -223,15 +223,15 @@
     let folder = &options.data_folder;
     let opened =
         KeeperFiles::open(folder, &options.instance, StoreOptions::default()).map_err(Error::Store)?;
-    if opened.cut_bytes > 0 {
-        record(&events::STORE_CUT, &[field("bytes", opened.cut_bytes)]);
+    if opened.truncated_bytes > 0 {
+        record(&events::STORE_CUT, &[field("bytes", opened.truncated_bytes)]);
     }
     let (outgoing, envelopes) = unbounded();
-    let reopen = ReopenPlace { folder: folder.clone(), name: options.instance.clone() };
+    let reopen = ReopenOptions { folder: folder.clone(), name: options.instance.clone() };
     let engine_options = EngineOptions {
         quorum: options.quorum.clone(),
         ledger: LedgerOptions::default(),
-        reopen: options.reopens.then_some(reopen),
+        reopen: options.reopens_after_failure.then_some(reopen),
     };
     let engine = KeeperEngine::new(engine_options, opened, outgoing);
     let view = engine.view();
@@ -251,8 +251,12 @@
         options.spans.clone(),
     );
     let exchange = PeerExchange {
-        address: options.exchange.as_ref().map(|place| place.own),
-        directory: options.exchange.as_ref().map_or(&options.directory, |place| &place.directory).clone(),
+        address: options.exchange.as_ref().map(|addresses| addresses.own),
+        directory: options
+            .exchange
+            .as_ref()
+            .map_or(&options.directory, |addresses| &addresses.directory)
+            .clone(),
         counter: counters.peers.clone(),
         outgoing: envelopes,
         inputs: inputs.clone(),
--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -120,12 +120,12 @@
     /// Limits of the ledger.
     pub ledger: LedgerOptions,
     /// Where the files are opened again after they failed; `None` stops the engine then.
-    pub reopen: Option<ReopenPlace>,
+    pub reopen: Option<ReopenOptions>,
 }
 
 /// A data folder and the keeper that owns it.
 #[derive(Debug, Clone)]
-pub struct ReopenPlace {
+pub struct ReopenOptions {
     /// The folder.
     pub folder: PathBuf,
     /// The keeper.
--- a/crates/micaspool-keeper/src/engine/reopen.rs
+++ b/crates/micaspool-keeper/src/engine/reopen.rs
@@ -14,7 +14,7 @@
     /// that is not wanted. Everything that was read is written again first, since what an earlier
     /// failure left in the system's cache need not be on the disk.
     pub(super) fn reopen(&mut self, inputs: &Receiver<EngineInput>) -> bool {
-        let Some(place) = self.options.reopen.clone() else { return false };
+        let Some(target) = self.options.reopen.clone() else { return false };
         self.fail_waiting(&EngineError::NotLeader(None));
         self.replies.clear();
         while !self.stopping {
@@ -23,7 +23,7 @@
             while let Ok(input) = inputs.try_recv() {
                 self.turn_away(input);
             }
-            let opened = KeeperFiles::open(&place.folder, &place.name, StoreOptions::default());
+            let opened = KeeperFiles::open(&target.folder, &target.name, StoreOptions::default());
             let rewritten = opened.and_then(|mut opened| opened.files.rewrite().map(|()| opened));
             match rewritten {
                 Ok(opened) => {
--- a/crates/micaspool-keeper/src/lib.rs
+++ b/crates/micaspool-keeper/src/lib.rs
@@ -16,9 +16,9 @@
 mod status;
 
 pub use daemon::{
-    run_keeper, start_keeper, Error, ExchangePlace, KeeperDaemon, KeeperOptions, KeeperOptionsBuilder,
+    run_keeper, start_keeper, Error, ExchangeAddresses, KeeperDaemon, KeeperOptions, KeeperOptionsBuilder,
 };
-pub use engine::{EngineError, EngineInput, EngineOptions, EngineReply, KeeperEngine, ReopenPlace};
+pub use engine::{EngineError, EngineInput, EngineOptions, EngineReply, KeeperEngine, ReopenOptions};
 pub use registry_hub::RegistryHub;
 pub use service::KeeperService;
 pub use state::{KeeperCommand, KeeperReply, KeeperState, PlanDocument};
--- a/crates/micaspool-keeper/tests/exchange.rs
+++ b/crates/micaspool-keeper/tests/exchange.rs
@@ -7,7 +7,7 @@
 
 use async_std::task;
 use micaspool_client::{AddressNamed, PeerDirectory};
-use micaspool_keeper::{start_keeper, ExchangePlace, KeeperDaemon, KeeperOptions};
+use micaspool_keeper::{start_keeper, ExchangeAddresses, KeeperDaemon, KeeperOptions};
 use micaspool_quorum::OpenGroupOptions;
 use micaspool_types::InstanceName;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -48,12 +48,12 @@
     let seeds = (1..=3).map(name).collect();
     let options = KeeperOptions::builder(name(number), seeds, directory(PORT))
         .wire(SocketAddr::new(address(number), PORT))
-        .exchange(Some(ExchangePlace {
+        .exchange(Some(ExchangeAddresses {
             own: SocketAddr::new(address(number), EXCHANGE_PORT),
             directory: directory(EXCHANGE_PORT),
         }))
         .data_folder(folder.clone())
-        .open_group(OpenGroupOptions::bearing(1))
+        .open_group(OpenGroupOptions::tolerating(1))
         .build();
     (start_keeper(options).await.expect("it starts"), TemporaryFolder(folder))
 }
--- a/crates/micaspool-quorum/src/options.rs
+++ b/crates/micaspool-quorum/src/options.rs
@@ -39,9 +39,9 @@
 impl OpenGroupOptions {
     /// The defaults for a fleet that bears the loss of this many keepers at once: twice as many
     /// and one are needed for a majority to stay.
-    pub fn bearing(losses: usize) -> OpenGroupOptions {
+    pub fn tolerating(failures: usize) -> OpenGroupOptions {
         OpenGroupOptions {
-            target_voters: 2 * losses + 1,
+            target_voters: 2 * failures + 1,
             replace_after: Duration::from_millis(1_500),
             drop_after: Duration::from_secs(3),
         }
--- a/crates/micaspool-quorum/tests/harness/mod.rs
+++ b/crates/micaspool-quorum/tests/harness/mod.rs
@@ -74,7 +74,7 @@
 
     /// A group that bears the loss of one keeper and changes without an operator.
     pub fn open(count: usize, seed: u64) -> Harness {
-        Harness::with_group(count, seed, Some((OpenGroupOptions::bearing(1), count)))
+        Harness::with_group(count, seed, Some((OpenGroupOptions::tolerating(1), count)))
     }
 
     fn with_group(count: usize, seed: u64, open: Option<(OpenGroupOptions, usize)>) -> Harness {
--- a/crates/micaspool-store/src/files.rs
+++ b/crates/micaspool-store/src/files.rs
@@ -38,7 +38,7 @@
     /// The state that they hold.
     pub restored: RestoredState,
     /// How many bytes of a torn record were cut from the end of the log.
-    pub cut_bytes: u64,
+    pub truncated_bytes: u64,
 }
 
 /// The open files of a keeper.
@@ -64,8 +64,8 @@
         let path = folder.join(LOG);
         let bytes = read_log(&path, folder, options)?;
         let scanned = scan_log(&path, &bytes, MAGIC.len())?;
-        let cut_bytes = (bytes.len() - scanned.end) as u64;
-        let log = open_log(&path, scanned.end as u64, cut_bytes > 0, options)?;
+        let truncated_bytes = (bytes.len() - scanned.end) as u64;
+        let log = open_log(&path, scanned.end as u64, truncated_bytes > 0, options)?;
         let entries: Vec<LogEntry> =
             scanned.entries.into_iter().filter(|entry| entry.index > snapshot.index).collect();
         check_sequence(&path, &snapshot, &entries)?;
@@ -81,7 +81,7 @@
             failed: false,
             syncs: 0,
         };
-        Ok(OpenOutcome { files, restored, cut_bytes })
+        Ok(OpenOutcome { files, restored, truncated_bytes })
     }
 
     /// Makes a batch durable. After an error the files take nothing more.
--- a/crates/micaspool-store/tests/files.rs
+++ b/crates/micaspool-store/tests/files.rs
@@ -33,7 +33,7 @@
 
 fn open(folder: &Path) -> (KeeperFiles, RestoredState, u64) {
     let outcome = KeeperFiles::open(folder, &name(), StoreOptions::default()).expect("the folder opens");
-    (outcome.files, outcome.restored, outcome.cut_bytes)
+    (outcome.files, outcome.restored, outcome.truncated_bytes)
 }
 
 fn entry(index: u64, term: u64) -> LogEntry {
