--- a/crates/micaspool-quorum/src/core/election.rs
+++ b/crates/micaspool-quorum/src/core/election.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ElectionState {
     /// True while only a pre-vote is going on; the term is not begun yet.
-    pre: bool,
+    is_pre_vote: bool,
     granted: HashSet<KeeperIdentity>,
 }
 
@@ -20,11 +20,11 @@
         self.reset_election(now);
         self.leader = None;
         let own = HashSet::from([self.identity.clone()]);
-        self.role = RoleState::Candidate(ElectionState { pre: true, granted: own });
+        self.role = RoleState::Candidate(ElectionState { is_pre_vote: true, granted: own });
         let next = Term(self.hard.term.0 + 1);
         let (last_term, last) = self.last_entry();
-        self.ask_voters(&PeerBody::PreVote { next, last, last_term });
-        self.conclude(now);
+        self.send_to_voters(&PeerBody::PreVote { next, last, last_term });
+        self.check_majority(now);
     }
 
     fn begin_election(&mut self, now: Moment) {
@@ -33,17 +33,17 @@
         self.hard_dirty = true;
         self.reset_election(now);
         let own = HashSet::from([self.identity.clone()]);
-        self.role = RoleState::Candidate(ElectionState { pre: false, granted: own });
+        self.role = RoleState::Candidate(ElectionState { is_pre_vote: false, granted: own });
         let (last_term, last) = self.last_entry();
-        self.ask_voters(&PeerBody::Vote { last, last_term });
-        self.conclude(now);
+        self.send_to_voters(&PeerBody::Vote { last, last_term });
+        self.check_majority(now);
     }
 
-    fn ask_voters(&mut self, question: &PeerBody) {
+    fn send_to_voters(&mut self, request: &PeerBody) {
         let others = self.log.membership().voters().filter(|voter| **voter != self.identity);
         let others: Vec<KeeperIdentity> = others.cloned().collect();
         for voter in others {
-            self.send(&voter.name, question.clone());
+            self.send(&voter.name, request.clone());
         }
     }
 
@@ -53,45 +53,53 @@
 
     /// True when this keeper may vote at all: its own life of the data folder is in the group.
     fn may_vote(&self) -> bool {
-        self.log.membership().has(&self.identity)
+        self.log.membership().contains(&self.identity)
     }
 
-    pub(super) fn answer_pre_vote(
+    pub(super) fn handle_pre_vote(
         &mut self,
         now: Moment,
         from: &KeeperIdentity,
         next: Term,
         last: (Term, LogIndex),
     ) {
-        let led = self.is_leader()
-            || self.leader_heard.is_some_and(|heard| now.since(heard) < self.options.election_timeout);
-        let granted = self.may_vote() && !led && next > self.hard.term && last >= self.last_entry();
+        let has_leader = self.is_leader()
+            || self
+                .leader_last_contact
+                .is_some_and(|contact| now.since(contact) < self.options.election_timeout);
+        let granted = self.may_vote() && !has_leader && next > self.hard.term && last >= self.last_entry();
         self.send(&from.name, PeerBody::PreVoteReply { next, granted });
     }
 
-    pub(super) fn count_pre_vote(&mut self, now: Moment, from: KeeperIdentity, next: Term, granted: bool) {
-        let current = next.0 == self.hard.term.0 + 1;
+    pub(super) fn handle_pre_vote_reply(
+        &mut self,
+        now: Moment,
+        from: KeeperIdentity,
+        next: Term,
+        granted: bool,
+    ) {
+        let is_next_term = next.0 == self.hard.term.0 + 1;
         if let RoleState::Candidate(state) = &mut self.role {
-            if state.pre && granted && current {
+            if state.is_pre_vote && granted && is_next_term {
                 state.granted.insert(from);
-                self.conclude(now);
+                self.check_majority(now);
             }
         }
     }
 
-    pub(super) fn answer_vote(
+    pub(super) fn handle_vote(
         &mut self,
         now: Moment,
         from: &KeeperIdentity,
         term: Term,
         last: (Term, LogIndex),
     ) {
-        let free = match &self.hard.vote {
+        let can_grant = match &self.hard.vote {
             None => true,
             Some(vote) => vote == from,
         };
-        let current = term == self.hard.term;
-        let granted = current && free && self.may_vote() && last >= self.last_entry();
+        let is_current_term = term == self.hard.term;
+        let granted = is_current_term && can_grant && self.may_vote() && last >= self.last_entry();
         if granted {
             self.hard.vote = Some(from.clone());
             self.hard_dirty = true;
@@ -100,25 +108,25 @@
         self.send(&from.name, PeerBody::VoteReply { granted });
     }
 
-    pub(super) fn count_vote(&mut self, now: Moment, from: KeeperIdentity, term: Term, granted: bool) {
-        let current = term == self.hard.term;
+    pub(super) fn handle_vote_reply(&mut self, now: Moment, from: KeeperIdentity, term: Term, granted: bool) {
+        let is_current_term = term == self.hard.term;
         if let RoleState::Candidate(state) = &mut self.role {
-            if !state.pre && granted && current {
+            if !state.is_pre_vote && granted && is_current_term {
                 state.granted.insert(from);
-                self.conclude(now);
+                self.check_majority(now);
             }
         }
     }
 
     /// Goes on when a majority of the voters has agreed.
-    fn conclude(&mut self, now: Moment) {
+    fn check_majority(&mut self, now: Moment) {
         let RoleState::Candidate(state) = &self.role else { return };
         let membership = self.log.membership();
         let agreed = membership.voters().filter(|voter| state.granted.contains(*voter)).count();
         if agreed < membership.majority() {
             return;
         }
-        if state.pre {
+        if state.is_pre_vote {
             self.begin_election(now);
         } else {
             self.become_leader(now);
@@ -128,7 +136,7 @@
     pub(super) fn become_leader(&mut self, now: Moment) {
         self.leader = Some(self.identity.clone());
         self.role = RoleState::Leader(super::replication::LeaderState::new(now));
-        self.append_own(EntryPayload::Blank);
-        self.lead(now);
+        self.append_entry(EntryPayload::Blank);
+        self.tick_leader(now);
     }
 }
--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -11,19 +11,19 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// How many announcements may be missed before a keeper no longer counts as reachable.
-const MISSED_ANNOUNCEMENTS: u32 = 3;
+const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
 /// What a keeper without a group has heard.
 #[derive(Debug, Default)]
 pub(super) struct FormingState {
-    heard: HashMap<InstanceName, HeardAnnouncement>,
-    announced: Option<Moment>,
+    announcements: HashMap<InstanceName, ReceivedAnnouncement>,
+    last_announced: Option<Moment>,
     /// Keepers that others named, besides the configured ones.
-    named: BTreeSet<InstanceName>,
+    discovered: BTreeSet<InstanceName>,
 }
 
 #[derive(Debug, Clone)]
-struct HeardAnnouncement {
+struct ReceivedAnnouncement {
     identity: KeeperIdentity,
     empty: bool,
     at: Moment,
@@ -34,10 +34,10 @@
     /// knows: an operator may have formed a new group without it.
     pub(super) fn announce(&mut self, now: Moment) {
         let interval = self.options.announce_interval;
-        if self.forming.announced.is_some_and(|at| now.since(at) < interval) {
+        if self.forming.last_announced.is_some_and(|at| now.since(at) < interval) {
             return;
         }
-        self.forming.announced = Some(now);
+        self.forming.last_announced = Some(now);
         let empty = !self.is_formed();
         for name in self.known_keepers() {
             self.send(&name, PeerBody::Announce { empty, members: self.member_names() });
@@ -47,16 +47,16 @@
 
     /// A keeper without a group remembers whoever speaks to it: the leader still speaks to the earlier
     /// life of one that lost its disk, also when all its seeds are gone.
-    pub(super) fn note_sender(&mut self, from: &KeeperIdentity) {
+    pub(super) fn remember_sender(&mut self, from: &KeeperIdentity) {
         if self.options.open_group.is_some() && !self.is_formed() {
-            self.forming.named.insert(from.name.clone());
+            self.forming.discovered.insert(from.name.clone());
         }
     }
 
     /// Every other keeper that may lead or know who does.
     fn known_keepers(&self) -> BTreeSet<InstanceName> {
         let mut known: BTreeSet<InstanceName> = self.other_keepers().into_iter().collect();
-        known.extend(self.forming.named.iter().cloned());
+        known.extend(self.forming.discovered.iter().cloned());
         known.extend(self.member_names());
         known.remove(&self.identity.name);
         known
@@ -70,7 +70,7 @@
         self.options.configured.iter().filter(|name| **name != self.identity.name).cloned().collect()
     }
 
-    pub(super) fn hear_announce(
+    pub(super) fn handle_announce(
         &mut self,
         now: Moment,
         from: KeeperIdentity,
@@ -78,29 +78,29 @@
         members: Vec<InstanceName>,
     ) {
         if self.is_formed() && empty {
-            self.answer_newcomer(now, from);
+            self.answer_unformed(now, from);
             return;
         }
         if self.is_formed() {
-            self.admit_newcomer(now, from);
+            self.admit_learner(now, from);
             return;
         }
         let name = from.name.clone();
-        self.forming.named.extend(members);
-        self.forming.heard.insert(name, HeardAnnouncement { identity: from, empty, at: now });
+        self.forming.discovered.extend(members);
+        self.forming.announcements.insert(name, ReceivedAnnouncement { identity: from, empty, at: now });
     }
 
     /// A member of a group hears a keeper that is in none.
-    fn answer_newcomer(&mut self, now: Moment, from: KeeperIdentity) {
-        let base = self.log.snapshot();
-        if base.index == LogIndex(0) && base.membership.has(&from) {
-            let membership = base.membership.clone();
+    fn answer_unformed(&mut self, now: Moment, from: KeeperIdentity) {
+        let snapshot = self.log.snapshot();
+        if snapshot.index == LogIndex(0) && snapshot.membership.contains(&from) {
+            let membership = snapshot.membership.clone();
             self.send(&from.name, PeerBody::Form { membership });
             return;
         }
         let members = self.member_names();
         self.send(&from.name, PeerBody::Announce { empty: false, members });
-        self.admit_newcomer(now, from);
+        self.admit_learner(now, from);
     }
 
     fn form_if_possible(&mut self, now: Moment) {
@@ -108,12 +108,12 @@
         if self.is_formed() || !self.options.may_form || lowest != Some(&self.identity.name) {
             return;
         }
-        let limit = self.options.announce_interval * MISSED_ANNOUNCEMENTS;
+        let limit = self.options.announce_interval * MAX_MISSED_ANNOUNCEMENTS;
         let mut identities = vec![self.identity.clone()];
         for name in self.other_keepers() {
-            match self.forming.heard.get(&name) {
-                Some(heard) if heard.empty && now.since(heard.at) < limit => {
-                    identities.push(heard.identity.clone())
+            match self.forming.announcements.get(&name) {
+                Some(announcement) if announcement.empty && now.since(announcement.at) < limit => {
+                    identities.push(announcement.identity.clone())
                 }
                 _ => return,
             }
@@ -129,13 +129,13 @@
 
     /// Takes the first group over, when it has exactly this life of the keeper and there is none.
     pub(super) fn adopt_group(&mut self, now: Moment, membership: GroupMembership) {
-        if self.is_formed() || !membership.has(&self.identity) {
+        if self.is_formed() || !membership.contains(&self.identity) {
             return;
         }
         let snapshot = LogSnapshot { membership, ..LogSnapshot::default() };
         self.log.replace(snapshot.clone());
         self.output.save.snapshot = Some(snapshot);
-        self.follow(now, None);
+        self.become_follower(now, None);
     }
 
     /// An operator's order: this keeper alone becomes the group, with everything in its log.
@@ -146,7 +146,7 @@
         self.hard.vote = Some(self.identity.clone());
         self.hard_dirty = true;
         self.role = RoleState::Follower;
-        self.append_own(EntryPayload::Members(membership));
+        self.append_entry(EntryPayload::Members(membership));
         self.become_leader(now);
     }
 }
--- a/crates/micaspool-quorum/src/core/group.rs
+++ b/crates/micaspool-quorum/src/core/group.rs
@@ -10,56 +10,56 @@
 
 impl QuorumCore {
     /// True when the group may change: the last change and an entry of this term are committed.
-    fn group_is_settled(&self) -> bool {
+    fn may_change_membership(&self) -> bool {
         let changed = self.log.membership_index();
         self.is_leader() && changed <= self.commit && self.log.term_at(self.commit) == Some(self.hard.term)
     }
 
     /// A keeper with a new data folder asks to come in.
-    pub(super) fn admit_newcomer(&mut self, now: Moment, newcomer: KeeperIdentity) {
+    pub(super) fn admit_learner(&mut self, now: Moment, learner: KeeperIdentity) {
         let membership = self.log.membership();
-        let allowed = self.options.open_group.is_some() || self.options.configured.contains(&newcomer.name);
-        if !allowed || membership.has(&newcomer) || !self.group_is_settled() {
+        let may_join = self.options.open_group.is_some() || self.options.configured.contains(&learner.name);
+        if !may_join || membership.contains(&learner) || !self.may_change_membership() {
             return;
         }
         let RoleState::Leader(state) = &self.role else { return };
-        if let Some(earlier) = membership.named(&newcomer.name) {
-            if state.heard_lately(now, &earlier.identity, &self.options) {
+        if let Some(earlier) = membership.member_named(&learner.name) {
+            if state.has_recent_contact(now, &earlier.identity, &self.options) {
                 return;
             }
         }
-        let changed = membership.with(GroupMember { identity: newcomer, voter: false });
-        self.append_own(EntryPayload::Members(changed));
+        let changed = membership.with_member(GroupMember { identity: learner, voter: false });
+        self.append_entry(EntryPayload::Members(changed));
         self.replicate_idle(now);
     }
 
     /// A member of the group that was dropped while it was silent, and knows nothing of it, asks
     /// for votes: an open group lets it in again.
-    pub(super) fn readmit_dropped(&mut self, now: Moment, from: &KeeperIdentity) {
+    pub(super) fn readmit_removed(&mut self, now: Moment, from: &KeeperIdentity) {
         if self.options.open_group.is_some() && self.is_formed() {
-            self.admit_newcomer(now, from.clone());
+            self.admit_learner(now, from.clone());
         }
     }
 
     /// Changes the group by one member when something is due.
-    pub(super) fn tend_group(&mut self, now: Moment) {
-        if !self.group_is_settled() {
+    pub(super) fn update_membership(&mut self, now: Moment) {
+        if !self.may_change_membership() {
             return;
         }
-        let newcomer = self.caught_up_newcomer();
-        let changed = match (self.silent_voter(now, newcomer.is_some()), newcomer) {
-            (Some(silent), _) => self.log.membership().without(&silent),
-            (None, Some(identity)) if self.hears_every_voter(now) => {
-                self.log.membership().with(GroupMember { identity, voter: true })
+        let learner = self.caught_up_learner();
+        let changed = match (self.removable_voter(now, learner.is_some()), learner) {
+            (Some(silent), _) => self.log.membership().without_member(&silent),
+            (None, Some(identity)) if self.reaches_every_voter(now) => {
+                self.log.membership().with_member(GroupMember { identity, voter: true })
             }
             _ => return,
         };
-        self.append_own(EntryPayload::Members(changed));
+        self.append_entry(EntryPayload::Members(changed));
         self.replicate_idle(now);
     }
 
     /// The first member that does not count yet and has everything committed durable.
-    fn caught_up_newcomer(&self) -> Option<KeeperIdentity> {
+    fn caught_up_learner(&self) -> Option<KeeperIdentity> {
         let RoleState::Leader(state) = &self.role else { return None };
         let caught_up = |member: &&GroupMember| {
             let progress = state.progress.get(&member.identity);
@@ -68,32 +68,32 @@
         self.log.membership().members.iter().find(caught_up).map(|member| member.identity.clone())
     }
 
-    /// False while a voter is silent that a newcomer may have to replace: made a voter beside it, the
-    /// newcomer would raise the majority and the group could not bear another loss. A closed group
+    /// False while a voter is silent that a learner may have to replace: made a voter beside it, the
+    /// learner would raise the majority and the group could not bear another loss. A closed group
     /// replaces lives of the same keeper only and need not wait.
-    fn hears_every_voter(&self, now: Moment) -> bool {
+    fn reaches_every_voter(&self, now: Moment) -> bool {
         let RoleState::Leader(state) = &self.role else { return false };
-        let heard = |voter: &KeeperIdentity| {
-            *voter == self.identity || state.silence(now, voter) < self.options.election_timeout
+        let is_reachable = |voter: &KeeperIdentity| {
+            *voter == self.identity || state.time_since_contact(now, voter) < self.options.election_timeout
         };
-        self.options.open_group.is_none() || self.log.membership().voters().all(heard)
+        self.options.open_group.is_none() || self.log.membership().voters().all(is_reachable)
     }
 
-    /// The voter that has been silent longest, when an open group may do without it: a newcomer
+    /// The voter that has been silent longest, when an open group may do without it: a learner
     /// stands ready for its place, or there are more voters than needed.
-    fn silent_voter(&self, now: Moment, newcomer: bool) -> Option<KeeperIdentity> {
+    fn removable_voter(&self, now: Moment, has_replacement: bool) -> Option<KeeperIdentity> {
         let options = self.options.open_group?;
         let RoleState::Leader(state) = &self.role else { return None };
         let membership = self.log.membership();
-        let spare = membership.voters().count() > options.target_voters;
-        let limit = match (newcomer, spare) {
+        let has_surplus = membership.voters().count() > options.target_voters;
+        let limit = match (has_replacement, has_surplus) {
             (true, _) => options.replace_after,
             (false, true) => options.drop_after,
             (false, false) => return None,
         };
         let others = membership.voters().filter(|voter| **voter != self.identity);
-        let silent = others.map(|voter| (state.silence(now, voter), voter));
-        let (silence, voter) = silent.max_by_key(|(silence, _)| *silence)?;
-        (silence > limit).then(|| voter.clone())
+        let silent = others.map(|voter| (state.time_since_contact(now, voter), voter));
+        let (time_since_contact, voter) = silent.max_by_key(|(time_since_contact, _)| *time_since_contact)?;
+        (time_since_contact > limit).then(|| voter.clone())
     }
 }
--- a/crates/micaspool-quorum/src/core/mod.rs
+++ b/crates/micaspool-quorum/src/core/mod.rs
@@ -94,8 +94,8 @@
     role: RoleState,
     leader: Option<KeeperIdentity>,
     /// When the leader was last heard.
-    leader_heard: Option<Moment>,
-    election_at: Moment,
+    leader_last_contact: Option<Moment>,
+    election_deadline: Moment,
     forming: FormingState,
     rng: ChaCha8Rng,
     output: QuorumOutput,
@@ -116,8 +116,8 @@
             applied: start,
             role: RoleState::Follower,
             leader: None,
-            leader_heard: None,
-            election_at: now,
+            leader_last_contact: None,
+            election_deadline: now,
             forming: FormingState::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             output: QuorumOutput::default(),
@@ -135,7 +135,7 @@
         match event {
             QuorumEvent::Tick => self.tick(now),
             QuorumEvent::Message(message) => self.receive(now, message),
-            QuorumEvent::Saved => self.note_saved(now),
+            QuorumEvent::Saved => self.handle_saved(now),
             QuorumEvent::Compact(index, data) => self.compact(index, data),
             QuorumEvent::RecoverAlone => self.recover_alone(now),
         }
@@ -149,7 +149,7 @@
             let leader = self.leader.as_ref().map(|leader| leader.name.clone());
             return Err(ProposeError::NotLeader(leader));
         }
-        let index = self.append_own(payload);
+        let index = self.append_entry(payload);
         self.replicate_idle(now);
         Ok((index, self.hard.term))
     }
@@ -180,9 +180,9 @@
             RoleState::Leader(state) => {
                 state.has_majority(now, &self.identity, self.log.membership(), &self.options)
             }
-            RoleState::Follower => {
-                self.leader_heard.is_some_and(|heard| now.since(heard) < self.options.election_timeout)
-            }
+            RoleState::Follower => self
+                .leader_last_contact
+                .is_some_and(|contact| now.since(contact) < self.options.election_timeout),
             RoleState::Candidate(_) => false,
         }
     }
@@ -221,44 +221,46 @@
             self.announce(now);
         }
         if self.is_leader() {
-            self.lead(now);
-        } else if now >= self.election_at && self.log.membership().is_voter(&self.identity) {
+            self.tick_leader(now);
+        } else if now >= self.election_deadline && self.log.membership().is_voter(&self.identity) {
             self.begin_pre_vote(now);
         }
     }
 
     fn receive(&mut self, now: Moment, message: PeerMessage) {
         let PeerMessage { from, term, body } = message;
-        self.note_sender(&from);
+        self.remember_sender(&from);
         match body {
-            PeerBody::Announce { empty, members } => return self.hear_announce(now, from, empty, members),
+            PeerBody::Announce { empty, members } => return self.handle_announce(now, from, empty, members),
             PeerBody::Form { membership } => return self.adopt_group(now, membership),
             PeerBody::PreVote { next, last, last_term } => {
-                self.readmit_dropped(now, &from);
-                return self.answer_pre_vote(now, &from, next, (last_term, last));
+                self.readmit_removed(now, &from);
+                return self.handle_pre_vote(now, &from, next, (last_term, last));
+            }
+            PeerBody::PreVoteReply { next, granted } => {
+                return self.handle_pre_vote_reply(now, from, next, granted)
             }
-            PeerBody::PreVoteReply { next, granted } => return self.count_pre_vote(now, from, next, granted),
             _ => {}
         }
         if term > self.hard.term {
             self.enter_term(now, term);
         }
         match body {
-            PeerBody::Vote { last, last_term } => self.answer_vote(now, &from, term, (last_term, last)),
-            PeerBody::VoteReply { granted } => self.count_vote(now, from, term, granted),
+            PeerBody::Vote { last, last_term } => self.handle_vote(now, &from, term, (last_term, last)),
+            PeerBody::VoteReply { granted } => self.handle_vote_reply(now, from, term, granted),
             PeerBody::Append { sent_at, .. } | PeerBody::Install { sent_at, .. } => {
                 let accepted = self.accept_leader(now, &from, term, sent_at);
-                self.follow_leader(&from, body, accepted);
+                self.handle_leader_message(&from, body, accepted);
             }
             PeerBody::AppendReply { accepted, matched, sent_at } => {
-                self.hear_reply(now, &from, term, accepted, matched, sent_at);
+                self.handle_append_reply(now, &from, term, accepted, matched, sent_at);
             }
             _ => {}
         }
     }
 
     /// Takes over what an accepted leader sent.
-    fn follow_leader(&mut self, from: &KeeperIdentity, body: PeerBody, accepted: bool) {
+    fn handle_leader_message(&mut self, from: &KeeperIdentity, body: PeerBody, accepted: bool) {
         match body {
             PeerBody::Append { prev, prev_term, entries, commit, sent_at } if accepted => {
                 self.accept_entries(from, (prev, prev_term), entries, commit, sent_at);
@@ -274,24 +276,24 @@
     fn enter_term(&mut self, now: Moment, term: Term) {
         self.hard = HardState { term, vote: None };
         self.hard_dirty = true;
-        self.follow(now, None);
+        self.become_follower(now, None);
     }
 
-    fn follow(&mut self, now: Moment, leader: Option<KeeperIdentity>) {
+    fn become_follower(&mut self, now: Moment, leader: Option<KeeperIdentity>) {
         self.role = RoleState::Follower;
         self.leader = leader;
         self.reset_election(now);
     }
 
     fn reset_election(&mut self, now: Moment) {
-        let shortest = self.options.election_timeout;
-        let spread = u64::try_from(shortest.as_micros()).unwrap_or(u64::MAX);
-        let extra = self.rng.random_range(0..=spread);
-        self.election_at = now + shortest + Duration::from_micros(extra);
+        let min_timeout = self.options.election_timeout;
+        let max_jitter = u64::try_from(min_timeout.as_micros()).unwrap_or(u64::MAX);
+        let jitter = self.rng.random_range(0..=max_jitter);
+        self.election_deadline = now + min_timeout + Duration::from_micros(jitter);
     }
 
     /// Adds an entry of this term to the log and to what must be saved.
-    fn append_own(&mut self, payload: EntryPayload) -> LogIndex {
+    fn append_entry(&mut self, payload: EntryPayload) -> LogIndex {
         let index = self.log.last_index().next();
         let entry = LogEntry { index, term: self.hard.term, payload };
         self.output.save.append.push(entry.clone());
@@ -305,7 +307,7 @@
     }
 
     /// Hands out the entries up to the commit index.
-    fn hand_out(&mut self) {
+    fn emit_committed(&mut self) {
         while self.applied < self.commit {
             let next = self.applied.next();
             let entry = self.log.get(next).expect("committed entries after the snapshot are in the log");
@@ -325,7 +327,7 @@
         self.output.save.snapshot = Some(snapshot);
     }
 
-    fn note_saved(&mut self, now: Moment) {
+    fn handle_saved(&mut self, now: Moment) {
         self.saved = self.log.last_index();
         if self.is_leader() {
             self.advance_commit(now);
--- a/crates/micaspool-quorum/src/core/replication.rs
+++ b/crates/micaspool-quorum/src/core/replication.rs
@@ -18,7 +18,7 @@
     /// When the message that is not answered yet was sent.
     in_flight: Option<Moment>,
     /// When the newest answered message was sent; the lease runs from it.
-    pub heard: Option<Moment>,
+    pub last_contact: Option<Moment>,
     last_sent: Option<Moment>,
 }
 
@@ -26,12 +26,12 @@
 #[derive(Debug)]
 pub(super) struct LeaderState {
     pub progress: HashMap<KeeperIdentity, MemberProgress>,
-    since: Moment,
+    elected_at: Moment,
 }
 
 impl LeaderState {
     pub fn new(now: Moment) -> LeaderState {
-        LeaderState { progress: HashMap::new(), since: now }
+        LeaderState { progress: HashMap::new(), elected_at: now }
     }
 
     /// True when a majority of voters, this keeper included, was heard within the timeout. A new
@@ -43,48 +43,53 @@
         membership: &GroupMembership,
         options: &QuorumOptions,
     ) -> bool {
-        let fresh = |voter: &KeeperIdentity| {
-            let heard = self.progress.get(voter).and_then(|progress| progress.heard).unwrap_or(self.since);
-            voter == own || now.since(heard) < options.election_timeout
+        let is_reachable = |voter: &KeeperIdentity| {
+            let last_contact = self
+                .progress
+                .get(voter)
+                .and_then(|progress| progress.last_contact)
+                .unwrap_or(self.elected_at);
+            voter == own || now.since(last_contact) < options.election_timeout
         };
-        membership.voters().filter(|voter| fresh(voter)).count() >= membership.majority()
+        membership.voters().filter(|voter| is_reachable(voter)).count() >= membership.majority()
     }
 
     /// How long a member was not heard; from the election on when it never was.
-    pub fn silence(&self, now: Moment, member: &KeeperIdentity) -> Duration {
-        let heard = self.progress.get(member).and_then(|progress| progress.heard).unwrap_or(self.since);
-        now.since(heard.max(self.since))
+    pub fn time_since_contact(&self, now: Moment, member: &KeeperIdentity) -> Duration {
+        let last_contact =
+            self.progress.get(member).and_then(|progress| progress.last_contact).unwrap_or(self.elected_at);
+        now.since(last_contact.max(self.elected_at))
     }
 
     /// True when this life of a keeper was heard within the timeout.
-    pub fn heard_lately(&self, now: Moment, member: &KeeperIdentity, options: &QuorumOptions) -> bool {
-        let heard = self.progress.get(member).and_then(|progress| progress.heard);
-        heard.is_some_and(|heard| now.since(heard) < options.election_timeout)
+    pub fn has_recent_contact(&self, now: Moment, member: &KeeperIdentity, options: &QuorumOptions) -> bool {
+        let last_contact = self.progress.get(member).and_then(|progress| progress.last_contact);
+        last_contact.is_some_and(|last_contact| now.since(last_contact) < options.election_timeout)
     }
 }
 
 impl QuorumCore {
     /// A leader's regular work: step down without a majority, else speak to each member.
-    pub(super) fn lead(&mut self, now: Moment) {
+    pub(super) fn tick_leader(&mut self, now: Moment) {
         let RoleState::Leader(state) = &self.role else { return };
         if !state.has_majority(now, &self.identity, self.log.membership(), &self.options) {
-            self.follow(now, None);
+            self.become_follower(now, None);
             return;
         }
-        self.track_members();
+        self.sync_progress();
         for member in self.other_members() {
-            if self.is_due(now, &member) {
+            if self.is_heartbeat_due(now, &member) {
                 self.send_entries(now, &member);
             }
         }
-        self.tend_group(now);
+        self.update_membership(now);
     }
 
     /// Sends new entries to each member that has no unanswered message.
     pub(super) fn replicate_idle(&mut self, now: Moment) {
-        self.track_members();
+        self.sync_progress();
         for member in self.other_members() {
-            if self.member(&member).is_some_and(|progress| progress.in_flight.is_none()) {
+            if self.progress_mut(&member).is_some_and(|progress| progress.in_flight.is_none()) {
                 self.send_entries(now, &member);
             }
         }
@@ -96,7 +101,7 @@
     }
 
     /// Brings the list of members that the leader follows in line with the group.
-    fn track_members(&mut self) {
+    fn sync_progress(&mut self) {
         let next = self.log.last_index().next();
         let members = self.other_members();
         let RoleState::Leader(state) = &mut self.role else { return };
@@ -106,33 +111,33 @@
                 matched: LogIndex(0),
                 next,
                 in_flight: None,
-                heard: None,
+                last_contact: None,
                 last_sent: None,
             });
         }
     }
 
-    fn member(&mut self, member: &KeeperIdentity) -> Option<&mut MemberProgress> {
+    fn progress_mut(&mut self, member: &KeeperIdentity) -> Option<&mut MemberProgress> {
         match &mut self.role {
             RoleState::Leader(state) => state.progress.get_mut(member),
             _ => None,
         }
     }
 
-    fn is_due(&mut self, now: Moment, member: &KeeperIdentity) -> bool {
+    fn is_heartbeat_due(&mut self, now: Moment, member: &KeeperIdentity) -> bool {
         let heartbeat = self.options.heartbeat;
-        let progress = self.member(member);
+        let progress = self.progress_mut(member);
         progress.is_some_and(|progress| progress.last_sent.is_none_or(|sent| now.since(sent) >= heartbeat))
     }
 
     fn send_entries(&mut self, now: Moment, member: &KeeperIdentity) {
-        let Some(progress) = self.member(member) else { return };
+        let Some(progress) = self.progress_mut(member) else { return };
         progress.in_flight = Some(now);
         progress.last_sent = Some(now);
         let next = progress.next;
         let prev = LogIndex(next.0.saturating_sub(1));
-        let behind = next <= self.log.snapshot().index;
-        let body = match self.log.term_at(prev).filter(|_| !behind) {
+        let is_compacted = next <= self.log.snapshot().index;
+        let body = match self.log.term_at(prev).filter(|_| !is_compacted) {
             Some(prev_term) => PeerBody::Append {
                 prev,
                 prev_term,
@@ -158,8 +163,8 @@
             self.send(&from.name, PeerBody::AppendReply { accepted: false, matched, sent_at });
             return false;
         }
-        self.follow(now, Some(from.clone()));
-        self.leader_heard = Some(now);
+        self.become_follower(now, Some(from.clone()));
+        self.leader_last_contact = Some(now);
         true
     }
 
@@ -171,8 +176,8 @@
         commit: LogIndex,
         sent_at: Moment,
     ) {
-        let agrees = prev < self.log.snapshot().index || self.log.term_at(prev) == Some(prev_term);
-        if !agrees {
+        let prev_matches = prev < self.log.snapshot().index || self.log.term_at(prev) == Some(prev_term);
+        if !prev_matches {
             let matched = self.log.last_index().min(LogIndex(prev.0.saturating_sub(1))).max(self.commit);
             self.send(&from.name, PeerBody::AppendReply { accepted: false, matched, sent_at });
             return;
@@ -182,7 +187,7 @@
             self.accept_entry(entry);
         }
         self.commit = self.commit.max(commit.min(matched));
-        self.hand_out();
+        self.emit_committed();
         self.send(&from.name, PeerBody::AppendReply { accepted: true, matched, sent_at });
     }
 
@@ -193,13 +198,13 @@
         }
         if entry.index <= self.log.last_index() {
             assert!(entry.index > self.commit, "a committed entry is never replaced");
-            self.drop_from(entry.index);
+            self.truncate_log_from(entry.index);
         }
         self.output.save.append.push(entry.clone());
         self.log.append(entry);
     }
 
-    fn drop_from(&mut self, index: LogIndex) {
+    fn truncate_log_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
         self.saved = self.saved.min(LogIndex(index.0 - 1));
         let save = &mut self.output.save;
@@ -223,7 +228,7 @@
     }
 
     /// A leader's view of an answer.
-    pub(super) fn hear_reply(
+    pub(super) fn handle_append_reply(
         &mut self,
         now: Moment,
         from: &KeeperIdentity,
@@ -232,10 +237,10 @@
         matched: LogIndex,
         sent_at: Moment,
     ) {
-        let current = term == self.hard.term;
+        let is_current_term = term == self.hard.term;
         let last = self.log.last_index();
-        let Some(progress) = self.member(from).filter(|_| current) else { return };
-        progress.heard = progress.heard.max(Some(sent_at));
+        let Some(progress) = self.progress_mut(from).filter(|_| is_current_term) else { return };
+        progress.last_contact = progress.last_contact.max(Some(sent_at));
         if progress.in_flight.is_some_and(|sent| sent <= sent_at) {
             progress.in_flight = None;
         }
@@ -245,9 +250,9 @@
         } else {
             progress.next = matched.next().max(progress.matched.next()).min(last.next());
         }
-        let more = progress.next <= last && progress.in_flight.is_none();
+        let has_more = progress.next <= last && progress.in_flight.is_none();
         self.advance_commit(now);
-        if more || !accepted {
+        if has_more || !accepted {
             self.send_entries(now, from);
         }
     }
@@ -266,7 +271,7 @@
         let Some(agreed) = indices.get(membership.majority() - 1).copied() else { return };
         if agreed > self.commit && self.log.term_at(agreed) == Some(self.hard.term) {
             self.commit = agreed;
-            self.hand_out();
+            self.emit_committed();
             self.replicate_idle(now);
         }
     }
--- a/crates/micaspool-quorum/src/log.rs
+++ b/crates/micaspool-quorum/src/log.rs
@@ -10,7 +10,7 @@
     snapshot: LogSnapshot,
     entries: VecDeque<LogEntry>,
     /// The groups that entries of this log set, oldest first; the snapshot's is not among them.
-    groups: VecDeque<(LogIndex, GroupMembership)>,
+    memberships: VecDeque<(LogIndex, GroupMembership)>,
 }
 
 impl EntryLog {
@@ -76,7 +76,7 @@
     /// Adds the next entry.
     pub fn append(&mut self, entry: LogEntry) {
         if let EntryPayload::Members(membership) = &entry.payload {
-            self.groups.push_back((entry.index, membership.clone()));
+            self.memberships.push_back((entry.index, membership.clone()));
         }
         self.entries.push_back(entry);
     }
@@ -86,8 +86,8 @@
         while self.entries.back().is_some_and(|entry| entry.index >= index) {
             self.entries.pop_back();
         }
-        while self.groups.back().is_some_and(|(at, _)| *at >= index) {
-            self.groups.pop_back();
+        while self.memberships.back().is_some_and(|(at, _)| *at >= index) {
+            self.memberships.pop_back();
         }
     }
 
@@ -96,8 +96,8 @@
         while self.entries.front().is_some_and(|entry| entry.index <= snapshot.index) {
             self.entries.pop_front();
         }
-        while self.groups.front().is_some_and(|(at, _)| *at <= snapshot.index) {
-            self.groups.pop_front();
+        while self.memberships.front().is_some_and(|(at, _)| *at <= snapshot.index) {
+            self.memberships.pop_front();
         }
         self.snapshot = snapshot;
     }
@@ -109,17 +109,17 @@
 
     /// The newest group, committed or not.
     pub fn membership(&self) -> &GroupMembership {
-        self.groups.back().map_or(&self.snapshot.membership, |(_, membership)| membership)
+        self.memberships.back().map_or(&self.snapshot.membership, |(_, membership)| membership)
     }
 
     /// The position of the entry that set the newest group.
     pub fn membership_index(&self) -> LogIndex {
-        self.groups.back().map_or(self.snapshot.index, |(index, _)| *index)
+        self.memberships.back().map_or(self.snapshot.index, |(index, _)| *index)
     }
 
     /// The group as of an entry.
     pub fn membership_at(&self, index: LogIndex) -> &GroupMembership {
-        let earlier = self.groups.iter().rev().find(|(at, _)| *at <= index);
+        let earlier = self.memberships.iter().rev().find(|(at, _)| *at <= index);
         earlier.map_or(&self.snapshot.membership, |(_, membership)| membership)
     }
 }
--- a/crates/micaspool-quorum/src/types.rs
+++ b/crates/micaspool-quorum/src/types.rs
@@ -56,23 +56,23 @@
     }
 
     /// True when exactly this life of the keeper is a member.
-    pub fn has(&self, identity: &KeeperIdentity) -> bool {
+    pub fn contains(&self, identity: &KeeperIdentity) -> bool {
         self.members.iter().any(|member| member.identity == *identity)
     }
 
     /// The member with this name, whichever life of it.
-    pub fn named(&self, name: &InstanceName) -> Option<&GroupMember> {
+    pub fn member_named(&self, name: &InstanceName) -> Option<&GroupMember> {
         self.members.iter().find(|member| member.identity.name == *name)
     }
 
     /// The same group without this life of a keeper.
-    pub fn without(&self, identity: &KeeperIdentity) -> GroupMembership {
+    pub fn without_member(&self, identity: &KeeperIdentity) -> GroupMembership {
         let others = self.members.iter().filter(|member| member.identity != *identity);
         GroupMembership { members: others.cloned().collect() }
     }
 
     /// The same group with this member in place of any other life of it.
-    pub fn with(&self, member: GroupMember) -> GroupMembership {
+    pub fn with_member(&self, member: GroupMember) -> GroupMembership {
         let others = self.members.iter().filter(|other| other.identity.name != member.identity.name);
         let mut members: Vec<GroupMember> = others.cloned().collect();
         members.push(member);
