--- a/crates/micaspool-quorum/src/lib.rs
+++ b/crates/micaspool-quorum/src/lib.rs
@@ -1,9 +1,9 @@
-//! A replicated log: terms, elections with a pre-vote, majority commit, snapshots, and the
-//! replacement of members that lost their disk.
+//! A replicated log after Raft: terms, elections with pre-vote, majority commit, snapshots, and
+//! membership changes that replace members whose disk was lost.
 //!
-//! [`QuorumCore`] is a state machine without I/O or clock. Its driver feeds it [`QuorumEvent`]s,
-//! makes the [`SaveBatch`] of each [`QuorumOutput`] durable, and only then sends the messages and
-//! applies the entries of that output.
+//! [`QuorumCore`] is a deterministic state machine that performs no I/O and reads no clock. The
+//! caller passes [`QuorumEvent`]s in, persists the [`SaveBatch`] of each [`QuorumOutput`], and only
+//! then sends the messages and applies the entries of that output.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-quorum/src/log.rs
+++ b/crates/micaspool-quorum/src/log.rs
@@ -1,20 +1,20 @@
-//! The entries in memory, after the newest snapshot.
+//! The in-memory log: the latest snapshot and the entries after it.
 
 use crate::types::{EntryPayload, GroupMembership, LogEntry, LogIndex, LogSnapshot};
 use micaspool_types::Term;
 use std::collections::VecDeque;
 
-/// A snapshot and the entries that follow it without a gap.
+/// The latest snapshot and the contiguous entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct EntryLog {
     snapshot: LogSnapshot,
     entries: VecDeque<LogEntry>,
-    /// The groups that entries of this log set, oldest first; the snapshot's is not among them.
+    /// The membership changes among `entries`, oldest first, without the snapshot's membership.
     memberships: VecDeque<(LogIndex, GroupMembership)>,
 }
 
 impl EntryLog {
-    /// A log from what was read back.
+    /// Creates a log from persistent state.
     pub fn new(snapshot: LogSnapshot, entries: Vec<LogEntry>) -> EntryLog {
         let mut log = EntryLog { snapshot, ..EntryLog::default() };
         for entry in entries {
@@ -23,22 +23,22 @@
         log
     }
 
-    /// The newest snapshot.
+    /// Returns the latest snapshot.
     pub fn snapshot(&self) -> &LogSnapshot {
         &self.snapshot
     }
 
-    /// The position of the last entry.
+    /// Returns the position of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.entries.back().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// The term of the last entry.
+    /// Returns the term of the last entry.
     pub fn last_term(&self) -> Term {
         self.entries.back().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// The term of an entry, or `None` when the log does not have it.
+    /// Returns the term of the entry at `index`, or `None` when it is compacted or does not exist.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -46,13 +46,13 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// An entry after the snapshot.
+    /// Returns an entry after the snapshot.
     pub fn get(&self, index: LogIndex) -> Option<&LogEntry> {
         let offset = index.0.checked_sub(self.snapshot.index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// At most `count` entries from `from` on.
+    /// Returns at most `count` entries, starting at `from`.
     pub fn range(&self, from: LogIndex, count: usize) -> Vec<LogEntry> {
         let skipped = from.0.saturating_sub(self.snapshot.index.0 + 1);
         self.entries
@@ -63,17 +63,17 @@
             .collect()
     }
 
-    /// The number of entries after the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True when no entry follows the snapshot.
+    /// Returns whether no entry follows the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Adds the next entry.
+    /// Appends the next entry.
     pub fn append(&mut self, entry: LogEntry) {
         if let EntryPayload::Members(membership) = &entry.payload {
             self.memberships.push_back((entry.index, membership.clone()));
@@ -81,7 +81,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops an entry and those after it.
+    /// Drops the entry at `index` and all entries after it.
     pub fn truncate_from(&mut self, index: LogIndex) {
         while self.entries.back().is_some_and(|entry| entry.index >= index) {
             self.entries.pop_back();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Replaces the entries up to an index by a snapshot; later entries stay.
+    /// Replaces the entries up to the snapshot's index by the snapshot. Later entries stay.
     pub fn compact(&mut self, snapshot: LogSnapshot) {
         while self.entries.front().is_some_and(|entry| entry.index <= snapshot.index) {
             self.entries.pop_front();
@@ -102,22 +102,22 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces everything by a snapshot.
+    /// Replaces the snapshot and all entries by another snapshot.
     pub fn replace(&mut self, snapshot: LogSnapshot) {
         *self = EntryLog { snapshot, ..EntryLog::default() };
     }
 
-    /// The newest group, committed or not.
+    /// Returns the latest membership, committed or not.
     pub fn membership(&self) -> &GroupMembership {
         self.memberships.back().map_or(&self.snapshot.membership, |(_, membership)| membership)
     }
 
-    /// The position of the entry that set the newest group.
+    /// Returns the position of the entry that set the latest membership.
     pub fn membership_index(&self) -> LogIndex {
         self.memberships.back().map_or(self.snapshot.index, |(index, _)| *index)
     }
 
-    /// The group as of an entry.
+    /// Returns the membership as of the entry at `index`.
     pub fn membership_at(&self, index: LogIndex) -> &GroupMembership {
         let earlier = self.memberships.iter().rev().find(|(at, _)| *at <= index);
         earlier.map_or(&self.snapshot.membership, |(_, membership)| membership)
--- a/crates/micaspool-quorum/src/message.rs
+++ b/crates/micaspool-quorum/src/message.rs
@@ -4,87 +4,88 @@
 use micaspool_types::{InstanceName, Moment, Term};
 use serde::{Deserialize, Serialize};
 
-/// A message with its sender and the sender's term.
+/// A message between keepers, with its sender and the sender's term.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct PeerMessage {
-    /// Who sent it.
+    /// The sender.
     pub from: KeeperIdentity,
     /// The sender's term.
     pub term: Term,
-    /// What it says.
+    /// The content.
     pub body: PeerBody,
 }
 
-/// What a message says.
+/// The content of a message between keepers.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub enum PeerBody {
-    /// The sender belongs to no group yet or is no voter, or answers such a keeper.
+    /// Sent by a keeper that belongs to no group or is not a voter, and in reply to such a keeper.
     Announce {
-        /// True when the sender has no log.
+        /// Whether the sender belongs to no group and has no log.
         empty: bool,
-        /// The members that the sender knows, so that a newcomer finds the leader.
+        /// The members of the sender's group, so that a joining keeper finds the leader.
         members: Vec<InstanceName>,
     },
-    /// The first group.
+    /// Forms the first group.
     Form {
-        /// Its members.
+        /// The members of the group.
         membership: GroupMembership,
     },
-    /// Would you vote for me in this term?
+    /// Asks whether the receiver would vote for the sender, without starting a term.
     PreVote {
-        /// The term that the sender would begin.
+        /// The term that the sender would start.
         next: Term,
         /// The sender's last entry.
         last: LogIndex,
         /// The term of that entry.
         last_term: Term,
     },
-    /// The answer to `PreVote`.
+    /// The reply to `PreVote`.
     PreVoteReply {
-        /// The term that was asked about.
+        /// The `next` term of the request.
         next: Term,
-        /// True for yes.
+        /// Whether the sender would vote for the candidate.
         granted: bool,
     },
-    /// Vote for me in my term.
+    /// Requests a vote for the sender in its term.
     Vote {
         /// The sender's last entry.
         last: LogIndex,
         /// The term of that entry.
         last_term: Term,
     },
-    /// The answer to `Vote`.
+    /// The reply to `Vote`.
     VoteReply {
-        /// True for yes.
+        /// Whether the sender voted for the candidate.
         granted: bool,
     },
-    /// Entries of the leader; none for a heartbeat.
+    /// Entries from the leader. A heartbeat has none.
     Append {
-        /// The entry before the first one sent.
+        /// The position before the first entry of the message.
         prev: LogIndex,
-        /// The term of that entry.
+        /// The term of the entry at that position.
         prev_term: Term,
         /// The entries.
         entries: Vec<LogEntry>,
-        /// The newest entry known to be committed.
+        /// The leader's commit index.
         commit: LogIndex,
-        /// The leader's clock, for its lease.
+        /// The leader's clock at sending. The reply echoes it for the leader lease.
         sent_at: Moment,
     },
-    /// The answer to `Append` and `Install`, sent once what it acknowledges is durable.
+    /// The reply to `Append` and `Install`, sent after the acknowledged entries are durable.
     AppendReply {
-        /// False when the entry before the first one was missing.
+        /// False when the log has no matching entry at `prev`, or when the sender's term is stale.
         accepted: bool,
-        /// The last entry that agrees with the leader, or where to try next.
+        /// The last entry that matches the leader's log or, if not accepted, the position after which
+        /// the leader should retry.
         matched: LogIndex,
-        /// The clock of the message that is answered.
+        /// The `sent_at` of the message that is answered.
         sent_at: Moment,
     },
-    /// A whole snapshot for a keeper that is far behind.
+    /// A complete snapshot, for a member that needs entries that the leader has compacted.
     Install {
         /// The snapshot.
         snapshot: LogSnapshot,
-        /// The leader's clock, for its lease.
+        /// The leader's clock at sending. The reply echoes it for the leader lease.
         sent_at: Moment,
     },
 }
--- a/crates/micaspool-quorum/src/options.rs
+++ b/crates/micaspool-quorum/src/options.rs
@@ -1,44 +1,47 @@
-//! Times and sizes of the replicated log.
+//! Timeouts, limits and membership rules of the replicated log.
 
 use micaspool_types::InstanceName;
 use std::time::Duration;
 
-/// Times and sizes; the defaults suit data halls about half a millisecond apart.
+/// Options of a [`QuorumCore`](crate::QuorumCore). The default timeouts suit data halls that are
+/// about half a millisecond apart.
 #[derive(Clone, Debug)]
 pub struct QuorumOptions {
-    /// The instances that the settings of this process list as keepers, this one included.
+    /// The keepers that the settings of this process list, including this one.
     pub configured: Vec<InstanceName>,
-    /// The shortest time without a leader before an election; the longest is twice that. A
-    /// leader that heard no majority for this long steps down.
+    /// The minimum time without contact with a leader before an election starts; each timeout is
+    /// drawn at random between this and twice as much. A leader that has had no contact with a
+    /// majority for this long steps down.
     pub election_timeout: Duration,
-    /// How often a leader speaks to each member.
+    /// The interval at which a leader sends to each member.
     pub heartbeat: Duration,
-    /// How often a keeper without a group announces itself.
+    /// The interval at which a keeper that is not a voter announces itself.
     pub announce_interval: Duration,
-    /// The most entries in one message.
+    /// The maximum number of entries in one message.
     pub max_batch: usize,
-    /// Whether this keeper may form the first group with the configured ones. False for one that
-    /// starts in a fleet that ran before: it waits to be let in.
+    /// Whether this keeper may form the first group with the configured keepers. False for a keeper
+    /// that starts in a fleet that has run before: it waits until a leader admits it.
     pub may_form: bool,
-    /// `None`: only configured keepers come in, and members leave by an operator's order alone.
+    /// Rules for membership changes without an operator. With `None`, only configured keepers are
+    /// admitted, and a member leaves only by an operator's order.
     pub open_group: Option<OpenGroupOptions>,
 }
 
-/// How a group changes without an operator.
+/// Rules for membership changes without an operator.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenGroupOptions {
-    /// The number of voters below which no silent voter is dropped, unless a caught-up newcomer
-    /// takes its place.
+    /// The number of voters down to which unreachable voters are removed without a replacement.
+    /// At or below it, a voter is removed only when a caught-up learner can replace it.
     pub target_voters: usize,
-    /// How long a voter must be silent before a newcomer takes its place.
+    /// How long a voter must be unreachable before a caught-up learner replaces it.
     pub replace_after: Duration,
-    /// How long a voter above the target number must be silent before it is dropped.
+    /// How long a voter in excess of `target_voters` must be unreachable before it is removed.
     pub drop_after: Duration,
 }
 
 impl OpenGroupOptions {
-    /// The defaults for a fleet that bears the loss of this many keepers at once: twice as many
-    /// and one are needed for a majority to stay.
+    /// Returns the defaults for a group that tolerates this many simultaneous failures. A majority
+    /// survives `n` failures only among `2 * n + 1` voters.
     pub fn tolerating(failures: usize) -> OpenGroupOptions {
         OpenGroupOptions {
             target_voters: 2 * failures + 1,
@@ -49,7 +52,7 @@
 }
 
 impl QuorumOptions {
-    /// The defaults for these keepers.
+    /// Returns the defaults for a group of the `configured` keepers.
     pub fn new(configured: Vec<InstanceName>) -> QuorumOptions {
         QuorumOptions {
             configured,
--- a/crates/micaspool-quorum/src/output.rs
+++ b/crates/micaspool-quorum/src/output.rs
@@ -1,25 +1,25 @@
-//! What goes into the core and what comes out of it.
+//! Input events and outputs of the state machine.
 
 use crate::message::PeerMessage;
 use crate::types::{HardState, LogEntry, LogIndex, LogSnapshot};
 use micaspool_types::InstanceName;
 
-/// One thing that happens to a keeper.
+/// An input event of [`QuorumCore::step`](crate::QuorumCore::step).
 #[derive(Clone, Debug)]
 pub enum QuorumEvent {
-    /// Time has passed.
+    /// Time has passed; due timers run.
     Tick,
-    /// A message has arrived.
+    /// A message from another keeper has arrived.
     Message(PeerMessage),
-    /// Everything of the earlier outputs is durable.
+    /// The save batches of all earlier outputs are durable.
     Saved,
-    /// The state machines as of an applied entry; entries up to it may be dropped.
+    /// The encoded state machines as of an applied entry. The log may drop entries up to it.
     Compact(LogIndex, Vec<u8>),
-    /// An operator orders this keeper to form a group alone.
+    /// An operator's order to continue as the only member of the group.
     RecoverAlone,
 }
 
-/// A message and the instance that it goes to.
+/// A message and its receiver.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Envelope {
     /// The receiver.
@@ -28,23 +28,23 @@
     pub message: PeerMessage,
 }
 
-/// What must be durable before the rest of an output is acted on. In this order: the snapshot
-/// replaces everything up to its index, entries from `truncate_from` on are dropped, `append`
-/// follows, and the hard state is replaced.
+/// Changes that must be durable before the rest of an output is processed. They apply in this
+/// order: the snapshot replaces everything up to its index, entries from `truncate_from` on are
+/// dropped, `append` is added, and the hard state is replaced.
 #[derive(Clone, Default, PartialEq, Eq, Debug)]
 pub struct SaveBatch {
-    /// A snapshot that replaces the one before.
+    /// A snapshot that replaces the previous one.
     pub snapshot: Option<LogSnapshot>,
-    /// Drop this entry and those after it.
+    /// The first of the entries to drop.
     pub truncate_from: Option<LogIndex>,
-    /// Entries to add.
+    /// Entries to append.
     pub append: Vec<LogEntry>,
     /// The new term and vote.
     pub hard: Option<HardState>,
 }
 
 impl SaveBatch {
-    /// True when there is nothing to save.
+    /// Returns whether there is nothing to save.
     pub fn is_empty(&self) -> bool {
         self.snapshot.is_none()
             && self.truncate_from.is_none()
@@ -53,21 +53,21 @@
     }
 }
 
-/// What follows from events, in the order in which the driver acts on it.
+/// The effects of events, in the order in which the caller must process them.
 #[derive(Clone, Default, PartialEq, Eq, Debug)]
 pub struct QuorumOutput {
-    /// First: make this durable.
+    /// First, changes to persist.
     pub save: SaveBatch,
-    /// Then: send these.
+    /// Second, messages to send.
     pub send: Vec<Envelope>,
-    /// Then: replace the state machines by this snapshot.
+    /// Third, a snapshot to load into the state machines.
     pub install: Option<LogSnapshot>,
-    /// Then: apply these entries in order.
+    /// Last, committed entries to apply in order.
     pub committed: Vec<LogEntry>,
 }
 
 impl QuorumOutput {
-    /// True when there is nothing to do.
+    /// Returns whether there is nothing to do.
     pub fn is_empty(&self) -> bool {
         self.save.is_empty() && self.send.is_empty() && self.install.is_none() && self.committed.is_empty()
     }
--- a/crates/micaspool-quorum/src/types.rs
+++ b/crates/micaspool-quorum/src/types.rs
@@ -1,77 +1,78 @@
-//! Entries, members and what survives a restart.
+//! Log entries, group members and persistent state.
 
 use micaspool_types::{Incarnation, InstanceName, Term};
 use serde::{Deserialize, Serialize};
 
-/// The position of an entry in the log; the first has 1.
+/// The position of an entry in the log, counted from 1. Zero precedes the first entry.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Debug)]
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// The next position.
+    /// Returns the next position.
     pub fn next(self) -> LogIndex {
         LogIndex(self.0 + 1)
     }
 }
 
-/// A keeper with one life of its data folder.
+/// Identifies a keeper together with the incarnation of its data folder.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Debug)]
 pub struct KeeperIdentity {
-    /// The instance.
+    /// The name of the instance.
     pub name: InstanceName,
-    /// A random number that is new when the data folder is new.
+    /// A random number, generated when the data folder is created.
     pub incarnation: Incarnation,
 }
 
-/// A member of the group.
+/// A voter or learner of the group. A learner receives the log but does not vote.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct GroupMember {
-    /// Who it is.
+    /// The keeper and its incarnation.
     pub identity: KeeperIdentity,
-    /// True when it counts for majorities; a new data folder counts only once it is caught up.
+    /// Whether the member counts towards majorities. A member with a new data folder becomes a voter
+    /// only after it has caught up.
     pub voter: bool,
 }
 
-/// All members of the group.
+/// The voters and learners of the group.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct GroupMembership {
-    /// The members in name order.
+    /// The members, sorted by name.
     pub members: Vec<GroupMember>,
 }
 
 impl GroupMembership {
-    /// The members that count for majorities.
+    /// Returns the members that count towards majorities.
     pub fn voters(&self) -> impl Iterator<Item = &KeeperIdentity> {
         self.members.iter().filter(|member| member.voter).map(|member| &member.identity)
     }
 
-    /// The number of voters that makes a majority.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// True when exactly this life of the keeper is a voter.
+    /// Returns whether the keeper is a voter with this incarnation.
     pub fn is_voter(&self, identity: &KeeperIdentity) -> bool {
         self.voters().any(|voter| voter == identity)
     }
 
-    /// True when exactly this life of the keeper is a member.
+    /// Returns whether the keeper is a member with this incarnation.
     pub fn contains(&self, identity: &KeeperIdentity) -> bool {
         self.members.iter().any(|member| member.identity == *identity)
     }
 
-    /// The member with this name, whichever life of it.
+    /// Returns the member with this name, whatever its incarnation.
     pub fn member_named(&self, name: &InstanceName) -> Option<&GroupMember> {
         self.members.iter().find(|member| member.identity.name == *name)
     }
 
-    /// The same group without this life of a keeper.
+    /// Returns the membership without this incarnation of a keeper.
     pub fn without_member(&self, identity: &KeeperIdentity) -> GroupMembership {
         let others = self.members.iter().filter(|member| member.identity != *identity);
         GroupMembership { members: others.cloned().collect() }
     }
 
-    /// The same group with this member in place of any other life of it.
+    /// Returns the membership with `member` added, replacing any other incarnation of the same keeper.
     pub fn with_member(&self, member: GroupMember) -> GroupMembership {
         let others = self.members.iter().filter(|other| other.identity.name != member.identity.name);
         let mut members: Vec<GroupMember> = others.cloned().collect();
@@ -81,59 +82,59 @@
     }
 }
 
-/// What an entry carries.
+/// The content of a log entry.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub enum EntryPayload {
-    /// Nothing: the first entry of a leader's term, or a read barrier.
+    /// No content: the first entry of a leader's term, or a read barrier.
     Blank,
-    /// A command of the state machines.
+    /// An encoded command for the state machines.
     Command(Vec<u8>),
-    /// The group from here on.
+    /// A membership change, in effect from this entry on.
     Members(GroupMembership),
 }
 
 /// One entry of the log.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct LogEntry {
-    /// Its position.
+    /// The position in the log.
     pub index: LogIndex,
     /// The term of the leader that wrote it.
     pub term: Term,
-    /// What it carries.
+    /// The content.
     pub payload: EntryPayload,
 }
 
-/// The state that stands for all entries up to an index.
+/// The state of the state machines that replaces all log entries up to `index`.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct LogSnapshot {
-    /// The last entry that it stands for.
+    /// The last entry that the snapshot includes.
     pub index: LogIndex,
     /// The term of that entry.
     pub term: Term,
-    /// The group as of that entry.
+    /// The membership as of that entry.
     pub membership: GroupMembership,
-    /// The state machines, encoded by their owner.
+    /// The state of the state machines, encoded by the caller.
     pub data: Vec<u8>,
 }
 
-/// The term and the vote in it.
+/// The current term and the vote cast in it.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct HardState {
-    /// The newest term that this keeper knows.
+    /// The latest term that this keeper has seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The candidate that this keeper voted for in that term.
     pub vote: Option<KeeperIdentity>,
 }
 
-/// What a keeper read back from its files.
+/// The persistent state of a keeper, as read at startup.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct RestoredState {
-    /// Who it is.
+    /// The keeper and its incarnation.
     pub identity: KeeperIdentity,
-    /// The term and vote.
+    /// The current term and vote.
     pub hard: HardState,
-    /// The newest snapshot.
+    /// The latest snapshot.
     pub snapshot: LogSnapshot,
-    /// The entries after it.
+    /// The entries after the snapshot.
     pub entries: Vec<LogEntry>,
 }
