--- a/crates/micaspool-quorum/src/core/election.rs
+++ b/crates/micaspool-quorum/src/core/election.rs
@@ -1,4 +1,4 @@
-//! Elections, with a pre-vote so that a keeper that was cut off does not disturb a leader.
+//! Elections. A pre-vote prevents a keeper that was partitioned from disrupting a leader.
 
 use super::{QuorumCore, RoleState};
 use crate::message::PeerBody;
@@ -6,16 +6,16 @@
 use micaspool_types::{Moment, Term};
 use std::collections::HashSet;
 
-/// The votes of one election or pre-vote.
+/// The votes received in one election or pre-vote.
 #[derive(Debug, Default)]
 pub(super) struct ElectionState {
-    /// True while only a pre-vote is going on; the term is not begun yet.
+    /// Whether this is a pre-vote, which does not start a term yet.
     is_pre_vote: bool,
     granted: HashSet<KeeperIdentity>,
 }
 
 impl QuorumCore {
-    /// Asks the others whether they would vote for this keeper.
+    /// Asks the other voters whether they would vote for this keeper.
     pub(super) fn begin_pre_vote(&mut self, now: Moment) {
         self.reset_election(now);
         self.leader = None;
@@ -51,7 +51,7 @@
         (self.log.last_term(), self.log.last_index())
     }
 
-    /// True when this keeper may vote at all: its own life of the data folder is in the group.
+    /// Returns whether this keeper may vote at all: its own incarnation must be a member of the group.
     fn may_vote(&self) -> bool {
         self.log.membership().contains(&self.identity)
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Goes on when a majority of the voters has agreed.
+    /// Starts the election or becomes leader once a majority of the voters has agreed.
     fn check_majority(&mut self, now: Moment) {
         let RoleState::Candidate(state) = &self.role else { return };
         let membership = self.log.membership();
--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -1,8 +1,8 @@
-//! The first group, and an operator's order to form one alone.
+//! Formation of the first group, and recovery as a single member by an operator's order.
 //!
-//! A first group forms only when every configured keeper is reachable and has an empty data
-//! folder; the one with the lowest name then names the members. Anything else is left to the
-//! leader of an existing group or to an operator.
+//! The first group is formed only when every configured keeper is reachable and has an empty data
+//! folder; the keeper with the lowest name then sends the membership to the others. All other
+//! cases are left to the leader of an existing group or to an operator.
 
 use super::{QuorumCore, RoleState};
 use crate::message::PeerBody;
@@ -10,15 +10,16 @@
 use micaspool_types::{InstanceName, Moment, Term};
 use std::collections::{BTreeSet, HashMap};
 
-/// How many announcements may be missed before a keeper no longer counts as reachable.
+/// The number of announcement intervals without an announcement after which a keeper is considered
+/// unreachable.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
-/// What a keeper without a group has heard.
+/// What a keeper knows of others from their announcements.
 #[derive(Debug, Default)]
 pub(super) struct FormingState {
     announcements: HashMap<InstanceName, ReceivedAnnouncement>,
     last_announced: Option<Moment>,
-    /// Keepers that others named, besides the configured ones.
+    /// Keepers learnt of from messages, besides the configured ones.
     discovered: BTreeSet<InstanceName>,
 }
 
@@ -30,8 +31,9 @@
 }
 
 impl QuorumCore {
-    /// Tells the others that this life of the keeper is in no group, or is no voter as far as it
-    /// knows: an operator may have formed a new group without it.
+    /// Announces this keeper to all known keepers, at most once per interval. Called while this
+    /// incarnation is not a voter as far as it knows: it belongs to no group, or an operator may have
+    /// formed a new group without it.
     pub(super) fn announce(&mut self, now: Moment) {
         let interval = self.options.announce_interval;
         if self.forming.last_announced.is_some_and(|at| now.since(at) < interval) {
@@ -45,15 +47,16 @@
         self.form_if_possible(now);
     }
 
-    /// A keeper without a group remembers whoever speaks to it: the leader still speaks to the earlier
-    /// life of one that lost its disk, also when all its seeds are gone.
+    /// Remembers the sender of a message while this keeper has no group. After a disk loss the leader
+    /// still sends to the earlier incarnation of this keeper, so that it finds the group even when all
+    /// seeds are gone. Applies to open groups only.
     pub(super) fn remember_sender(&mut self, from: &KeeperIdentity) {
         if self.options.open_group.is_some() && !self.is_formed() {
             self.forming.discovered.insert(from.name.clone());
         }
     }
 
-    /// Every other keeper that may lead or know who does.
+    /// Returns every other known keeper: one of them may be the leader or know it.
     fn known_keepers(&self) -> BTreeSet<InstanceName> {
         let mut known: BTreeSet<InstanceName> = self.other_keepers().into_iter().collect();
         known.extend(self.forming.discovered.iter().cloned());
@@ -90,7 +93,8 @@
         self.forming.announcements.insert(name, ReceivedAnnouncement { identity: from, empty, at: now });
     }
 
-    /// A member of a group hears a keeper that is in none.
+    /// Answers a keeper that belongs to no group. An initial member that missed the `Form` message gets
+    /// it again; any other keeper gets the names of the members and may be admitted.
     fn answer_unformed(&mut self, now: Moment, from: KeeperIdentity) {
         let snapshot = self.log.snapshot();
         if snapshot.index == LogIndex(0) && snapshot.membership.contains(&from) {
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Takes the first group over, when it has exactly this life of the keeper and there is none.
+    /// Adopts the first group if this keeper has none and its own incarnation is a member.
     pub(super) fn adopt_group(&mut self, now: Moment, membership: GroupMembership) {
         if self.is_formed() || !membership.contains(&self.identity) {
             return;
@@ -138,7 +142,8 @@
         self.become_follower(now, None);
     }
 
-    /// An operator's order: this keeper alone becomes the group, with everything in its log.
+    /// Makes this keeper the only member of the group by an operator's order, with all entries of its
+    /// log, committed or not.
     pub(super) fn recover_alone(&mut self, now: Moment) {
         let alone = GroupMember { identity: self.identity.clone(), voter: true };
         let membership = GroupMembership { members: vec![alone] };
--- a/crates/micaspool-quorum/src/core/group.rs
+++ b/crates/micaspool-quorum/src/core/group.rs
@@ -1,21 +1,24 @@
-//! Changes of the group, one member at a time, by the leader.
+//! Membership changes. The leader changes one member at a time.
 //!
-//! A keeper whose data folder is new may have voted and acknowledged in its earlier life, and
-//! remembers none of it. So the leader first replaces the earlier life by the new one as a member
-//! that does not count, and makes it count only when everything committed is durable there.
+//! A keeper with a new data folder may have voted and acknowledged entries in an earlier
+//! incarnation, and has lost all record of it. The leader therefore first replaces the earlier
+//! incarnation by the new one as a learner, and promotes it to voter only when it has made every
+//! committed entry durable.
 
 use super::{QuorumCore, RoleState};
 use crate::types::{EntryPayload, GroupMember, KeeperIdentity};
 use micaspool_types::Moment;
 
 impl QuorumCore {
-    /// True when the group may change: the last change and an entry of this term are committed.
+    /// Returns whether the leader may change the membership: both the last change and an entry of the
+    /// current term are committed.
     fn may_change_membership(&self) -> bool {
         let changed = self.log.membership_index();
         self.is_leader() && changed <= self.commit && self.log.term_at(self.commit) == Some(self.hard.term)
     }
 
-    /// A keeper with a new data folder asks to come in.
+    /// Adds a keeper as a learner, if the options allow it and no change is under way. An earlier
+    /// incarnation that is still in contact with the leader is not replaced.
     pub(super) fn admit_learner(&mut self, now: Moment, learner: KeeperIdentity) {
         let membership = self.log.membership();
         let may_join = self.options.open_group.is_some() || self.options.configured.contains(&learner.name);
@@ -33,22 +36,22 @@
         self.replicate_idle(now);
     }
 
-    /// A member of the group that was dropped while it was silent, and knows nothing of it, asks
-    /// for votes: an open group lets it in again.
+    /// Admits a former member again that asks for votes. A member that was removed while it was
+    /// unreachable does not know that and starts elections. Applies to open groups only.
     pub(super) fn readmit_removed(&mut self, now: Moment, from: &KeeperIdentity) {
         if self.options.open_group.is_some() && self.is_formed() {
             self.admit_learner(now, from.clone());
         }
     }
 
-    /// Changes the group by one member when something is due.
+    /// Removes an unreachable voter or promotes a caught-up learner, one change at a time.
     pub(super) fn update_membership(&mut self, now: Moment) {
         if !self.may_change_membership() {
             return;
         }
         let learner = self.caught_up_learner();
         let changed = match (self.removable_voter(now, learner.is_some()), learner) {
-            (Some(silent), _) => self.log.membership().without_member(&silent),
+            (Some(unreachable), _) => self.log.membership().without_member(&unreachable),
             (None, Some(identity)) if self.reaches_every_voter(now) => {
                 self.log.membership().with_member(GroupMember { identity, voter: true })
             }
@@ -58,7 +61,7 @@
         self.replicate_idle(now);
     }
 
-    /// The first member that does not count yet and has everything committed durable.
+    /// Returns the first learner that has made every committed entry durable.
     fn caught_up_learner(&self) -> Option<KeeperIdentity> {
         let RoleState::Leader(state) = &self.role else { return None };
         let caught_up = |member: &&GroupMember| {
@@ -68,9 +71,10 @@
         self.log.membership().members.iter().find(caught_up).map(|member| member.identity.clone())
     }
 
-    /// False while a voter is silent that a learner may have to replace: made a voter beside it, the
-    /// learner would raise the majority and the group could not bear another loss. A closed group
-    /// replaces lives of the same keeper only and need not wait.
+    /// Returns whether the leader has recent contact with every voter. In an open group a learner is
+    /// not promoted while a voter is unreachable: it may have to replace that voter, and as an
+    /// additional voter it would raise the majority, so that the group could not tolerate another
+    /// failure. A closed group only replaces incarnations of the same keeper and need not wait.
     fn reaches_every_voter(&self, now: Moment) -> bool {
         let RoleState::Leader(state) = &self.role else { return false };
         let is_reachable = |voter: &KeeperIdentity| {
@@ -79,8 +83,8 @@
         self.options.open_group.is_none() || self.log.membership().voters().all(is_reachable)
     }
 
-    /// The voter that has been silent longest, when an open group may do without it: a learner
-    /// stands ready for its place, or there are more voters than needed.
+    /// Returns the voter that has been unreachable longest, if an open group may remove it: a caught-up
+    /// learner can replace it, or there are more voters than the target.
     fn removable_voter(&self, now: Moment, has_replacement: bool) -> Option<KeeperIdentity> {
         let options = self.options.open_group?;
         let RoleState::Leader(state) = &self.role else { return None };
@@ -92,8 +96,9 @@
             (false, false) => return None,
         };
         let others = membership.voters().filter(|voter| **voter != self.identity);
-        let silent = others.map(|voter| (state.time_since_contact(now, voter), voter));
-        let (time_since_contact, voter) = silent.max_by_key(|(time_since_contact, _)| *time_since_contact)?;
+        let candidates = others.map(|voter| (state.time_since_contact(now, voter), voter));
+        let (time_since_contact, voter) =
+            candidates.max_by_key(|(time_since_contact, _)| *time_since_contact)?;
         (time_since_contact > limit).then(|| voter.clone())
     }
 }
--- a/crates/micaspool-quorum/src/core/mod.rs
+++ b/crates/micaspool-quorum/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of one keeper.
+//! The consensus state machine of one keeper.
 
 mod election;
 mod forming;
@@ -21,32 +21,34 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What a keeper is to its group.
+/// The role of a keeper in its group.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum QuorumRole {
-    /// It belongs to no group yet.
+    /// The keeper belongs to no group yet.
     Unformed,
-    /// It follows a leader, or waits for one.
+    /// The keeper follows a leader, or waits for one.
     Follower,
-    /// It asks for votes.
+    /// The keeper asks for votes.
     Candidate,
-    /// It leads.
+    /// The keeper leads the group.
     Leader,
 }
 
-/// Why an entry was not taken.
+/// The reason why an entry could not be proposed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum ProposeError {
-    /// This keeper does not lead; the one named does, as far as it knows.
+    /// This keeper is not the leader. Contains the leader, if this keeper knows one.
     NotLeader(Option<InstanceName>),
 }
 
 impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ProposeError::NotLeader(Some(leader)) => write!(f, "this keeper does not lead; ask {leader}"),
+            ProposeError::NotLeader(Some(leader)) => {
+                write!(f, "this keeper is not the leader; send the command to {leader}")
+            }
             ProposeError::NotLeader(None) => {
-                f.write_str("this keeper knows no leader; ask another or come back")
+                f.write_str("this keeper knows no leader; try another keeper or retry later")
             }
         }
     }
@@ -54,26 +56,27 @@
 
 impl std::error::Error for ProposeError {}
 
-/// What operators see of a keeper.
+/// The state of a keeper as shown to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct QuorumStatus {
-    /// Its role.
+    /// The role in the group.
     pub role: QuorumRole,
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// The leader that it knows.
+    /// The leader, if known.
     pub leader: Option<InstanceName>,
-    /// The newest committed entry.
+    /// The last committed entry.
     pub commit: LogIndex,
-    /// The last entry.
+    /// The last entry of the log.
     pub last: LogIndex,
-    /// The group.
+    /// The latest membership, committed or not.
     pub membership: GroupMembership,
-    /// True when a majority was heard within the election timeout, directly or through the leader.
+    /// Whether this keeper has had contact with a majority within the election timeout, directly as
+    /// the leader or through the leader. See [`QuorumCore::is_confirmed`].
     pub confirmed: bool,
 }
 
-/// The state of the role.
+/// The role with the state that it needs.
 #[derive(Debug)]
 enum RoleState {
     Follower,
@@ -81,7 +84,8 @@
     Leader(LeaderState),
 }
 
-/// One keeper's part of the replicated log.
+/// The consensus state machine of one keeper. It performs no I/O: see [`QuorumCore::step`] and
+/// [`QuorumCore::take_output`].
 #[derive(Debug)]
 pub struct QuorumCore {
     options: QuorumOptions,
@@ -89,23 +93,23 @@
     hard: HardState,
     log: EntryLog,
     commit: LogIndex,
-    /// The last entry that was handed out as committed.
+    /// The last entry that was put into `output.committed`.
     applied: LogIndex,
     role: RoleState,
     leader: Option<KeeperIdentity>,
-    /// When the leader was last heard.
+    /// When the last message of a leader arrived.
     leader_last_contact: Option<Moment>,
     election_deadline: Moment,
     forming: FormingState,
     rng: ChaCha8Rng,
     output: QuorumOutput,
     hard_dirty: bool,
-    /// Our last entry that is durable.
+    /// The last entry of this keeper's log that is durable.
     saved: LogIndex,
 }
 
 impl QuorumCore {
-    /// A keeper that continues from what it read back. `seed` spreads election times.
+    /// Creates a keeper from its persistent state. `seed` randomises the election timeouts.
     pub fn new(now: Moment, options: QuorumOptions, restored: RestoredState, seed: u64) -> QuorumCore {
         let log = EntryLog::new(restored.snapshot, restored.entries);
         let start = log.snapshot().index;
@@ -130,7 +134,7 @@
         core
     }
 
-    /// Takes an event in; what follows from it waits in [`QuorumCore::take_output`].
+    /// Processes an event. The effects are collected until [`QuorumCore::take_output`] is called.
     pub fn step(&mut self, now: Moment, event: QuorumEvent) {
         match event {
             QuorumEvent::Tick => self.tick(now),
@@ -141,9 +145,10 @@
         }
     }
 
-    /// Adds an entry when this keeper leads, and gives its position and term.
+    /// Appends an entry if this keeper leads, and returns its position and term.
     ///
-    /// The entry counts once it is handed out as committed with the same term.
+    /// The entry has taken effect once it appears in [`QuorumOutput::committed`] with the same term.
+    /// If another entry appears at that position, it was lost.
     pub fn propose(&mut self, now: Moment, payload: EntryPayload) -> Result<(LogIndex, Term), ProposeError> {
         if !matches!(self.role, RoleState::Leader(_)) {
             let leader = self.leader.as_ref().map(|leader| leader.name.clone());
@@ -154,7 +159,7 @@
         Ok((index, self.hard.term))
     }
 
-    /// What the driver must do now.
+    /// Returns the effects of all events since the last call.
     pub fn take_output(&mut self) -> QuorumOutput {
         if self.hard_dirty {
             self.output.save.hard = Some(self.hard.clone());
@@ -163,18 +168,18 @@
         std::mem::take(&mut self.output)
     }
 
-    /// The number of entries after the newest snapshot.
+    /// Returns the number of entries after the latest snapshot.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// Who this keeper is.
+    /// Returns the identity of this keeper.
     pub fn identity(&self) -> &KeeperIdentity {
         &self.identity
     }
 
-    /// True when this keeper leads and heard a majority within the election timeout, or follows
-    /// a leader that it heard within that time.
+    /// Returns whether this keeper leads and has had contact with a majority within the election
+    /// timeout, or follows a leader that it has had contact with in that time.
     pub fn is_confirmed(&self, now: Moment) -> bool {
         match &self.role {
             RoleState::Leader(state) => {
@@ -187,12 +192,12 @@
         }
     }
 
-    /// True when this keeper leads.
+    /// Returns whether this keeper leads.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, RoleState::Leader(_))
     }
 
-    /// What operators see.
+    /// Returns the state as shown to operators.
     pub fn status(&self, now: Moment) -> QuorumStatus {
         let role = match &self.role {
             _ if !self.is_formed() => QuorumRole::Unformed,
@@ -259,7 +264,7 @@
         }
     }
 
-    /// Takes over what an accepted leader sent.
+    /// Processes the content of an `Append` or `Install` from the current leader.
     fn handle_leader_message(&mut self, from: &KeeperIdentity, body: PeerBody, accepted: bool) {
         match body {
             PeerBody::Append { prev, prev_term, entries, commit, sent_at } if accepted => {
@@ -272,7 +277,7 @@
         }
     }
 
-    /// Moves to a newer term as a follower without a vote.
+    /// Adopts a newer term as a follower that has not voted yet.
     fn enter_term(&mut self, now: Moment, term: Term) {
         self.hard = HardState { term, vote: None };
         self.hard_dirty = true;
@@ -292,7 +297,7 @@
         self.election_deadline = now + min_timeout + Duration::from_micros(jitter);
     }
 
-    /// Adds an entry of this term to the log and to what must be saved.
+    /// Appends an entry of the current term to the log and to the save batch.
     fn append_entry(&mut self, payload: EntryPayload) -> LogIndex {
         let index = self.log.last_index().next();
         let entry = LogEntry { index, term: self.hard.term, payload };
@@ -306,7 +311,7 @@
         self.output.send.push(Envelope { to: to.clone(), message });
     }
 
-    /// Hands out the entries up to the commit index.
+    /// Adds the entries up to the commit index to `output.committed`.
     fn emit_committed(&mut self) {
         while self.applied < self.commit {
             let next = self.applied.next();
--- a/crates/micaspool-quorum/src/core/replication.rs
+++ b/crates/micaspool-quorum/src/core/replication.rs
@@ -1,4 +1,4 @@
-//! A leader's entries on their way to the members, and a follower's side of it.
+//! Replication of the log from the leader to the members: both the leader's and the follower's side.
 
 use super::{QuorumCore, RoleState};
 use crate::message::PeerBody;
@@ -8,21 +8,21 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What a leader knows of one member.
+/// The leader's view of one member.
 #[derive(Debug, Clone)]
 pub(super) struct MemberProgress {
-    /// The last entry that is durable there.
+    /// The last entry known to be durable at the member.
     pub matched: LogIndex,
     /// The next entry to send.
     next: LogIndex,
-    /// When the message that is not answered yet was sent.
+    /// The send time of the message that awaits a reply, if any.
     in_flight: Option<Moment>,
-    /// When the newest answered message was sent; the lease runs from it.
+    /// The send time of the latest message that was answered. The leader lease counts from it.
     pub last_contact: Option<Moment>,
     last_sent: Option<Moment>,
 }
 
-/// The state of a leader.
+/// The state that a keeper has while it leads.
 #[derive(Debug)]
 pub(super) struct LeaderState {
     pub progress: HashMap<KeeperIdentity, MemberProgress>,
@@ -34,8 +34,8 @@
         LeaderState { progress: HashMap::new(), elected_at: now }
     }
 
-    /// True when a majority of voters, this keeper included, was heard within the timeout. A new
-    /// leader counts its election as the first sign of life.
+    /// Returns whether a majority of voters, including this keeper, was reachable within the election
+    /// timeout. A voter that has not answered yet counts as contacted at the election of the leader.
     pub fn has_majority(
         &self,
         now: Moment,
@@ -54,14 +54,15 @@
         membership.voters().filter(|voter| is_reachable(voter)).count() >= membership.majority()
     }
 
-    /// How long a member was not heard; from the election on when it never was.
+    /// Returns the time since the last contact with a member, at most the time since the election of
+    /// this leader.
     pub fn time_since_contact(&self, now: Moment, member: &KeeperIdentity) -> Duration {
         let last_contact =
             self.progress.get(member).and_then(|progress| progress.last_contact).unwrap_or(self.elected_at);
         now.since(last_contact.max(self.elected_at))
     }
 
-    /// True when this life of a keeper was heard within the timeout.
+    /// Returns whether this incarnation of a keeper has answered within the election timeout.
     pub fn has_recent_contact(&self, now: Moment, member: &KeeperIdentity, options: &QuorumOptions) -> bool {
         let last_contact = self.progress.get(member).and_then(|progress| progress.last_contact);
         last_contact.is_some_and(|last_contact| now.since(last_contact) < options.election_timeout)
@@ -69,7 +70,8 @@
 }
 
 impl QuorumCore {
-    /// A leader's regular work: step down without a majority, else speak to each member.
+    /// Runs the leader's timers: steps down without a majority, otherwise sends due heartbeats and
+    /// changes the membership if needed.
     pub(super) fn tick_leader(&mut self, now: Moment) {
         let RoleState::Leader(state) = &self.role else { return };
         if !state.has_majority(now, &self.identity, self.log.membership(), &self.options) {
@@ -100,7 +102,7 @@
         members.filter(|member| **member != self.identity).cloned().collect()
     }
 
-    /// Brings the list of members that the leader follows in line with the group.
+    /// Adds and removes progress records so that they match the membership.
     fn sync_progress(&mut self) {
         let next = self.log.last_index().next();
         let members = self.other_members();
@@ -150,7 +152,8 @@
         self.send(&member.name, body);
     }
 
-    /// A follower's view of a message from a leader; false when the sender leads an older term.
+    /// Accepts the sender as leader and resets the election timeout. Rejects a sender with an older
+    /// term and returns false.
     pub(super) fn accept_leader(
         &mut self,
         now: Moment,
@@ -191,7 +194,8 @@
         self.send(&from.name, PeerBody::AppendReply { accepted: true, matched, sent_at });
     }
 
-    /// Adds an entry unless it is there; a different one at its place is dropped with its followers.
+    /// Appends an entry that the log does not have yet. A conflicting entry at its position is dropped
+    /// first, with all entries after it.
     fn accept_entry(&mut self, entry: LogEntry) {
         if entry.index <= self.log.snapshot().index || self.log.term_at(entry.index) == Some(entry.term) {
             return;
@@ -227,7 +231,7 @@
         self.send(&from.name, PeerBody::AppendReply { accepted: true, matched, sent_at });
     }
 
-    /// A leader's view of an answer.
+    /// Updates the progress of a member from its reply, and sends what it needs next.
     pub(super) fn handle_append_reply(
         &mut self,
         now: Moment,
@@ -257,7 +261,8 @@
         }
     }
 
-    /// Commits what a majority has made durable, counting only entries of this term.
+    /// Advances the commit index to the last entry that a majority has made durable, if that entry is
+    /// of the current term. Entries of earlier terms are committed with it, as in Raft.
     pub(super) fn advance_commit(&mut self, now: Moment) {
         let RoleState::Leader(state) = &self.role else { return };
         let membership = self.log.membership();
