--- a/crates/micaspool-quorum/tests/faults.rs
+++ b/crates/micaspool-quorum/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The fault table of the replicated log, in virtual time.
+//! Single faults of a closed group, in virtual time.
 
 mod harness;
 
@@ -6,7 +6,7 @@
 use micaspool_quorum::{QuorumEvent, QuorumRole};
 use test_case::test_case;
 
-fn formed(seed: u64) -> Harness {
+fn formed_group(seed: u64) -> Harness {
     let mut harness = Harness::new(3, seed);
     harness.elect(5_000);
     harness.commit(b"first", 5_000);
@@ -17,7 +17,7 @@
 fn first_group_needs_every_configured_keeper() {
     let mut harness = Harness::new(3, 1);
     harness.crash(2);
-    harness.run(5_000);
+    harness.run_for(5_000);
     assert!(harness.leader().is_none(), "two of three empty keepers must not form a group");
     harness.start(2);
     harness.elect(5_000);
@@ -33,51 +33,51 @@
 #[test_case(true; "before commit")]
 #[test_case(false; "after commit")]
 fn leader_killed_around_a_commit(before: bool) {
-    let mut harness = formed(2);
+    let mut harness = formed_group(2);
     let leader = harness.leader().expect("a leader exists");
     assert!(harness.propose(leader, b"second"));
     if !before {
-        harness.run(100);
+        harness.run_for(100);
         assert!(harness.acknowledged.contains(&b"second".to_vec()));
     }
     harness.crash(leader);
     harness.elect(5_000);
     harness.commit(b"third", 5_000);
     harness.start(leader);
-    harness.run(2_000);
+    harness.run_for(2_000);
     harness.check_acknowledged();
     let expected = harness.history.clone();
     assert!(harness.nodes.iter().all(|node| node.applied == expected));
 }
 
 #[test]
-fn leader_cut_off_for_an_hour_neither_commits_nor_claims_to_be_confirmed() {
-    let mut harness = formed(3);
+fn leader_partitioned_for_an_hour_neither_commits_nor_reports_confirmed() {
+    let mut harness = formed_group(3);
     let leader = harness.leader().expect("a leader exists");
     harness.isolate(leader, true);
     harness.propose(leader, b"lost");
-    harness.run(3_600_000);
+    harness.run_for(3_600_000);
     let now = harness.now;
     let core = harness.nodes[leader].core.as_ref().expect("the keeper runs");
-    assert!(!core.is_confirmed(now), "a keeper that heard no majority says so");
+    assert!(!core.is_confirmed(now), "a keeper without contact with a majority is not confirmed");
     assert!(!core.is_leader(), "a leader without a majority steps down");
     assert!(!harness.acknowledged.contains(&b"lost".to_vec()));
     harness.commit(b"elsewhere", 5_000);
     harness.isolate(leader, false);
-    harness.run(3_000);
+    harness.run_for(3_000);
     assert!(!harness.history.contains(&b"lost".to_vec()));
 }
 
 #[test]
-fn frozen_leader_thaws_into_a_newer_term() {
-    let mut harness = formed(4);
+fn paused_leader_resumes_in_a_newer_term() {
+    let mut harness = formed_group(4);
     let leader = harness.leader().expect("a leader exists");
-    harness.nodes[leader].frozen = true;
-    harness.run(10_000);
+    harness.nodes[leader].paused = true;
+    harness.run_for(10_000);
     harness.commit(b"meanwhile", 5_000);
-    harness.nodes[leader].frozen = false;
+    harness.nodes[leader].paused = false;
     harness.propose(leader, b"thawed");
-    harness.run(3_000);
+    harness.run_for(3_000);
     harness.check_acknowledged();
     let expected = harness.history.clone();
     assert!(harness.nodes.iter().all(|node| node.applied == expected));
@@ -85,25 +85,25 @@
 
 #[test]
 fn wiped_keeper_does_not_vote_before_it_is_replaced() {
-    let mut harness = formed(5);
+    let mut harness = formed_group(5);
     let leader = harness.leader().expect("a leader exists");
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     harness.commit(b"acknowledged by all", 5_000);
     harness.crash(leader);
     harness.wipe(others[0]);
-    harness.run(20_000);
-    assert!(harness.leader().is_none(), "one keeper with a log and an empty one are no majority");
+    harness.run_for(20_000);
+    assert!(harness.leader().is_none(), "a keeper with a log and an empty one are no majority");
     harness.start(leader);
     harness.elect(5_000);
-    harness.run(5_000);
+    harness.run_for(5_000);
     harness.check_acknowledged();
     let status = harness.nodes[leader].core.as_ref().expect("the keeper runs").status(harness.now);
-    assert_eq!(status.membership.voters().count(), 3, "the wiped keeper counts again once it is caught up");
+    assert_eq!(status.membership.voters().count(), 3, "the wiped keeper is a voter again after catching up");
 }
 
 #[test]
-fn second_loss_right_after_the_repair() {
-    let mut harness = formed(6);
+fn disk_loss_right_after_each_repair() {
+    let mut harness = formed_group(6);
     for round in 0..6_u8 {
         harness.commit(&[b'r', round], 10_000);
         let leader = harness.elect(5_000);
@@ -113,13 +113,13 @@
         harness.check_acknowledged();
     }
     let expected = harness.history.clone();
-    harness.run(2_000);
+    harness.run_for(2_000);
     assert!(harness.nodes.iter().all(|node| node.applied == expected));
 }
 
 fn wait_for_voters(harness: &mut Harness, count: usize) {
     for _ in 0..1_000 {
-        harness.run(20);
+        harness.run_for(20);
         let Some(leader) = harness.leader() else { continue };
         let status = harness.nodes[leader].core.as_ref().expect("the keeper runs").status(harness.now);
         let settled = status.membership.members.iter().all(|member| {
@@ -137,7 +137,7 @@
 
 #[test]
 fn all_restarted_at_once() {
-    let mut harness = formed(7);
+    let mut harness = formed_group(7);
     for node in 0..3 {
         harness.crash(node);
     }
@@ -150,7 +150,7 @@
 
 #[test]
 fn far_behind_follower_gets_a_snapshot() {
-    let mut harness = formed(8);
+    let mut harness = formed_group(8);
     let leader = harness.leader().expect("a leader exists");
     let behind = (leader + 1) % 3;
     harness.crash(behind);
@@ -160,35 +160,35 @@
     let leader = harness.elect(5_000);
     harness.compact(leader);
     harness.start(behind);
-    harness.run(3_000);
+    harness.run_for(3_000);
     assert_eq!(harness.nodes[behind].applied, harness.history);
 }
 
 #[test]
 fn an_operator_can_recover_a_group_that_lost_two_of_three() {
-    let mut harness = formed(9);
+    let mut harness = formed_group(9);
     harness.commit(b"kept", 5_000);
     let leader = harness.leader().expect("a leader exists");
     for node in (0..3).filter(|node| *node != leader) {
         harness.wipe(node);
     }
-    harness.run(10_000);
+    harness.run_for(10_000);
     assert!(harness.leader().is_none());
-    harness.feed(leader, QuorumEvent::RecoverAlone);
+    harness.inject_event(leader, QuorumEvent::RecoverAlone);
     wait_for_voters(&mut harness, 3);
     harness.commit(b"again", 5_000);
-    harness.run(2_000);
+    harness.run_for(2_000);
     assert!(harness.nodes.iter().all(|node| node.applied == harness.history));
     assert!(harness.history.contains(&b"kept".to_vec()));
 }
 
 #[test]
-fn a_wiped_group_shows_no_leader_while_one_is_missing() {
-    let mut harness = formed(10);
+fn wiped_group_has_no_leader_while_one_keeper_is_down() {
+    let mut harness = formed_group(10);
     harness.crash(0);
     harness.wipe(1);
     harness.wipe(2);
-    harness.run(10_000);
+    harness.run_for(10_000);
     assert!(harness.leader().is_none());
     let roles: Vec<QuorumRole> = harness.nodes[1..]
         .iter()
@@ -198,8 +198,8 @@
 }
 
 #[test]
-fn a_wiped_keeper_counts_only_once_it_is_caught_up() {
-    let mut harness = formed(11);
+fn wiped_keeper_votes_only_after_catching_up() {
+    let mut harness = formed_group(11);
     let leader = harness.leader().expect("a leader exists");
     let wiped = (leader + 1) % 3;
     harness.wipe(wiped);
@@ -210,12 +210,12 @@
         members.find(|member| member.identity.incarnation.0 == current).map(|member| member.voter)
     };
     while counts(&harness).is_none() {
-        harness.run(10);
+        harness.run_for(10);
     }
     harness.isolate(wiped, true);
-    harness.run(5_000);
+    harness.run_for(5_000);
     assert_eq!(counts(&harness), Some(false), "nothing is durable there yet");
     harness.isolate(wiped, false);
-    harness.run(2_000);
+    harness.run_for(2_000);
     assert_eq!(counts(&harness), Some(true));
 }
--- a/crates/micaspool-quorum/tests/harness/mod.rs
+++ b/crates/micaspool-quorum/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! Keepers in virtual time with a link that drops, delays and reorders, and disks that can be lost.
+//! Simulates keepers in virtual time, with links that drop, delay and reorder messages and with
+//! disks that can be lost.
 
 #![allow(dead_code, reason = "each test file is a crate of its own and uses a part of this")]
 
@@ -14,7 +15,7 @@
 const STEP_MICROS: u64 = 10_000;
 const START_MICROS: u64 = 1_000_000;
 
-/// What survives a crash.
+/// The state that survives a crash.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub hard: HardState,
@@ -38,30 +39,30 @@
     }
 }
 
-/// One keeper; `core` is absent while it is down.
+/// A simulated keeper. `core` is `None` while it is down.
 pub struct Node {
     pub name: InstanceName,
     pub incarnation: u64,
     pub core: Option<QuorumCore>,
     pub disk: Disk,
-    pub frozen: bool,
+    pub paused: bool,
     /// Commands applied since the start of the log, in order.
     pub applied: Vec<Vec<u8>>,
 }
 
-/// All keepers, the link between them, and what must never be broken.
+/// All keepers and the network between them, with checks of the invariants at each step.
 pub struct Harness {
     pub now: Moment,
     pub nodes: Vec<Node>,
     pub rng: ChaCha8Rng,
     pub drop_percent: u32,
-    /// Set for a group that changes without an operator, formed by the first `seeds` keepers.
+    /// The rules of an open group and the number of keepers that form it. `None` for a closed group.
     pub open: Option<(OpenGroupOptions, usize)>,
-    pub cut: BTreeSet<(usize, usize)>,
-    mail: BTreeMap<(Moment, u64), (usize, usize, Envelope)>,
-    next_mail: u64,
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    in_flight: BTreeMap<(Moment, u64), (usize, usize, Envelope)>,
+    next_message_number: u64,
     leaders: HashMap<Term, KeeperIdentity>,
-    /// Every command that was ever applied anywhere, by position.
+    /// Every command that any keeper has applied, by position.
     pub history: Vec<Vec<u8>>,
     pub acknowledged: Vec<Vec<u8>>,
     waiting: HashMap<(usize, LogIndex, Term), Vec<u8>>,
@@ -72,7 +73,7 @@
         Harness::with_group(count, seed, None)
     }
 
-    /// A group that bears the loss of one keeper and changes without an operator.
+    /// Creates an open group that tolerates the failure of one keeper.
     pub fn open(count: usize, seed: u64) -> Harness {
         Harness::with_group(count, seed, Some((OpenGroupOptions::tolerating(1), count)))
     }
@@ -84,9 +85,9 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             drop_percent: 0,
             open,
-            cut: BTreeSet::new(),
-            mail: BTreeMap::new(),
-            next_mail: 0,
+            blocked_links: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
+            next_message_number: 0,
             leaders: HashMap::new(),
             history: Vec::new(),
             acknowledged: Vec::new(),
@@ -100,7 +101,7 @@
                 incarnation: 0,
                 core: None,
                 disk,
-                frozen: false,
+                paused: false,
                 applied: Vec::new(),
             });
         }
@@ -128,27 +129,27 @@
         let restored =
             RestoredState { identity, hard: disk.hard, snapshot: disk.snapshot, entries: disk.entries };
         target.core = Some(QuorumCore::new(self.now, options, restored, seed));
-        target.frozen = false;
+        target.paused = false;
     }
 
-    /// Adds an empty keeper under a new name, which knows the seeds only.
-    pub fn add(&mut self) -> usize {
+    /// Starts an empty keeper under a new name, which knows only the seeds.
+    pub fn add_keeper(&mut self) -> usize {
         let number = self.nodes.len();
         let name = InstanceName::parse(&format!("keeper-{number}")).expect("the name is well-formed");
         let disk = Disk::default();
         let incarnation = self.rng.random();
-        self.nodes.push(Node { name, incarnation, core: None, disk, frozen: false, applied: Vec::new() });
+        self.nodes.push(Node { name, incarnation, core: None, disk, paused: false, applied: Vec::new() });
         self.start(number);
         number
     }
 
-    /// Loses everything that is not on disk.
+    /// Stops a keeper without warning. Everything that is not on its disk is lost.
     pub fn crash(&mut self, node: usize) {
         self.nodes[node].core = None;
         self.waiting.retain(|(owner, _, _), _| *owner != node);
     }
 
-    /// Loses the disk too and starts again with a new one.
+    /// Stops a keeper, replaces its disk by an empty one, and starts it as a new incarnation.
     pub fn wipe(&mut self, node: usize) {
         self.crash(node);
         self.nodes[node].disk = Disk::default();
@@ -156,31 +157,31 @@
         self.start(node);
     }
 
-    /// Cuts or mends the link between two keepers.
-    pub fn set_cut(&mut self, one: usize, other: usize, cut: bool) {
+    /// Blocks or restores the link between two keepers, in both directions.
+    pub fn set_link_blocked(&mut self, one: usize, other: usize, blocked: bool) {
         for pair in [(one, other), (other, one)] {
-            if cut {
-                self.cut.insert(pair);
+            if blocked {
+                self.blocked_links.insert(pair);
             } else {
-                self.cut.remove(&pair);
+                self.blocked_links.remove(&pair);
             }
         }
     }
 
-    /// Cuts a keeper from all others, or mends that.
-    pub fn isolate(&mut self, node: usize, cut: bool) {
+    /// Blocks or restores the links of a keeper to all others.
+    pub fn isolate(&mut self, node: usize, blocked: bool) {
         for other in (0..self.nodes.len()).filter(|other| *other != node) {
-            self.set_cut(node, other, cut);
+            self.set_link_blocked(node, other, blocked);
         }
     }
 
-    pub fn run(&mut self, millis: u64) {
+    pub fn run_for(&mut self, millis: u64) {
         let end = Moment(self.now.0 + millis * 1_000);
         while self.now < end {
             self.now = Moment(self.now.0 + STEP_MICROS);
             self.deliver_due();
             for node in 0..self.nodes.len() {
-                self.feed(node, QuorumEvent::Tick);
+                self.inject_event(node, QuorumEvent::Tick);
             }
         }
     }
@@ -195,22 +196,22 @@
         leaders.pop()
     }
 
-    /// Runs until a leader exists that has committed in its term; fails after `millis`.
+    /// Runs until a leader is confirmed by a majority. Panics after `millis`.
     pub fn elect(&mut self, millis: u64) -> usize {
         let end = self.now.0 + millis * 1_000;
         while self.now.0 < end {
             if let Some(leader) = self.leader() {
                 return leader;
             }
-            self.run(10);
+            self.run_for(10);
         }
         panic!("no leader within {millis} ms");
     }
 
-    /// Proposes a command at a keeper; false when it does not lead.
+    /// Proposes a command to a keeper. Returns false if the keeper does not lead, or is down or paused.
     pub fn propose(&mut self, node: usize, command: &[u8]) -> bool {
         let now = self.now;
-        if self.nodes[node].frozen {
+        if self.nodes[node].paused {
             return false;
         }
         let Some(core) = self.nodes[node].core.as_mut() else { return false };
@@ -218,18 +219,18 @@
             return false;
         };
         self.waiting.insert((node, index, term), command.to_vec());
-        self.drain(node);
+        self.process_output(node);
         true
     }
 
-    /// Commits a command through whichever keeper leads; fails after `millis`.
+    /// Proposes a command to the current leader until it is acknowledged. Panics after `millis`.
     pub fn commit(&mut self, command: &[u8], millis: u64) {
         let end = self.now.0 + millis * 1_000;
         while self.now.0 < end {
             if let Some(leader) = self.leader() {
                 self.propose(leader, command);
             }
-            self.run(100);
+            self.run_for(100);
             if self.acknowledged.iter().any(|done| done == command) {
                 return;
             }
@@ -237,37 +238,37 @@
         panic!("command not committed within {millis} ms");
     }
 
-    pub fn feed(&mut self, node: usize, event: QuorumEvent) {
+    pub fn inject_event(&mut self, node: usize, event: QuorumEvent) {
         let now = self.now;
-        if self.nodes[node].frozen {
+        if self.nodes[node].paused {
             return;
         }
         if let Some(core) = self.nodes[node].core.as_mut() {
             core.step(now, event);
-            self.drain(node);
+            self.process_output(node);
         }
     }
 
-    fn drain(&mut self, node: usize) {
+    fn process_output(&mut self, node: usize) {
         while let Some(core) = self.nodes[node].core.as_mut() {
             let output = core.take_output();
             if output.is_empty() {
                 break;
             }
             let saving = !output.save.is_empty();
-            self.act(node, output);
+            self.execute_output(node, output);
             if saving {
                 let now = self.now;
                 self.nodes[node].core.as_mut().expect("the keeper runs").step(now, QuorumEvent::Saved);
             }
         }
-        self.note_leader(node);
+        self.check_single_leader(node);
     }
 
-    fn act(&mut self, node: usize, output: QuorumOutput) {
+    fn execute_output(&mut self, node: usize, output: QuorumOutput) {
         self.nodes[node].disk.save(output.save);
         for envelope in output.send {
-            self.post(node, envelope);
+            self.enqueue_message(node, envelope);
         }
         if let Some(snapshot) = output.install {
             self.nodes[node].applied = decode_commands(&snapshot.data);
@@ -290,7 +291,7 @@
         self.nodes[node].applied.push(command);
     }
 
-    fn note_leader(&mut self, node: usize) {
+    fn check_single_leader(&mut self, node: usize) {
         let Some(core) = self.nodes[node].core.as_ref().filter(|core| core.is_leader()) else { return };
         let term = core.status(self.now).term;
         let identity = core.identity().clone();
@@ -298,36 +299,36 @@
         assert_eq!(*known, identity, "two leaders in {term:?}");
     }
 
-    fn post(&mut self, from: usize, envelope: Envelope) {
+    fn enqueue_message(&mut self, from: usize, envelope: Envelope) {
         let to = self.nodes.iter().position(|node| node.name == envelope.to).expect("the receiver exists");
         if self.rng.random_range(0..100) < self.drop_percent {
             return;
         }
         let delay = self.rng.random_range(500..if self.drop_percent > 0 { 60_000 } else { 2_000 });
         let due = Moment(self.now.0 + delay);
-        self.next_mail += 1;
-        self.mail.insert((due, self.next_mail), (from, to, envelope));
+        self.next_message_number += 1;
+        self.in_flight.insert((due, self.next_message_number), (from, to, envelope));
     }
 
     fn deliver_due(&mut self) {
-        while let Some(entry) = self.mail.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let (from, to, envelope) = entry.remove();
-            if !self.cut.contains(&(from, to)) {
-                self.feed(to, QuorumEvent::Message(envelope.message));
+            if !self.blocked_links.contains(&(from, to)) {
+                self.inject_event(to, QuorumEvent::Message(envelope.message));
             }
         }
     }
 
-    /// Lets a keeper drop the entries that it has applied.
+    /// Makes a keeper compact the entries that it has applied.
     pub fn compact(&mut self, node: usize) {
         let data = encode_commands(&self.nodes[node].applied);
         let now = self.now;
         let Some(core) = &self.nodes[node].core else { return };
         let applied = core.status(now).commit;
-        self.feed(node, QuorumEvent::Compact(applied, data));
+        self.inject_event(node, QuorumEvent::Compact(applied, data));
     }
 
-    /// Every acknowledged command is in the history, once.
+    /// Checks that every acknowledged command is in the history.
     pub fn check_acknowledged(&self) {
         for command in &self.acknowledged {
             let count = self.history.iter().filter(|known| *known == command).count();
--- a/crates/micaspool-quorum/tests/open_group.rs
+++ b/crates/micaspool-quorum/tests/open_group.rs
@@ -1,4 +1,4 @@
-//! Groups that change without an operator.
+//! Membership changes of open groups, which need no operator.
 
 mod harness;
 
@@ -7,7 +7,7 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// The names of the voters as the leader knows them.
+/// Returns the names of the voters according to the leader.
 fn voters(harness: &Harness) -> BTreeSet<String> {
     let leader = harness.leader().expect("a leader exists");
     let core = harness.nodes[leader].core.as_ref().expect("the leader runs");
@@ -15,11 +15,11 @@
     status.membership.voters().map(|voter| voter.name.to_string()).collect()
 }
 
-fn named(numbers: &[usize]) -> BTreeSet<String> {
+fn keeper_names(numbers: &[usize]) -> BTreeSet<String> {
     numbers.iter().map(|number| format!("keeper-{number}")).collect()
 }
 
-fn formed(seed: u64) -> Harness {
+fn formed_group(seed: u64) -> Harness {
     let mut harness = Harness::open(3, seed);
     harness.elect(5_000);
     harness.commit(b"first", 5_000);
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn an_empty_keeper_at_another_name_takes_the_place_of_a_lost_one() {
-    let mut harness = formed(1);
+fn empty_keeper_with_a_new_name_replaces_a_lost_one() {
+    let mut harness = formed_group(1);
     harness.crash(1);
-    harness.run(1_000);
-    harness.add();
-    harness.run(6_000);
-    assert_eq!(voters(&harness), named(&[0, 2, 3]));
-    // The next loss is borne as the first one was.
+    harness.run_for(1_000);
+    harness.add_keeper();
+    harness.run_for(6_000);
+    assert_eq!(voters(&harness), keeper_names(&[0, 2, 3]));
+    // The group tolerates the next failure as well.
     harness.crash(0);
     harness.elect(5_000);
     harness.commit(b"second", 5_000);
@@ -42,93 +42,93 @@
 }
 
 #[test]
-fn a_newcomer_beside_living_keepers_counts_as_one_more() {
-    let mut harness = formed(2);
-    harness.add();
-    harness.run(4_000);
-    assert_eq!(voters(&harness), named(&[0, 1, 2, 3]));
+fn learner_is_promoted_beside_reachable_voters() {
+    let mut harness = formed_group(2);
+    harness.add_keeper();
+    harness.run_for(4_000);
+    assert_eq!(voters(&harness), keeper_names(&[0, 1, 2, 3]));
 }
 
 #[test]
-fn one_above_the_number_that_is_needed_is_dropped_once_it_is_silent() {
-    let mut harness = formed(3);
-    harness.add();
-    harness.run(4_000);
+fn unreachable_surplus_voter_is_removed() {
+    let mut harness = formed_group(3);
+    harness.add_keeper();
+    harness.run_for(4_000);
     harness.crash(1);
-    harness.run(20_000);
-    assert_eq!(voters(&harness), named(&[0, 2, 3]));
+    harness.run_for(20_000);
+    assert_eq!(voters(&harness), keeper_names(&[0, 2, 3]));
     harness.crash(2);
     harness.elect(5_000);
     harness.commit(b"after the second loss", 5_000);
 }
 
 #[test]
-fn a_silent_keeper_stays_while_nobody_stands_ready_for_its_place() {
-    let mut harness = formed(4);
+fn unreachable_voter_stays_without_a_replacement() {
+    let mut harness = formed_group(4);
     harness.crash(2);
-    harness.run(30_000);
-    assert_eq!(voters(&harness), named(&[0, 1, 2]));
+    harness.run_for(30_000);
+    assert_eq!(voters(&harness), keeper_names(&[0, 1, 2]));
 }
 
 #[test]
-fn a_keeper_that_was_dropped_while_it_was_cut_off_comes_back() {
-    let mut harness = formed(5);
+fn voter_removed_during_a_partition_is_admitted_again() {
+    let mut harness = formed_group(5);
     harness.isolate(2, true);
-    harness.add();
-    harness.set_cut(2, 3, true);
-    harness.run(6_000);
+    harness.add_keeper();
+    harness.set_link_blocked(2, 3, true);
+    harness.run_for(6_000);
     harness.elect(5_000);
-    assert_eq!(voters(&harness), named(&[0, 1, 3]));
+    assert_eq!(voters(&harness), keeper_names(&[0, 1, 3]));
     for other in [0, 1, 3] {
-        harness.set_cut(2, other, false);
+        harness.set_link_blocked(2, other, false);
     }
-    harness.run(6_000);
+    harness.run_for(6_000);
     assert!(voters(&harness).contains("keeper-2"), "{:?}", voters(&harness));
 }
 
 #[test]
-fn keepers_that_are_no_first_start_form_no_group() {
-    let mut harness = formed(6);
+fn wiped_keepers_that_may_not_form_stay_unformed() {
+    let mut harness = formed_group(6);
     for node in 0..3 {
         harness.wipe(node);
     }
-    harness.run(20_000);
+    harness.run_for(20_000);
     let unformed = |node: &harness::Node| {
         let core = node.core.as_ref().expect("it runs");
         core.status(harness.now).role == QuorumRole::Unformed
     };
-    assert!(harness.nodes.iter().all(unformed), "a new group would forget what was acknowledged");
+    assert!(harness.nodes.iter().all(unformed), "a new group would lose acknowledged commands");
 }
 
-/// Losses, cuts, lost disks and replacements, one at a time with time to catch up: nothing that was
-/// acknowledged is ever lost, no two keepers disagree, and there is always a leader again.
+/// Crashes, partitions, disk losses and replacements, one at a time and with time to catch up, lose
+/// no acknowledged command, make no two keepers disagree, and are always followed by a new leader.
 #[test]
-fn replacements_in_random_order_lose_nothing() {
+fn random_replacements_lose_no_acknowledged_command() {
     for seed in 0..60 {
-        let mut harness = formed(1_000 + seed);
+        let mut harness = formed_group(1_000 + seed);
         let mut alive: Vec<usize> = vec![0, 1, 2];
         for round in 0..6_u32 {
-            let place = harness.rng.random_range(0..alive.len());
-            let victim = alive[place];
+            let slot = harness.rng.random_range(0..alive.len());
+            let victim = alive[slot];
             match harness.rng.random_range(0..4) {
                 0 => {
                     harness.crash(victim);
-                    harness.run(800);
-                    alive[place] = harness.add();
+                    harness.run_for(800);
+                    alive[slot] = harness.add_keeper();
                 }
                 1 => harness.wipe(victim),
                 2 => {
                     harness.crash(victim);
-                    harness.run(2_500);
+                    harness.run_for(2_500);
                     harness.start(victim);
                 }
                 _ => {
                     harness.isolate(victim, true);
-                    harness.run(3_000);
+                    harness.run_for(3_000);
                     harness.isolate(victim, false);
                 }
             }
-            harness.run(4_000);
+            harness.run_for(4_000);
             harness.elect(10_000);
             harness.commit(format!("{seed}-{round}").as_bytes(), 10_000);
         }
--- a/crates/micaspool-quorum/tests/schedules.rs
+++ b/crates/micaspool-quorum/tests/schedules.rs
@@ -1,7 +1,7 @@
-//! Random schedules of crashes, lost disks, cuts, freezes and lossy links.
+//! Random schedules of crashes, disk losses, partitions, pauses and lossy links.
 //!
-//! The harness checks on each step that a term has one leader, that keepers agree on every
-//! position, and at the end that no acknowledged command is lost.
+//! The harness checks at each step that a term has at most one leader and that keepers agree on the
+//! command at every position, and at the end that no acknowledged command is lost.
 
 mod harness;
 
@@ -12,10 +12,10 @@
 const ACTIONS: usize = 24;
 
 #[test]
-fn random_schedules_keep_every_promise() {
+fn random_schedules_keep_every_invariant() {
     for seed in 0..SCHEDULES {
         let result = std::panic::catch_unwind(|| run_schedule(seed));
-        assert!(result.is_ok(), "seed {seed} breaks a promise");
+        assert!(result.is_ok(), "seed {seed} violates an invariant");
     }
 }
 
@@ -33,19 +33,22 @@
                 harness.propose(leader, &number.to_be_bytes());
             }
         }
-        disturb(&mut harness);
+        inject_fault(&mut harness);
         let pause = harness.rng.random_range(20..1_500);
-        harness.run(pause);
+        harness.run_for(pause);
     }
-    mend(&mut harness);
+    heal(&mut harness);
     harness.commit(b"last", 60_000);
-    harness.run(3_000);
+    harness.run_for(3_000);
     harness.check_acknowledged();
     let expected = harness.history.clone();
-    assert!(harness.nodes.iter().all(|node| node.applied == expected), "keepers differ after mending");
+    assert!(
+        harness.nodes.iter().all(|node| node.applied == expected),
+        "keepers differ after all faults have ended"
+    );
 }
 
-fn disturb(harness: &mut Harness) {
+fn inject_fault(harness: &mut Harness) {
     let node = harness.rng.random_range(0..3);
     match harness.rng.random_range(0..10) {
         0 | 1 => {
@@ -56,7 +59,7 @@
         3 if may_wipe(harness, node) => harness.wipe(node),
         4 => harness.isolate(node, true),
         5 => harness.isolate(node, false),
-        6 => harness.nodes[node].frozen = !harness.nodes[node].frozen,
+        6 => harness.nodes[node].paused = !harness.nodes[node].paused,
         7 => harness.compact(node),
         8 => harness.drop_percent = harness.rng.random_range(0..30),
         _ => {
@@ -69,8 +72,8 @@
     }
 }
 
-/// A disk may be lost while the other two keepers are whole voters: the promise covers one lost
-/// disk at a time, and a second one only after the repair.
+/// Returns whether the disk of a keeper may be lost. The group guarantees durability for one lost
+/// disk at a time: all three keepers must be voters with their current incarnations first.
 fn may_wipe(harness: &Harness, node: usize) -> bool {
     let Some(leader) = harness.leader().filter(|leader| *leader != node) else { return false };
     let status = harness.nodes[leader].core.as_ref().expect("a leader runs").status(harness.now);
@@ -83,14 +86,14 @@
     harness.nodes.iter().all(current)
 }
 
-fn mend(harness: &mut Harness) {
+fn heal(harness: &mut Harness) {
     harness.drop_percent = 0;
-    harness.cut.clear();
+    harness.blocked_links.clear();
     for node in 0..3 {
-        harness.nodes[node].frozen = false;
+        harness.nodes[node].paused = false;
         if harness.nodes[node].core.is_none() {
             harness.start(node);
         }
     }
-    harness.run(15_000);
+    harness.run_for(15_000);
 }
