--- a/crates/micaspool-quorum/src/core/election.rs
+++ b/crates/micaspool-quorum/src/core/election.rs
@@ -53,7 +53,7 @@
 
     /// Returns whether this keeper may vote at all: its own incarnation must be a member of the group.
     fn may_vote(&self) -> bool {
-        self.log.membership().contains(&self.identity)
+        self.log.membership().has_member(&self.identity)
     }
 
     pub(super) fn handle_pre_vote(
--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -96,9 +96,9 @@
     /// Answers a keeper that belongs to no group. An initial member that missed the `Form` message gets
     /// it again; any other keeper gets the names of the members and may be admitted.
     fn answer_unformed(&mut self, now: Moment, from: KeeperIdentity) {
-        let snapshot = self.log.snapshot();
-        if snapshot.index == LogIndex(0) && snapshot.membership.contains(&from) {
-            let membership = snapshot.membership.clone();
+        let log_snapshot = self.log.snapshot();
+        if log_snapshot.index == LogIndex(0) && log_snapshot.membership.has_member(&from) {
+            let membership = log_snapshot.membership.clone();
             self.send(&from.name, PeerBody::Form { membership });
             return;
         }
@@ -133,7 +133,7 @@
 
     /// Adopts the first group if this keeper has none and its own incarnation is a member.
     pub(super) fn adopt_group(&mut self, now: Moment, membership: GroupMembership) {
-        if self.is_formed() || !membership.contains(&self.identity) {
+        if self.is_formed() || !membership.has_member(&self.identity) {
             return;
         }
         let snapshot = LogSnapshot { membership, ..LogSnapshot::default() };
--- a/crates/micaspool-quorum/src/core/group.rs
+++ b/crates/micaspool-quorum/src/core/group.rs
@@ -22,7 +22,7 @@
     pub(super) fn admit_learner(&mut self, now: Moment, learner: KeeperIdentity) {
         let membership = self.log.membership();
         let may_join = self.options.open_group.is_some() || self.options.configured.contains(&learner.name);
-        if !may_join || membership.contains(&learner) || !self.may_change_membership() {
+        if !may_join || membership.has_member(&learner) || !self.may_change_membership() {
             return;
         }
         let RoleState::Leader(state) = &self.role else { return };
--- a/crates/micaspool-quorum/src/types.rs
+++ b/crates/micaspool-quorum/src/types.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns whether the keeper is a member with this incarnation.
-    pub fn contains(&self, identity: &KeeperIdentity) -> bool {
+    pub fn has_member(&self, identity: &KeeperIdentity) -> bool {
         self.members.iter().any(|member| member.identity == *identity)
     }
 
