--- a/crates/micaspool-store/src/files.rs
+++ b/crates/micaspool-store/src/files.rs
@@ -60,7 +60,7 @@
     pub fn open(folder: &Path, name: &InstanceName, options: StoreOptions) -> Result<OpenOutcome, Error> {
         fs::create_dir_all(folder).map_err(|error| Error::Io(folder.to_owned(), error))?;
         let identity = open_identity(folder, name, options)?;
-        let snapshot: LogSnapshot = read_whole(&folder.join(SNAPSHOT))?.unwrap_or_default();
+        let snapshot: LogSnapshot = read_checked_file(&folder.join(SNAPSHOT))?.unwrap_or_default();
         let path = folder.join(LOG);
         let bytes = read_log(&path, folder, options)?;
         let scanned = scan_log(&path, &bytes, MAGIC.len())?;
@@ -89,7 +89,7 @@
         if self.failed {
             return Err(Error::Failed);
         }
-        let result = self.write(batch);
+        let result = self.write_batch(batch);
         self.failed = result.is_err();
         result
     }
@@ -106,7 +106,7 @@
         self.syncs
     }
 
-    fn write(&mut self, batch: SaveBatch) -> Result<(), Error> {
+    fn write_batch(&mut self, batch: SaveBatch) -> Result<(), Error> {
         self.buffer.clear();
         if let Some(from) = batch.truncate_from {
             self.entries.retain(|entry| entry.index < from);
@@ -121,17 +121,17 @@
             self.entries.push(entry);
         }
         match batch.snapshot {
-            Some(snapshot) => self.replace(&snapshot),
-            None => self.append(),
+            Some(snapshot) => self.replace_snapshot(&snapshot),
+            None => self.append_buffer(),
         }
     }
 
-    fn append(&mut self) -> Result<(), Error> {
+    fn append_buffer(&mut self) -> Result<(), Error> {
         let path = self.folder.join(LOG);
-        let failed = |error| Error::Io(path.clone(), error);
-        self.log.write_all(&self.buffer).map_err(failed)?;
+        let io_error = |error| Error::Io(path.clone(), error);
+        self.log.write_all(&self.buffer).map_err(io_error)?;
         if self.options.sync {
-            self.log.sync_data().map_err(failed)?;
+            self.log.sync_data().map_err(io_error)?;
             self.syncs += 1;
         }
         Ok(())
@@ -139,8 +139,8 @@
 
     /// Writes the snapshot, then a log with only what follows it. Stopping between the two
     /// leaves entries that the snapshot covers, which the next start passes over.
-    fn replace(&mut self, snapshot: &LogSnapshot) -> Result<(), Error> {
-        write_whole(&self.folder, SNAPSHOT, snapshot, self.options)?;
+    fn replace_snapshot(&mut self, snapshot: &LogSnapshot) -> Result<(), Error> {
+        write_checked_file(&self.folder, SNAPSHOT, snapshot, self.options)?;
         self.entries.retain(|entry| entry.index > snapshot.index);
         self.replace_log()?;
         self.syncs += 2;
@@ -164,14 +164,14 @@
 
 fn open_identity(folder: &Path, name: &InstanceName, options: StoreOptions) -> Result<KeeperIdentity, Error> {
     let path = folder.join(IDENTITY);
-    if let Some(identity) = read_whole::<KeeperIdentity>(&path)? {
+    if let Some(identity) = read_checked_file::<KeeperIdentity>(&path)? {
         if identity.name != *name {
             return Err(Error::Damaged(path, 0));
         }
         return Ok(identity);
     }
     let identity = KeeperIdentity { name: name.clone(), incarnation: Incarnation(rand::rng().random()) };
-    write_whole(folder, IDENTITY, &identity, options)?;
+    write_checked_file(folder, IDENTITY, &identity, options)?;
     Ok(identity)
 }
 
@@ -187,16 +187,16 @@
 }
 
 /// Opens the log for writing at `end`, and cuts off what follows.
-fn open_log(path: &Path, end: u64, cut: bool, options: StoreOptions) -> Result<File, Error> {
-    let failed = |error| Error::Io(path.to_owned(), error);
-    let mut file = OpenOptions::new().write(true).open(path).map_err(failed)?;
-    if cut {
-        file.set_len(end).map_err(failed)?;
+fn open_log(path: &Path, end: u64, truncate: bool, options: StoreOptions) -> Result<File, Error> {
+    let io_error = |error| Error::Io(path.to_owned(), error);
+    let mut file = OpenOptions::new().write(true).open(path).map_err(io_error)?;
+    if truncate {
+        file.set_len(end).map_err(io_error)?;
         if options.sync {
-            file.sync_all().map_err(failed)?;
+            file.sync_all().map_err(io_error)?;
         }
     }
-    file.seek(SeekFrom::Start(end)).map_err(failed)?;
+    file.seek(SeekFrom::Start(end)).map_err(io_error)?;
     Ok(file)
 }
 
@@ -213,7 +213,7 @@
 }
 
 /// Reads a file that was written whole, if it is there.
-fn read_whole<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, Error> {
+fn read_checked_file<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, Error> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -228,7 +228,7 @@
     postcard::from_bytes(payload).map(Some).map_err(|_| damaged())
 }
 
-fn write_whole<T: Serialize>(
+fn write_checked_file<T: Serialize>(
     folder: &Path,
     name: &str,
     value: &T,
@@ -244,16 +244,16 @@
 /// Replaces a file by writing another, syncing it, renaming it, and syncing the folder.
 fn replace_file(folder: &Path, name: &str, bytes: &[u8], options: StoreOptions) -> Result<(), Error> {
     let target = folder.join(name);
-    let draft = folder.join(format!("{name}.new"));
-    let failed = |error| Error::Io(target.clone(), error);
-    let mut file = File::create(&draft).map_err(failed)?;
-    file.write_all(bytes).map_err(failed)?;
+    let temporary = folder.join(format!("{name}.new"));
+    let io_error = |error| Error::Io(target.clone(), error);
+    let mut file = File::create(&temporary).map_err(io_error)?;
+    file.write_all(bytes).map_err(io_error)?;
     if options.sync {
-        file.sync_all().map_err(failed)?;
+        file.sync_all().map_err(io_error)?;
     }
-    fs::rename(&draft, &target).map_err(failed)?;
+    fs::rename(&temporary, &target).map_err(io_error)?;
     if options.sync {
-        File::open(folder).and_then(|folder| folder.sync_all()).map_err(failed)?;
+        File::open(folder).and_then(|folder| folder.sync_all()).map_err(io_error)?;
     }
     Ok(())
 }
--- a/crates/micaspool-store/src/scan.rs
+++ b/crates/micaspool-store/src/scan.rs
@@ -1,7 +1,7 @@
 //! Reading a log file back.
 
 use crate::error::Error;
-use crate::record::{decode_record, LogRecord, RecordAt, RECORD_HEAD};
+use crate::record::{decode_record, DecodedRecord, LogRecord, RECORD_HEADER_LEN};
 use micaspool_quorum::{HardState, LogEntry, LogIndex};
 use std::path::Path;
 
@@ -20,37 +20,37 @@
     let mut log = ScannedLog { end: start, ..ScannedLog::default() };
     loop {
         match decode_record(bytes, log.end) {
-            RecordAt::End => return Ok(log),
-            RecordAt::Whole(record, next) => {
-                log.take(*record);
+            DecodedRecord::End => return Ok(log),
+            DecodedRecord::Valid(record, next) => {
+                log.apply_record(*record);
                 log.end = next;
             }
-            RecordAt::Broken if has_record_after(bytes, log.end + 1) => {
+            DecodedRecord::Invalid if has_valid_record_after(bytes, log.end + 1) => {
                 return Err(Error::Damaged(path.to_owned(), log.end as u64));
             }
-            RecordAt::Broken => return Ok(log),
+            DecodedRecord::Invalid => return Ok(log),
         }
     }
 }
 
-fn has_record_after(bytes: &[u8], from: usize) -> bool {
-    let last = bytes.len().saturating_sub(RECORD_HEAD);
-    (from..last).any(|start| matches!(decode_record(bytes, start), RecordAt::Whole(..)))
+fn has_valid_record_after(bytes: &[u8], from: usize) -> bool {
+    let last = bytes.len().saturating_sub(RECORD_HEADER_LEN);
+    (from..last).any(|start| matches!(decode_record(bytes, start), DecodedRecord::Valid(..)))
 }
 
 impl ScannedLog {
-    fn take(&mut self, record: LogRecord) {
+    fn apply_record(&mut self, record: LogRecord) {
         match record {
             LogRecord::Entry(entry) => {
-                self.cut(entry.index);
+                self.truncate_from(entry.index);
                 self.entries.push(entry);
             }
-            LogRecord::Cut(index) => self.cut(index),
+            LogRecord::Cut(index) => self.truncate_from(index),
             LogRecord::Hard(hard) => self.hard = hard,
         }
     }
 
-    fn cut(&mut self, index: LogIndex) {
+    fn truncate_from(&mut self, index: LogIndex) {
         while self.entries.last().is_some_and(|entry| entry.index >= index) {
             self.entries.pop();
         }
--- a/crates/micaspool-store/tests/files.rs
+++ b/crates/micaspool-store/tests/files.rs
@@ -8,20 +8,20 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use test_case::test_case;
 
-static NEXT: AtomicU64 = AtomicU64::new(0);
+static NEXT_FOLDER_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-struct Folder(PathBuf);
+struct TemporaryFolder(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+impl TemporaryFolder {
+    fn new() -> TemporaryFolder {
+        let number = NEXT_FOLDER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("micaspool-store-{}-{number}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
-        Folder(path)
+        TemporaryFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn what_was_saved_is_read_back() {
-    let folder = Folder::new();
+fn saved_state_survives_reopening() {
+    let folder = TemporaryFolder::new();
     let (mut files, first, _) = open(&folder.0);
     files.save(append(vec![entry(1, 1), entry(2, 1), entry(3, 1)])).expect("saving works");
     let hard = HardState { term: Term(2), vote: Some(first.identity.clone()) };
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_new_folder_is_a_new_incarnation() {
-    let folder = Folder::new();
+    let folder = TemporaryFolder::new();
     let (_, first, _) = open(&folder.0);
     fs::remove_dir_all(&folder.0).expect("the folder is there");
     let (_, second, _) = open(&folder.0);
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_snapshot_replaces_the_entries_before_it() {
-    let folder = Folder::new();
+    let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
     files.save(append((1..=10).map(|index| entry(index, 1)).collect())).expect("saving works");
     let snapshot =
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn a_log_left_from_before_its_snapshot_is_passed_over() {
-    let folder = Folder::new();
+fn entries_covered_by_the_snapshot_are_ignored() {
+    let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
     files.save(append((1..=10).map(|index| entry(index, 1)).collect())).expect("saving works");
     let old_log = fs::read(folder.0.join("log")).expect("the log is there");
@@ -107,8 +107,8 @@
 #[test_case(1; "one byte missing")]
 #[test_case(15; "half a record missing")]
 #[test_case(27; "only part of the head left")]
-fn a_torn_tail_is_cut(missing: u64) {
-    let folder = Folder::new();
+fn torn_record_at_the_end_is_truncated(missing: u64) {
+    let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
     files.save(append(vec![entry(1, 1), entry(2, 1)])).expect("saving works");
     let path = folder.0.join("log");
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn a_flipped_byte_in_the_middle_stops_the_keeper() {
-    let folder = Folder::new();
+fn flipped_byte_in_the_middle_is_reported_as_damage() {
+    let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
     files.save(append((1..=5).map(|index| entry(index, 1)).collect())).expect("saving works");
     let path = folder.0.join("log");
@@ -146,8 +146,8 @@
 #[test_case("log"; "log")]
 #[test_case("snapshot"; "snapshot")]
 #[test_case("identity"; "identity")]
-fn another_version_is_refused(file: &str) {
-    let folder = Folder::new();
+fn file_of_another_version_is_rejected(file: &str) {
+    let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
     files
         .save(SaveBatch { snapshot: Some(LogSnapshot::default()), ..SaveBatch::default() })
@@ -161,16 +161,16 @@
 }
 
 #[test]
-fn a_folder_of_another_keeper_is_refused() {
-    let folder = Folder::new();
+fn folder_of_another_keeper_is_rejected() {
+    let folder = TemporaryFolder::new();
     open(&folder.0);
     let other = InstanceName::parse("keeper-2").expect("the name is well-formed");
     assert!(KeeperFiles::open(&folder.0, &other, StoreOptions::default()).is_err());
 }
 
 #[test]
-fn nothing_is_taken_after_a_failed_write() {
-    let folder = Folder::new();
+fn saving_fails_after_a_failed_write() {
+    let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
     fs::remove_dir_all(&folder.0).expect("the folder is there");
     let snapshot = SaveBatch { snapshot: Some(LogSnapshot::default()), ..SaveBatch::default() };
