--- a/crates/micaspool-store/src/error.rs
+++ b/crates/micaspool-store/src/error.rs
@@ -1,19 +1,20 @@
-//! What can go wrong with the files.
+//! Errors of the storage.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// Why the files cannot be read or written.
+/// An error while opening or writing the files of a keeper.
 #[derive(Debug)]
 pub enum Error {
-    /// A file cannot be read, written or synced.
+    /// A file could not be read, written or synced.
     Io(PathBuf, io::Error),
-    /// A file was written by another version.
+    /// A file has the format of another version.
     Version(PathBuf),
-    /// A record before the end of the log, or a whole file, is damaged.
+    /// A file, or a record before the end of the log, is damaged at this byte offset. Offset 0 means
+    /// that the content does not fit: the identity of another keeper, or a gap between log entries.
     Damaged(PathBuf, u64),
-    /// An earlier write failed; what is on disk is uncertain until the next start.
+    /// An earlier write failed. The state on disk is unknown until the files are opened again.
     Failed,
 }
 
@@ -23,24 +24,24 @@
             Error::Io(path, error) => {
                 write!(
                     f,
-                    "{} cannot be used ({error}); check space and permissions, then restart",
+                    "cannot access {} ({error}); check disk space and permissions, then restart the keeper",
                     path.display()
                 )
             }
             Error::Version(path) => {
                 write!(
                     f,
-                    "{} was written by another version; start that version, or move it away",
+                    "{} has the format of another version; start that version, or move the file away",
                     path.display()
                 )
             }
             Error::Damaged(path, offset) => write!(
                 f,
-                "{} is damaged at byte {offset}; keep a copy, empty the data folder and restart, so that the \
-                 keeper catches up from the others",
+                "{} is damaged at byte {offset}; back up the data folder, empty it and restart, so that the \
+                 keeper catches up from the other keepers",
                 path.display()
             ),
-            Error::Failed => f.write_str("an earlier write failed; check the disk and restart the keeper"),
+            Error::Failed => f.write_str("an earlier write failed; check the disk, then restart the keeper"),
         }
     }
 }
--- a/crates/micaspool-store/src/files.rs
+++ b/crates/micaspool-store/src/files.rs
@@ -1,4 +1,4 @@
-//! Opening, saving and compacting.
+//! Opens, writes and rewrites the files of a keeper.
 
 use crate::error::Error;
 use crate::record::{checksum, encode_record, LogRecord};
@@ -14,13 +14,13 @@
 const IDENTITY: &str = "identity";
 const SNAPSHOT: &str = "snapshot";
 const LOG: &str = "log";
-/// The first bytes of each file: a name and the version of the format.
+/// The first bytes of each file: a format name and, in the last byte, the format version.
 const MAGIC: &[u8; 8] = b"MICASP\x00\x01";
 
-/// How the files are written.
+/// Options for writing files.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreOptions {
-    /// False only in measurements of what syncing costs.
+    /// Whether to sync files after writing. Disable it only to measure the cost of syncing.
     pub sync: bool,
 }
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// What opening a data folder found.
+/// The result of opening a data folder.
 #[derive(Debug)]
 pub struct OpenOutcome {
-    /// The files, ready to be written.
+    /// The files, open for writing.
     pub files: KeeperFiles,
-    /// The state that they hold.
+    /// The state read from the files.
     pub restored: RestoredState,
-    /// How many bytes of a torn record were cut from the end of the log.
+    /// The size of a torn record that was truncated from the end of the log, in bytes.
     pub truncated_bytes: u64,
 }
 
@@ -48,7 +48,7 @@
     options: StoreOptions,
     log: File,
     buffer: Vec<u8>,
-    /// What a rewritten log must hold besides the snapshot.
+    /// The entries after the snapshot, kept for rewriting the log.
     entries: Vec<LogEntry>,
     hard: HardState,
     failed: bool,
@@ -56,7 +56,7 @@
 }
 
 impl KeeperFiles {
-    /// Opens a data folder, or begins a new one with a new incarnation.
+    /// Opens a data folder. If it does not exist or is empty, creates it with a new incarnation.
     pub fn open(folder: &Path, name: &InstanceName, options: StoreOptions) -> Result<OpenOutcome, Error> {
         fs::create_dir_all(folder).map_err(|error| Error::Io(folder.to_owned(), error))?;
         let identity = open_identity(folder, name, options)?;
@@ -84,7 +84,7 @@
         Ok(OpenOutcome { files, restored, truncated_bytes })
     }
 
-    /// Makes a batch durable. After an error the files take nothing more.
+    /// Makes a batch durable. After an error, all further calls fail with [`Error::Failed`].
     pub fn save(&mut self, batch: SaveBatch) -> Result<(), Error> {
         if self.failed {
             return Err(Error::Failed);
@@ -94,14 +94,14 @@
         result
     }
 
-    /// Writes everything that the log holds into a new file and makes it durable.
+    /// Replaces the log by a new file with the same content and syncs it.
     pub fn rewrite(&mut self) -> Result<(), Error> {
         let result = self.replace_log();
         self.failed = result.is_err();
         result
     }
 
-    /// How often a file was synced so far.
+    /// Returns the number of syncs since the files were opened.
     pub fn sync_count(&self) -> u64 {
         self.syncs
     }
@@ -137,8 +137,8 @@
         Ok(())
     }
 
-    /// Writes the snapshot, then a log with only what follows it. Stopping between the two
-    /// leaves entries that the snapshot covers, which the next start passes over.
+    /// Writes the snapshot, then a log with only the entries after it. A crash between the two leaves
+    /// entries in the log that the snapshot covers, which are ignored when the files are opened.
     fn replace_snapshot(&mut self, snapshot: &LogSnapshot) -> Result<(), Error> {
         write_checked_file(&self.folder, SNAPSHOT, snapshot, self.options)?;
         self.entries.retain(|entry| entry.index > snapshot.index);
@@ -186,7 +186,7 @@
     Ok(bytes)
 }
 
-/// Opens the log for writing at `end`, and cuts off what follows.
+/// Opens the log for writing at offset `end`. With `truncate`, drops everything after `end` first.
 fn open_log(path: &Path, end: u64, truncate: bool, options: StoreOptions) -> Result<File, Error> {
     let io_error = |error| Error::Io(path.to_owned(), error);
     let mut file = OpenOptions::new().write(true).open(path).map_err(io_error)?;
@@ -200,7 +200,7 @@
     Ok(file)
 }
 
-/// The entries must follow the snapshot without a gap.
+/// Checks that the entries follow the snapshot without a gap.
 fn check_sequence(path: &Path, snapshot: &LogSnapshot, entries: &[LogEntry]) -> Result<(), Error> {
     let mut expected = snapshot.index;
     for entry in entries {
@@ -212,7 +212,7 @@
     Ok(())
 }
 
-/// Reads a file that was written whole, if it is there.
+/// Reads and decodes a file that [`write_checked_file`] wrote. Returns `None` if it does not exist.
 fn read_checked_file<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, Error> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
@@ -234,14 +234,14 @@
     value: &T,
     options: StoreOptions,
 ) -> Result<(), Error> {
-    let payload = postcard::to_stdvec(value).expect("stored values have nothing that cannot be encoded");
+    let payload = postcard::to_stdvec(value).expect("stored values can be encoded");
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&checksum(&payload).to_le_bytes());
     bytes.extend_from_slice(&payload);
     replace_file(folder, name, &bytes, options)
 }
 
-/// Replaces a file by writing another, syncing it, renaming it, and syncing the folder.
+/// Replaces a file atomically: writes and syncs a temporary file, renames it, and syncs the folder.
 fn replace_file(folder: &Path, name: &str, bytes: &[u8], options: StoreOptions) -> Result<(), Error> {
     let target = folder.join(name);
     let temporary = folder.join(format!("{name}.new"));
--- a/crates/micaspool-store/src/lib.rs
+++ b/crates/micaspool-store/src/lib.rs
@@ -1,11 +1,12 @@
-//! The files of a keeper, under one data folder.
+//! Persistent storage of a keeper in one data folder.
 //!
-//! * `identity` tells one life of the folder from the next,
-//! * `snapshot` has the newest snapshot,
-//! * `log` has checksummed records of entries, cuts and hard states.
+//! * `identity` holds the name of the keeper and the incarnation of the folder,
+//! * `snapshot` holds the latest snapshot,
+//! * `log` holds checksummed records of entries, truncations and hard states.
 //!
-//! [`KeeperFiles::save`] returns only when everything is synced. A torn record at the end of the
-//! log is cut off at the next start; a damaged record with whole ones after it stops the keeper.
+//! [`KeeperFiles::save`] returns only after everything is synced. A torn record at the end of the
+//! log is truncated when the folder is opened; an invalid record that is followed by valid ones is
+//! reported as [`Error::Damaged`].
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-store/src/record.rs
+++ b/crates/micaspool-store/src/record.rs
@@ -1,46 +1,46 @@
-//! Records of the log: a length, a checksum and a payload.
+//! Encoding of log records: length, checksum, payload.
 
 use micaspool_quorum::{HardState, LogEntry, LogIndex};
 use serde::{Deserialize, Serialize};
 
-/// Length and checksum before each payload, four bytes each, little-endian.
+/// The size of a record header: payload length and checksum, four bytes each, little-endian.
 pub(crate) const RECORD_HEADER_LEN: usize = 8;
-/// The largest payload that is taken for a record.
+/// The maximum payload size in bytes. A longer length field marks an invalid record.
 pub(crate) const MAX_PAYLOAD_LEN: usize = 64 * 1024 * 1024;
 
-/// One record of the log file.
+/// A record of the log file.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub(crate) enum LogRecord {
-    /// An entry.
+    /// A log entry. It replaces any entry at the same position and all entries after that.
     Entry(LogEntry),
-    /// Entries from here on are dropped.
+    /// A truncation: the entry at this position and all entries after it are dropped.
     Cut(LogIndex),
-    /// The term and vote.
+    /// The new term and vote.
     Hard(HardState),
 }
 
-/// Adds a record to `buffer`.
+/// Appends an encoded record to `buffer`.
 pub(crate) fn encode_record(record: &LogRecord, buffer: &mut Vec<u8>) {
     let start = buffer.len();
     buffer.extend_from_slice(&[0; RECORD_HEADER_LEN]);
-    let payload = postcard::to_stdvec(record).expect("records have no values that cannot be encoded");
+    let payload = postcard::to_stdvec(record).expect("records can be encoded");
     buffer.extend_from_slice(&payload);
-    let length = u32::try_from(payload.len()).expect("a record is far smaller than 4 GiB");
+    let length = u32::try_from(payload.len()).expect("a record is smaller than 4 GiB");
     buffer[start..start + 4].copy_from_slice(&length.to_le_bytes());
     buffer[start + 4..start + RECORD_HEADER_LEN].copy_from_slice(&checksum(&payload).to_le_bytes());
 }
 
-/// What stands at a position of the log file.
+/// The result of decoding a record.
 pub(crate) enum DecodedRecord {
-    /// A whole record, and where the next begins.
+    /// A valid record and the offset of the next one.
     Valid(Box<LogRecord>, usize),
-    /// Nothing more.
+    /// The end of the file.
     End,
-    /// Bytes that are no record.
+    /// An incomplete or damaged record.
     Invalid,
 }
 
-/// Reads the record at `start`.
+/// Decodes the record at offset `start`.
 pub(crate) fn decode_record(bytes: &[u8], start: usize) -> DecodedRecord {
     let rest = &bytes[start..];
     if rest.is_empty() {
@@ -64,7 +64,8 @@
     }
 }
 
-/// CRC-32 of the length and the bytes, so that a run of zeros is no record.
+/// Returns the CRC-32 of the length and the bytes. The length is included so that a run of zero
+/// bytes is not a valid record.
 pub(crate) fn checksum(bytes: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&(bytes.len() as u64).to_le_bytes());
--- a/crates/micaspool-store/src/scan.rs
+++ b/crates/micaspool-store/src/scan.rs
@@ -1,21 +1,21 @@
-//! Reading a log file back.
+//! Reads the records of a log file.
 
 use crate::error::Error;
 use crate::record::{decode_record, DecodedRecord, LogRecord, RECORD_HEADER_LEN};
 use micaspool_quorum::{HardState, LogEntry, LogIndex};
 use std::path::Path;
 
-/// What a log file holds.
+/// The content of a log file.
 #[derive(Debug, Default)]
 pub(crate) struct ScannedLog {
     pub entries: Vec<LogEntry>,
     pub hard: HardState,
-    /// Where the whole records end.
+    /// The offset after the last valid record.
     pub end: usize,
 }
 
-/// Reads all records from `start` on. A broken tail is left out; a broken record that whole
-/// records follow is an error.
+/// Reads all records from offset `start` on. An invalid record at the end is ignored; an invalid
+/// record that is followed by a valid one is an error.
 pub(crate) fn scan_log(path: &Path, bytes: &[u8], start: usize) -> Result<ScannedLog, Error> {
     let mut log = ScannedLog { end: start, ..ScannedLog::default() };
     loop {
--- a/crates/micaspool-store/tests/files.rs
+++ b/crates/micaspool-store/tests/files.rs
@@ -1,4 +1,4 @@
-//! The files of a keeper through restarts, torn writes and damage.
+//! Restarts, torn writes and damaged files of a keeper.
 
 use micaspool_quorum::{EntryPayload, HardState, LogEntry, LogIndex, LogSnapshot, RestoredState, SaveBatch};
 use micaspool_store::{Error, KeeperFiles, StoreOptions};
@@ -52,15 +52,15 @@
 fn saved_state_survives_reopening() {
     let folder = TemporaryFolder::new();
     let (mut files, first, _) = open(&folder.0);
-    files.save(append(vec![entry(1, 1), entry(2, 1), entry(3, 1)])).expect("saving works");
+    files.save(append(vec![entry(1, 1), entry(2, 1), entry(3, 1)])).expect("saving succeeds");
     let hard = HardState { term: Term(2), vote: Some(first.identity.clone()) };
-    let cut = SaveBatch {
+    let batch = SaveBatch {
         truncate_from: Some(LogIndex(3)),
         append: vec![entry(3, 2)],
         hard: Some(hard.clone()),
         ..SaveBatch::default()
     };
-    files.save(cut).expect("saving works");
+    files.save(batch).expect("saving succeeds");
     drop(files);
     let (_, second, _) = open(&folder.0);
     assert_eq!(second.identity, first.identity);
@@ -72,7 +72,7 @@
 fn a_new_folder_is_a_new_incarnation() {
     let folder = TemporaryFolder::new();
     let (_, first, _) = open(&folder.0);
-    fs::remove_dir_all(&folder.0).expect("the folder is there");
+    fs::remove_dir_all(&folder.0).expect("the folder exists");
     let (_, second, _) = open(&folder.0);
     assert_ne!(first.identity.incarnation, second.identity.incarnation);
 }
@@ -81,11 +81,13 @@
 fn a_snapshot_replaces_the_entries_before_it() {
     let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
-    files.save(append((1..=10).map(|index| entry(index, 1)).collect())).expect("saving works");
+    files.save(append((1..=10).map(|index| entry(index, 1)).collect())).expect("saving succeeds");
     let snapshot =
         LogSnapshot { index: LogIndex(7), term: Term(1), data: vec![9; 100], ..LogSnapshot::default() };
-    files.save(SaveBatch { snapshot: Some(snapshot.clone()), ..SaveBatch::default() }).expect("saving works");
-    files.save(append(vec![entry(11, 1)])).expect("saving works");
+    files
+        .save(SaveBatch { snapshot: Some(snapshot.clone()), ..SaveBatch::default() })
+        .expect("saving succeeds");
+    files.save(append(vec![entry(11, 1)])).expect("saving succeeds");
     let (_, restored, _) = open(&folder.0);
     assert_eq!(restored.snapshot, snapshot);
     assert_eq!(restored.entries, (8..=11).map(|index| entry(index, 1)).collect::<Vec<_>>());
@@ -95,49 +97,49 @@
 fn entries_covered_by_the_snapshot_are_ignored() {
     let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
-    files.save(append((1..=10).map(|index| entry(index, 1)).collect())).expect("saving works");
-    let old_log = fs::read(folder.0.join("log")).expect("the log is there");
+    files.save(append((1..=10).map(|index| entry(index, 1)).collect())).expect("saving succeeds");
+    let old_log = fs::read(folder.0.join("log")).expect("the log exists");
     let snapshot = LogSnapshot { index: LogIndex(7), term: Term(1), ..LogSnapshot::default() };
-    files.save(SaveBatch { snapshot: Some(snapshot), ..SaveBatch::default() }).expect("saving works");
-    fs::write(folder.0.join("log"), old_log).expect("the log is there");
+    files.save(SaveBatch { snapshot: Some(snapshot), ..SaveBatch::default() }).expect("saving succeeds");
+    fs::write(folder.0.join("log"), old_log).expect("the log exists");
     let (_, restored, _) = open(&folder.0);
     assert_eq!(restored.entries, (8..=10).map(|index| entry(index, 1)).collect::<Vec<_>>());
 }
 
 #[test_case(1; "one byte missing")]
 #[test_case(15; "half a record missing")]
-#[test_case(27; "only part of the head left")]
+#[test_case(27; "only part of the header left")]
 fn torn_record_at_the_end_is_truncated(missing: u64) {
     let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
-    files.save(append(vec![entry(1, 1), entry(2, 1)])).expect("saving works");
+    files.save(append(vec![entry(1, 1), entry(2, 1)])).expect("saving succeeds");
     let path = folder.0.join("log");
-    let length = fs::metadata(&path).expect("the log is there").len();
+    let length = fs::metadata(&path).expect("the log exists").len();
     fs::File::options()
         .write(true)
         .open(&path)
         .and_then(|log| log.set_len(length - missing))
-        .expect("it is cut");
-    let (mut files, restored, cut) = open(&folder.0);
+        .expect("truncating the log succeeds");
+    let (mut files, restored, truncated_bytes) = open(&folder.0);
     assert_eq!(restored.entries, vec![entry(1, 1)]);
-    assert!(cut > 0);
-    files.save(append(vec![entry(2, 2)])).expect("saving works");
-    let (_, restored, cut) = open(&folder.0);
+    assert!(truncated_bytes > 0);
+    files.save(append(vec![entry(2, 2)])).expect("saving succeeds");
+    let (_, restored, truncated_bytes) = open(&folder.0);
     assert_eq!(restored.entries, vec![entry(1, 1), entry(2, 2)]);
-    assert_eq!(cut, 0);
+    assert_eq!(truncated_bytes, 0);
 }
 
 #[test]
 fn flipped_byte_in_the_middle_is_reported_as_damage() {
     let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
-    files.save(append((1..=5).map(|index| entry(index, 1)).collect())).expect("saving works");
+    files.save(append((1..=5).map(|index| entry(index, 1)).collect())).expect("saving succeeds");
     let path = folder.0.join("log");
-    let clean = fs::read(&path).expect("the log is there");
+    let clean = fs::read(&path).expect("the log exists");
     for position in 8..clean.len() - 40 {
         let mut bytes = clean.clone();
         bytes[position] ^= 0x10;
-        fs::write(&path, &bytes).expect("the log is there");
+        fs::write(&path, &bytes).expect("the log exists");
         let result = KeeperFiles::open(&folder.0, &name(), StoreOptions::default());
         assert!(matches!(result, Err(Error::Damaged(..))), "byte {position}");
     }
@@ -151,11 +153,11 @@
     let (mut files, _, _) = open(&folder.0);
     files
         .save(SaveBatch { snapshot: Some(LogSnapshot::default()), ..SaveBatch::default() })
-        .expect("saving works");
+        .expect("saving succeeds");
     let path = folder.0.join(file);
-    let mut bytes = fs::read(&path).expect("the file is there");
+    let mut bytes = fs::read(&path).expect("the file exists");
     bytes[7] = 2;
-    fs::write(&path, bytes).expect("the file is there");
+    fs::write(&path, bytes).expect("the file exists");
     let result = KeeperFiles::open(&folder.0, &name(), StoreOptions::default());
     assert!(matches!(result, Err(Error::Version(_))));
 }
@@ -172,7 +174,7 @@
 fn saving_fails_after_a_failed_write() {
     let folder = TemporaryFolder::new();
     let (mut files, _, _) = open(&folder.0);
-    fs::remove_dir_all(&folder.0).expect("the folder is there");
+    fs::remove_dir_all(&folder.0).expect("the folder exists");
     let snapshot = SaveBatch { snapshot: Some(LogSnapshot::default()), ..SaveBatch::default() };
     assert!(matches!(files.save(snapshot), Err(Error::Io(..))));
     assert!(matches!(files.save(append(vec![entry(1, 1)])), Err(Error::Failed)));
