--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -27,7 +27,7 @@
 use std::sync::{Arc, Mutex};
 
 /// How many inputs may wait for the engine.
-const INPUT_QUEUE: usize = 8_192;
+const INPUT_QUEUE_LEN: usize = 8_192;
 
 /// Why a keeper cannot run.
 #[derive(Debug)]
@@ -91,10 +91,10 @@
         configured: Vec<InstanceName>,
         directory: Arc<dyn PeerDirectory>,
     ) -> KeeperOptionsBuilder {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let options = KeeperOptions {
             instance,
-            wire: any,
+            wire: any_port,
             status: None,
             data_folder: PathBuf::from("."),
             directory,
@@ -235,7 +235,7 @@
     };
     let engine = KeeperEngine::new(engine_options, opened, outgoing);
     let view = engine.view();
-    let (inputs, receiver) = bounded(INPUT_QUEUE);
+    let (inputs, receiver) = bounded(INPUT_QUEUE_LEN);
     let (done, finished) = oneshot::channel();
     std::thread::spawn(move || {
         engine.run(&receiver);
@@ -279,9 +279,9 @@
     service: KeeperService,
     counter: &TrafficCounter,
 ) -> Result<SocketAddr, Error> {
-    let failed = StartError::bind(address);
-    let listener = CountedListener::bind(address, counter.clone()).await.map_err(&failed)?;
-    let wire = listener.local_address().map_err(&failed)?;
+    let bind_error = StartError::bind(address);
+    let listener = CountedListener::bind(address, counter.clone()).await.map_err(&bind_error)?;
+    let wire = listener.local_address().map_err(&bind_error)?;
     let server =
         KeeperServer::new(service).max_decoding_message_size(MAX_FRAME).max_encoding_message_size(MAX_FRAME);
     task::spawn(async move {
--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -88,14 +88,14 @@
     pub syncs: u64,
     /// True once the engine takes nothing more.
     pub stopped: bool,
-    listeners: Vec<Sender<()>>,
+    subscribers: Vec<Sender<()>>,
 }
 
 impl KeeperView {
     /// A channel that gets a message after the settings or their confirmation have changed.
-    pub fn listen(&mut self) -> Receiver<()> {
+    pub fn subscribe(&mut self) -> Receiver<()> {
         let (sender, receiver) = async_std::channel::bounded(1);
-        self.listeners.push(sender);
+        self.subscribers.push(sender);
         receiver
     }
 
@@ -105,9 +105,9 @@
     }
 
     fn notify(&mut self) {
-        self.listeners.retain(|listener| !listener.is_closed());
-        for listener in &self.listeners {
-            let _ = listener.try_send(());
+        self.subscribers.retain(|subscriber| !subscriber.is_closed());
+        for subscriber in &self.subscribers {
+            let _ = subscriber.try_send(());
         }
     }
 }
@@ -143,9 +143,9 @@
     applied: LogIndex,
     /// The bytes of the commands applied since the last compaction.
     command_bytes: usize,
-    waiting: BTreeMap<(LogIndex, Term), Sender<EngineReply>>,
+    pending_replies: BTreeMap<(LogIndex, Term), Sender<EngineReply>>,
     /// Replies that go out once the view shows what they are about.
-    replies: Vec<(Sender<EngineReply>, EngineReply)>,
+    ready_replies: Vec<(Sender<EngineReply>, EngineReply)>,
     outgoing: Sender<Envelope>,
     view: Arc<Mutex<KeeperView>>,
     stopping: bool,
@@ -168,7 +168,7 @@
             ledger_answer_bytes: 0,
             syncs: 0,
             stopped: false,
-            listeners: Vec::new(),
+            subscribers: Vec::new(),
         };
         KeeperEngine {
             options,
@@ -178,8 +178,8 @@
             state,
             applied,
             command_bytes: 0,
-            waiting: BTreeMap::new(),
-            replies: Vec::new(),
+            pending_replies: BTreeMap::new(),
+            ready_replies: Vec::new(),
             outgoing,
             view: Arc::new(Mutex::new(view)),
             stopping: false,
@@ -194,22 +194,22 @@
     /// Works until a stop is asked for, the inputs end, or the files fail.
     pub fn run(mut self, inputs: &Receiver<EngineInput>) {
         while let Ok(first) = inputs.recv_blocking() {
-            self.take(first);
+            self.handle_input(first);
             for _ in 1..MAX_BATCH {
                 match inputs.try_recv() {
-                    Ok(input) => self.take(input),
+                    Ok(input) => self.handle_input(input),
                     Err(_) => break,
                 }
             }
-            let working = self.settle() || self.reopen(inputs);
-            if !working || self.stopping {
+            let is_working = self.process_output() || self.reopen(inputs);
+            if !is_working || self.stopping {
                 break;
             }
         }
         self.stop();
     }
 
-    fn take(&mut self, input: EngineInput) {
+    fn handle_input(&mut self, input: EngineInput) {
         let now = self.clock.now();
         match input {
             EngineInput::Event(event) => self.core.step(now, event),
@@ -226,15 +226,15 @@
                 return;
             }
         }
-        let command = stamped(command, ledger_time());
+        let command = with_timestamp(command, ledger_time());
         let bytes = postcard::to_stdvec(&command).expect("commands have nothing that cannot be encoded");
         self.propose_payload(EntryPayload::Command(bytes), reply);
     }
 
     fn propose_payload(&mut self, payload: EntryPayload, reply: Sender<EngineReply>) {
         match self.core.propose(self.clock.now(), payload) {
-            Ok(place) => {
-                self.waiting.insert(place, reply);
+            Ok(position) => {
+                self.pending_replies.insert(position, reply);
             }
             Err(ProposeError::NotLeader(leader)) => {
                 let _ = reply.try_send(Err(EngineError::NotLeader(leader)));
@@ -243,14 +243,14 @@
     }
 
     /// Acts on everything that the core asks for; false when the files failed.
-    fn settle(&mut self) -> bool {
+    fn process_output(&mut self) -> bool {
         loop {
             let output = self.core.take_output();
             if output.is_empty() {
                 break;
             }
             let saving = !output.save.is_empty();
-            if let Err(error) = self.act(output) {
+            if let Err(error) = self.execute_output(output) {
                 record(&events::STORE_FAILED, &[field("error", error)]);
                 return false;
             }
@@ -258,16 +258,16 @@
                 self.core.step(self.clock.now(), QuorumEvent::Saved);
             }
         }
-        self.fail_lost_commands();
-        self.compact_if_long();
+        self.fail_commands_after_step_down();
+        self.compact_if_needed();
         self.publish();
-        for (waiter, reply) in self.replies.drain(..) {
+        for (waiter, reply) in self.ready_replies.drain(..) {
             let _ = waiter.try_send(reply);
         }
         true
     }
 
-    fn act(&mut self, output: QuorumOutput) -> Result<(), micaspool_store::Error> {
+    fn execute_output(&mut self, output: QuorumOutput) -> Result<(), micaspool_store::Error> {
         if !output.save.is_empty() {
             self.files.save(output.save)?;
         }
@@ -301,29 +301,29 @@
                 KeeperReply::Passed
             }
         };
-        if let Some(waiter) = self.waiting.remove(&(entry.index, entry.term)) {
-            self.replies.push((waiter, Ok(reply)));
+        if let Some(waiter) = self.pending_replies.remove(&(entry.index, entry.term)) {
+            self.ready_replies.push((waiter, Ok(reply)));
         }
     }
 
     /// Answers the commands of a leadership that has ended. They may still be committed.
-    fn fail_lost_commands(&mut self) {
-        if self.core.is_leader() || self.waiting.is_empty() {
+    fn fail_commands_after_step_down(&mut self) {
+        if self.core.is_leader() || self.pending_replies.is_empty() {
             return;
         }
         let leader = self.core.status(self.clock.now()).leader;
-        self.fail_waiting(&EngineError::NotLeader(leader));
+        self.fail_pending_replies(&EngineError::NotLeader(leader));
     }
 
-    fn fail_waiting(&mut self, error: &EngineError) {
-        for reply in std::mem::take(&mut self.waiting).into_values() {
+    fn fail_pending_replies(&mut self, error: &EngineError) {
+        for reply in std::mem::take(&mut self.pending_replies).into_values() {
             let _ = reply.try_send(Err(error.clone()));
         }
     }
 
-    fn compact_if_long(&mut self) {
-        let many = self.core.log_len() > COMPACT_ENTRIES + self.state.ledger.len();
-        if many || self.command_bytes > COMPACT_BYTES {
+    fn compact_if_needed(&mut self) {
+        let has_many_entries = self.core.log_len() > COMPACT_ENTRIES + self.state.ledger.len();
+        if has_many_entries || self.command_bytes > COMPACT_BYTES {
             self.command_bytes = 0;
             let event = QuorumEvent::Compact(self.applied, self.state.encode());
             self.core.step(self.clock.now(), event);
@@ -338,34 +338,34 @@
             let kind = if leads { &events::LEADER_ELECTED } else { &events::LEADER_STEPPED_DOWN };
             record(kind, &[field("term", status.term.0)]);
         }
-        let newer = view.settings.revision() != self.state.settings.revision();
-        let planned = view.plan.number != self.state.plan.number;
-        let ordered = view.halls.newest() != self.state.halls.newest();
-        let changed = newer
-            || planned
-            || ordered
+        let settings_changed = view.settings.revision() != self.state.settings.revision();
+        let plan_changed = view.plan.number != self.state.plan.number;
+        let halls_changed = view.halls.newest() != self.state.halls.newest();
+        let has_news = settings_changed
+            || plan_changed
+            || halls_changed
             || view.status.confirmed != status.confirmed
             || view.status.membership != status.membership;
-        if newer {
+        if settings_changed {
             view.settings = self.state.settings.clone();
         }
-        if planned {
+        if plan_changed {
             view.plan = self.state.plan.clone();
         }
-        if ordered {
+        if halls_changed {
             view.halls = self.state.halls.clone();
         }
         view.status = status;
         view.ledger_keys = self.state.ledger.len();
         view.ledger_answer_bytes = self.state.ledger.answer_bytes();
         view.syncs = self.files.sync_count();
-        if changed {
+        if has_news {
             view.notify();
         }
     }
 
     fn stop(&mut self) {
-        self.fail_waiting(&EngineError::Stopped);
+        self.fail_pending_replies(&EngineError::Stopped);
         let mut view = self.view.lock().expect("no holder of the view panics");
         view.stopped = true;
         view.status.confirmed = false;
@@ -386,7 +386,7 @@
 }
 
 /// Gives commands that note when they came the leader's time.
-fn stamped(command: KeeperCommand, at: LedgerTime) -> KeeperCommand {
+fn with_timestamp(command: KeeperCommand, at: LedgerTime) -> KeeperCommand {
     match command {
         KeeperCommand::Claim(claim) => KeeperCommand::Claim(micaspool_ledger::ClaimCommand { at, ..claim }),
         KeeperCommand::Finish(finish) => {
--- a/crates/micaspool-keeper/src/engine/reopen.rs
+++ b/crates/micaspool-keeper/src/engine/reopen.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// The pause before files that failed are opened again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(500);
+const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
 impl KeeperEngine {
     /// Starts anew from the files after they failed, like a process that was restarted; false when
@@ -15,13 +15,13 @@
     /// failure left in the system's cache need not be on the disk.
     pub(super) fn reopen(&mut self, inputs: &Receiver<EngineInput>) -> bool {
         let Some(target) = self.options.reopen.clone() else { return false };
-        self.fail_waiting(&EngineError::NotLeader(None));
-        self.replies.clear();
+        self.fail_pending_replies(&EngineError::NotLeader(None));
+        self.ready_replies.clear();
         while !self.stopping {
-            self.note_unconfirmed();
-            std::thread::sleep(REOPEN_PAUSE);
+            self.mark_unconfirmed();
+            std::thread::sleep(REOPEN_INTERVAL);
             while let Ok(input) = inputs.try_recv() {
-                self.turn_away(input);
+                self.reject_input(input);
             }
             let opened = KeeperFiles::open(&target.folder, &target.name, StoreOptions::default());
             let rewritten = opened.and_then(|mut opened| opened.files.rewrite().map(|()| opened));
@@ -47,7 +47,7 @@
     }
 
     /// Answers an input that comes while there are no files.
-    fn turn_away(&mut self, input: EngineInput) {
+    fn reject_input(&mut self, input: EngineInput) {
         match input {
             EngineInput::Event(_) => {}
             EngineInput::Command(_, reply) | EngineInput::Barrier(reply) => {
@@ -58,7 +58,7 @@
     }
 
     /// Shows that this keeper hears no majority.
-    fn note_unconfirmed(&self) {
+    fn mark_unconfirmed(&self) {
         let mut view = self.view.lock().expect("no holder of the view panics");
         if view.status.confirmed {
             view.status.confirmed = false;
--- a/crates/micaspool-keeper/src/follow.rs
+++ b/crates/micaspool-keeper/src/follow.rs
@@ -15,17 +15,17 @@
 
 /// How often a follower hears of this keeper when nothing changes. A follower takes a keeper for lost after
 /// two and a half times as long; a router notices a dispatcher that is gone by its own requests, earlier.
-const PULSE: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often a follower is told of endpoints that said nothing new. It forgets one after ten seconds.
-const REFRESH: Duration = Duration::from_secs(3);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
 /// The least time between two messages that name endpoints, in which what they say is gathered: they may come back by the
 /// hundred. A new plan, an order about a hall and a new majority are told at once.
-const GATHERING: Duration = Duration::from_millis(100);
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a follower has been told.
-struct ToldState {
+struct FollowerState {
     number: u64,
     /// The number of the newest order about a hall.
     hall_order: u64,
@@ -42,18 +42,18 @@
     number: u64,
     sender: Sender<Result<v1::FleetNews, Status>>,
 ) {
-    let changes = view.lock().expect("no holder of the view panics").listen();
-    let records = hub.listen();
+    let changes = view.lock().expect("no holder of the view panics").subscribe();
+    let records = hub.subscribe();
     let cursor = HubCursor::default();
-    let mut told =
-        ToldState { number, hall_order: 0, cursor, refresh_due: BootInstant::now(), keepers: Vec::new() };
+    let mut state =
+        FollowerState { number, hall_order: 0, cursor, refresh_due: BootInstant::now(), keepers: Vec::new() };
     loop {
-        let (news, stopped) = told.next_news(&view, &hub);
+        let (news, stopped) = state.next_news(&view, &hub);
         let names_endpoints = !news.endpoints.is_empty();
         if sender.send(Ok(news)).await.is_err() || stopped {
             return;
         }
-        let interrupted = names_endpoints && timeout(GATHERING, changes.recv()).await.is_ok();
+        let interrupted = names_endpoints && timeout(BATCH_INTERVAL, changes.recv()).await.is_ok();
         if !interrupted {
             wait_for_news(&changes, &records).await;
         }
@@ -65,10 +65,10 @@
     let endpoint = records.recv();
     pin_mut!(change, endpoint);
     // Both an event and a pulse lead to the next message, so which of them came does not matter.
-    let _ = timeout(PULSE, select(change, endpoint)).await;
+    let _ = timeout(HEARTBEAT_INTERVAL, select(change, endpoint)).await;
 }
 
-impl ToldState {
+impl FollowerState {
     fn next_news(&mut self, view: &Mutex<KeeperView>, hub: &RegistryHub) -> (v1::FleetNews, bool) {
         let view = view.lock().expect("no holder of the view panics");
         let mut news = v1::FleetNews { confirmed: view.status.confirmed, ..v1::FleetNews::default() };
@@ -90,7 +90,7 @@
         }
         let stopped = view.stopped;
         drop(view);
-        let (records, cursor) = hub.since(self.cursor, self.next_scope());
+        let (records, cursor) = hub.records_since(self.cursor, self.next_scope());
         self.cursor = cursor;
         news.endpoints = records.iter().map(endpoint_message).collect();
         (news, stopped)
@@ -102,7 +102,7 @@
         if now < self.refresh_due {
             return HubScope::Changed;
         }
-        self.refresh_due = now + REFRESH;
-        HubScope::Heard
+        self.refresh_due = now + REFRESH_INTERVAL;
+        HubScope::Received
     }
 }
--- a/crates/micaspool-keeper/src/peers.rs
+++ b/crates/micaspool-keeper/src/peers.rs
@@ -26,10 +26,10 @@
 /// The largest frame, which holds a whole snapshot.
 pub(crate) const MAX_FRAME: usize = 256 * 1024 * 1024;
 /// The most messages that wait for one keeper; more are dropped, and sent again by the log core.
-const QUEUE: usize = 256;
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const PEER_QUEUE_LEN: usize = 256;
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
 /// How often the log core looks at the time.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the exchange with other keepers needs.
 pub(crate) struct PeerExchange {
@@ -48,37 +48,41 @@
 impl PeerExchange {
     /// Starts the thread; an error says that its address cannot be used.
     pub async fn start(self) -> Result<(), StartError> {
-        let (told, outcome) = bounded(1);
+        let (start_result, outcome) = bounded(1);
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.expect("a process that starts has descriptors left").block_on(self.run(told));
+            runtime.expect("a process that starts has descriptors left").block_on(self.run(start_result));
         });
         outcome.recv().await.expect("the thread tells how its start went")
     }
 
     /// Works until the log core has ended.
-    async fn run(self, told: Sender<Result<(), StartError>>) {
+    async fn run(self, start_result: Sender<Result<(), StartError>>) {
         let started = match self.address {
             Some(address) => {
-                listen(address, self.service, &self.counter).await.map_err(StartError::bind(address))
+                serve_peers(address, self.service, &self.counter).await.map_err(StartError::bind(address))
             }
             None => Ok(()),
         };
         let failed = started.is_err();
         // Whoever started the thread waits for this.
-        let _ = told.send(started).await;
+        let _ = start_result.send(started).await;
         if failed {
             return;
         }
-        tokio::spawn(hand_out(self.directory, self.counter, self.outgoing));
+        tokio::spawn(dispatch_envelopes(self.directory, self.counter, self.outgoing));
         while self.inputs.send(EngineInput::Event(QuorumEvent::Tick)).await.is_ok() {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
     }
 }
 
 /// Serves the other keepers' streams.
-async fn listen(address: SocketAddr, service: KeeperService, counter: &TrafficCounter) -> io::Result<()> {
+async fn serve_peers(
+    address: SocketAddr,
+    service: KeeperService,
+    counter: &TrafficCounter,
+) -> io::Result<()> {
     let listener = CountedListener::bind(address, counter.clone()).await?;
     let server = KeeperServer::new(service).max_decoding_message_size(MAX_FRAME);
     tokio::spawn(async move {
@@ -89,13 +93,17 @@
 
 /// Hands messages out. A stream to a keeper opens with the first message for it, at the address that
 /// the directory gives.
-async fn hand_out(directory: Arc<dyn PeerDirectory>, counter: TrafficCounter, outgoing: Receiver<Envelope>) {
+async fn dispatch_envelopes(
+    directory: Arc<dyn PeerDirectory>,
+    counter: TrafficCounter,
+    outgoing: Receiver<Envelope>,
+) {
     let mut queues: HashMap<InstanceName, Sender<PeerMessage>> = HashMap::new();
     while let Ok(envelope) = outgoing.recv().await {
         let Some(address) = directory.address(&envelope.to) else { continue };
         let queue = queues.entry(envelope.to).or_insert_with(|| {
-            let (sender, receiver) = bounded(QUEUE);
-            tokio::spawn(feed_peer(address, counter.clone(), receiver));
+            let (sender, receiver) = bounded(PEER_QUEUE_LEN);
+            tokio::spawn(run_peer_stream(address, counter.clone(), receiver));
             sender
         });
         let _ = queue.try_send(envelope.message);
@@ -103,7 +111,7 @@
 }
 
 /// Keeps one stream to a keeper open. What could not be sent is dropped.
-async fn feed_peer(address: SocketAddr, counter: TrafficCounter, queue: Receiver<PeerMessage>) {
+async fn run_peer_stream(address: SocketAddr, counter: TrafficCounter, queue: Receiver<PeerMessage>) {
     while !queue.is_closed() {
         if let Ok(channel) = socket::connect(address, counter.clone()).await {
             let mut client = KeeperClient::new(channel).max_encoding_message_size(MAX_FRAME);
@@ -111,7 +119,7 @@
             let frames = queue.clone().map(|message| encode_frame(&message));
             let _ = client.exchange(frames).await;
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RECONNECT_INTERVAL).await;
     }
 }
 
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -11,7 +11,7 @@
 
 /// How long an endpoint may be silent at this keeper before it is forgotten here. Others may hear it
 /// elsewhere, so this only bounds memory.
-const RECORD_LIFE: Duration = Duration::from_secs(60);
+const RECORD_TTL: Duration = Duration::from_secs(60);
 
 /// Marks what a follower has been told. Both numbers rise with each record that comes in.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
@@ -19,7 +19,7 @@
     /// Up to where it knows what endpoints said that was new.
     changed: u64,
     /// Up to where it knows that they were heard at all.
-    heard: u64,
+    received: u64,
 }
 
 /// Which records a follower is told.
@@ -28,7 +28,7 @@
     /// Those that say something new.
     Changed,
     /// All that were heard, so that the follower does not take an endpoint for silent.
-    Heard,
+    Received,
 }
 
 /// What this keeper heard from endpoints. Followers merge what all keepers heard.
@@ -42,11 +42,11 @@
 struct HubContent {
     registry: EndpointRegistry,
     /// At which version each endpoint was heard last.
-    heard: HashMap<EndpointName, u64>,
+    received: HashMap<EndpointName, u64>,
     /// At which version each endpoint said something new last.
     changed: HashMap<EndpointName, u64>,
     version: u64,
-    listeners: Vec<Sender<()>>,
+    subscribers: Vec<Sender<()>>,
 }
 
 impl Default for RegistryHub {
@@ -63,13 +63,13 @@
         let (service, cold) = (endpoint.service.clone(), endpoint.cold);
         let outcome = content.registry.merge(self.clock.now(), endpoint);
         if outcome != MergeOutcome::Stale {
-            content.note_heard(&name);
+            content.mark_received(&name);
         }
         if outcome == MergeOutcome::Restarted {
             record(&events::ENDPOINT_RESTARTED, &[field("endpoint", &name), field("sequence", sequence)]);
         }
         if outcome.is_news() {
-            content.note_changed(&name);
+            content.mark_changed(&name);
             let stage = format!("{stage:?}");
             let fields = [
                 field("endpoint", &name),
@@ -84,7 +84,7 @@
             }
             content.notify();
         }
-        content.forget_silent(&self.clock);
+        content.remove_expired(&self.clock);
         outcome
     }
 
@@ -93,8 +93,8 @@
     pub fn leave(&self, identity: &EndpointName) -> bool {
         let mut content = self.lock();
         let Some(name) = content.registry.leave(self.clock.now(), identity) else { return false };
-        content.note_heard(&name);
-        content.note_changed(&name);
+        content.mark_received(&name);
+        content.mark_changed(&name);
         let stage = format!("{:?}", EndpointStage::Left);
         record(&events::ENDPOINT_STAGE, &[field("endpoint", &name), field("stage", stage)]);
         content.notify();
@@ -102,29 +102,33 @@
     }
 
     /// A channel that gets a message after an endpoint has said something new.
-    pub(crate) fn listen(&self) -> Receiver<()> {
+    pub(crate) fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = bounded(1);
-        self.lock().listeners.push(sender);
+        self.lock().subscribers.push(sender);
         receiver
     }
 
     /// The records of a scope that came in after a cursor, and the cursor after them.
-    pub(crate) fn since(&self, cursor: HubCursor, scope: HubScope) -> (Vec<EndpointRecord>, HubCursor) {
+    pub(crate) fn records_since(
+        &self,
+        cursor: HubCursor,
+        scope: HubScope,
+    ) -> (Vec<EndpointRecord>, HubCursor) {
         let content = self.lock();
         let (versions, seen) = match scope {
             HubScope::Changed => (&content.changed, cursor.changed),
-            HubScope::Heard => (&content.heard, cursor.heard),
+            HubScope::Received => (&content.received, cursor.received),
         };
         let newer =
             |endpoint: &&EndpointRecord| versions.get(&endpoint.name).is_some_and(|version| *version > seen);
         let now = self.clock.now();
-        let told = |record: &EndpointRecord| content.registry.told(now, record);
-        let records = content.registry.iter().filter(newer).map(told).collect();
-        let heard = match scope {
-            HubScope::Changed => cursor.heard,
-            HubScope::Heard => content.version,
+        let outgoing = |record: &EndpointRecord| content.registry.told(now, record);
+        let records = content.registry.iter().filter(newer).map(outgoing).collect();
+        let received = match scope {
+            HubScope::Changed => cursor.received,
+            HubScope::Received => content.version,
         };
-        (records, HubCursor { changed: content.version, heard })
+        (records, HubCursor { changed: content.version, received })
     }
 
     fn lock(&self) -> MutexGuard<'_, HubContent> {
@@ -133,26 +137,26 @@
 }
 
 impl HubContent {
-    fn note_heard(&mut self, name: &EndpointName) {
+    fn mark_received(&mut self, name: &EndpointName) {
         self.version += 1;
-        self.heard.insert(name.clone(), self.version);
+        self.received.insert(name.clone(), self.version);
     }
 
-    fn note_changed(&mut self, name: &EndpointName) {
+    fn mark_changed(&mut self, name: &EndpointName) {
         self.changed.insert(name.clone(), self.version);
     }
 
     fn notify(&mut self) {
-        self.listeners.retain(|listener| !listener.is_closed());
-        for listener in &self.listeners {
-            let _ = listener.try_send(());
+        self.subscribers.retain(|subscriber| !subscriber.is_closed());
+        for subscriber in &self.subscribers {
+            let _ = subscriber.try_send(());
         }
     }
 
-    fn forget_silent(&mut self, clock: &MonotonicClock) {
-        if self.registry.expire(clock.now(), RECORD_LIFE) {
+    fn remove_expired(&mut self, clock: &MonotonicClock) {
+        if self.registry.expire(clock.now(), RECORD_TTL) {
             let registry = &self.registry;
-            self.heard.retain(|name, _| registry.get(name).is_some());
+            self.received.retain(|name, _| registry.get(name).is_some());
             self.changed.retain(|name, _| registry.get(name).is_some());
         }
     }
--- a/crates/micaspool-keeper/src/service.rs
+++ b/crates/micaspool-keeper/src/service.rs
@@ -28,9 +28,9 @@
 use tonic::{Request, Response, Status, Streaming};
 
 /// How long a command may wait for its commit.
-const COMMIT_LIMIT: Duration = Duration::from_secs(5);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 /// How many updates may wait for one watcher.
-const WATCH_QUEUE: usize = 16;
+const STREAM_QUEUE_LEN: usize = 16;
 
 /// Answers routers, dispatchers, operators and other keepers.
 #[derive(Clone, Debug)]
@@ -54,14 +54,14 @@
         KeeperService { inputs, view, hub, directory, spans }
     }
 
-    async fn ask(
+    async fn submit(
         &self,
         input: impl FnOnce(Sender<EngineReply>) -> EngineInput,
     ) -> Result<EngineReply, Status> {
         let (sender, receiver) = bounded(1);
         let stopped = || Status::unavailable(EngineError::Stopped.to_string());
         self.inputs.send(input(sender)).await.map_err(|_| stopped())?;
-        match timeout(COMMIT_LIMIT, receiver.recv()).await {
+        match timeout(COMMIT_TIMEOUT, receiver.recv()).await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) => Err(stopped()),
             Err(_) => Err(Status::deadline_exceeded(
@@ -70,8 +70,8 @@
         }
     }
 
-    async fn command(&self, command: KeeperCommand) -> Result<EngineReply, Status> {
-        self.ask(|reply| EngineInput::Command(command, reply)).await
+    async fn submit_command(&self, command: KeeperCommand) -> Result<EngineReply, Status> {
+        self.submit(|reply| EngineInput::Command(command, reply)).await
     }
 
     fn not_leader(&self, error: EngineError) -> Result<v1::NotLeader, Status> {
@@ -116,7 +116,7 @@
             base: Revision(request.base),
             patch: request.patch,
         };
-        let outcome = match self.command(KeeperCommand::Apply(change)).await? {
+        let outcome = match self.submit_command(KeeperCommand::Apply(change)).await? {
             Ok(KeeperReply::Applied(Ok(revision))) => {
                 let fields = [field("change", id), field("operator", operator), field("revision", revision)];
                 record(&events::CHANGE_ACCEPTED, &fields);
@@ -135,7 +135,7 @@
     async fn get(&self, request: Request<v1::GetRequest>) -> Result<Response<v1::GetReply>, Status> {
         use v1::get_reply::Outcome;
         let outcome = if request.into_inner().confirmed {
-            match self.ask(EngineInput::Barrier).await? {
+            match self.submit(EngineInput::Barrier).await? {
                 Ok(_) => Outcome::Settings(v1::SettingsUpdate { confirmed: true, ..self.snapshot() }),
                 Err(error) => Outcome::NotLeader(self.not_leader(error)?),
             }
@@ -147,7 +147,7 @@
 
     async fn watch(&self, request: Request<v1::WatchRequest>) -> Result<Response<Self::WatchStream>, Status> {
         let from = Revision(request.into_inner().revision);
-        let (sender, receiver) = bounded(WATCH_QUEUE);
+        let (sender, receiver) = bounded(STREAM_QUEUE_LEN);
         task::spawn(feed_watcher(self.view.clone(), from, sender));
         Ok(Response::new(Box::pin(receiver.map(Ok))))
     }
@@ -165,7 +165,7 @@
             token: ClaimToken(request.token),
             at: LedgerTime(0),
         };
-        let reply = match self.command(KeeperCommand::Claim(command)).await? {
+        let reply = match self.submit_command(KeeperCommand::Claim(command)).await? {
             Ok(KeeperReply::Claimed(verdict)) => verdict_message(verdict),
             Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
             Err(error) => {
@@ -190,7 +190,7 @@
             kind,
             at: LedgerTime(0),
         };
-        let not_leader = match self.command(KeeperCommand::Finish(command)).await? {
+        let not_leader = match self.submit_command(KeeperCommand::Finish(command)).await? {
             Ok(_) => None,
             Err(error) => Some(self.not_leader(error)?),
         };
@@ -203,7 +203,7 @@
     ) -> Result<Response<v1::PublishReply>, Status> {
         let request = request.into_inner();
         let document = PlanDocument { number: request.number, text: request.document.into() };
-        let reply = match self.command(KeeperCommand::Publish(document)).await? {
+        let reply = match self.submit_command(KeeperCommand::Publish(document)).await? {
             Ok(KeeperReply::Published(number)) => v1::PublishReply { in_force: number, not_leader: None },
             Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
             Err(error) => v1::PublishReply { in_force: 0, not_leader: Some(self.not_leader(error)?) },
@@ -212,7 +212,7 @@
     }
 
     async fn plan(&self, _request: Request<v1::PlanRequest>) -> Result<Response<v1::PlanReply>, Status> {
-        let reply = match self.ask(EngineInput::Barrier).await? {
+        let reply = match self.submit(EngineInput::Barrier).await? {
             Ok(_) => {
                 let plan = self.view().plan.clone();
                 let document = v1::PlanDocument { number: plan.number, document: plan.text.to_string() };
@@ -229,15 +229,15 @@
     ) -> Result<Response<v1::OrderHallReply>, Status> {
         let order = order_command(request.into_inner())
             .map_err(|error| Status::invalid_argument(error.to_string()))?;
-        let logged = [
+        let log_fields = [
             field("hall", &order.hall),
             field("wanted", order.wanted.as_str()),
             field("ordered_by", &order.ordered_by),
             field("known", order.known),
         ];
-        let reply = match self.command(KeeperCommand::OrderHall(order)).await? {
+        let reply = match self.submit_command(KeeperCommand::OrderHall(order)).await? {
             Ok(KeeperReply::Ordered(verdict)) => {
-                record_verdict(logged, verdict);
+                record_verdict(log_fields, verdict);
                 order_reply(verdict)
             }
             Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
@@ -250,7 +250,7 @@
     }
 
     async fn halls(&self, _request: Request<v1::HallsRequest>) -> Result<Response<v1::HallsReply>, Status> {
-        let reply = match self.ask(EngineInput::Barrier).await? {
+        let reply = match self.submit(EngineInput::Barrier).await? {
             Ok(_) => {
                 let orders = self.view().halls.clone();
                 v1::HallsReply { halls: hall_messages(&orders), newest: orders.newest(), not_leader: None }
@@ -266,7 +266,7 @@
         &self,
         request: Request<v1::FollowRequest>,
     ) -> Result<Response<Self::FollowStream>, Status> {
-        let (sender, receiver) = bounded(WATCH_QUEUE);
+        let (sender, receiver) = bounded(STREAM_QUEUE_LEN);
         let number = request.into_inner().number;
         task::spawn(feed_follower(self.view.clone(), self.hub.clone(), number, sender));
         Ok(Response::new(Box::pin(receiver)))
@@ -326,27 +326,28 @@
 
 /// Sends a watcher what it lacks, now and after each change.
 async fn feed_watcher(view: Arc<Mutex<KeeperView>>, from: Revision, sender: Sender<v1::SettingsUpdate>) {
-    let changes = view.lock().expect("no holder of the view panics").listen();
-    let mut held = from;
-    let mut told = None;
+    let changes = view.lock().expect("no holder of the view panics").subscribe();
+    let mut known_revision = from;
+    let mut last_confirmed = None;
     loop {
         let (updates, confirmed, stopped) = {
             let view = view.lock().expect("no holder of the view panics");
-            (view.updates_since(held), view.status.confirmed, view.stopped)
+            (view.updates_since(known_revision), view.status.confirmed, view.stopped)
         };
-        if updates.is_empty() && told != Some(confirmed) {
-            let news = v1::SettingsUpdate { revision: held.0, confirmed, ..v1::SettingsUpdate::default() };
-            if sender.send(news).await.is_err() {
+        if updates.is_empty() && last_confirmed != Some(confirmed) {
+            let message =
+                v1::SettingsUpdate { revision: known_revision.0, confirmed, ..v1::SettingsUpdate::default() };
+            if sender.send(message).await.is_err() {
                 return;
             }
         }
         for update in updates {
-            held = update.revision;
+            known_revision = update.revision;
             if sender.send(update_message(update, confirmed)).await.is_err() {
                 return;
             }
         }
-        told = Some(confirmed);
+        last_confirmed = Some(confirmed);
         if stopped || !wait_for_change(&changes, &sender).await {
             return;
         }
@@ -358,9 +359,9 @@
     changes: &async_std::channel::Receiver<()>,
     sender: &Sender<v1::SettingsUpdate>,
 ) -> bool {
-    const LOOK: Duration = Duration::from_secs(1);
+    const CLOSE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
     loop {
-        match timeout(LOOK, changes.recv()).await {
+        match timeout(CLOSE_CHECK_INTERVAL, changes.recv()).await {
             Ok(Ok(())) => return true,
             Ok(Err(_)) => return false,
             Err(_) if sender.is_closed() => return false,
--- a/crates/micaspool-keeper/src/state.rs
+++ b/crates/micaspool-keeper/src/state.rs
@@ -140,14 +140,14 @@
     /// The state from bytes, of this version or an earlier one. Bytes of another version end too early, or are left
     /// over, wherever they happen to be readable.
     pub fn decode(bytes: &[u8]) -> Result<KeeperState, postcard::Error> {
-        decode_whole::<KeeperState>(bytes)
-            .or_else(|_| decode_whole::<StateWithPlan>(bytes).map(KeeperState::from))
-            .or_else(|_| decode_whole::<StateWithoutPlan>(bytes).map(KeeperState::from))
+        decode_exact::<KeeperState>(bytes)
+            .or_else(|_| decode_exact::<StateWithPlan>(bytes).map(KeeperState::from))
+            .or_else(|_| decode_exact::<StateWithoutPlan>(bytes).map(KeeperState::from))
     }
 }
 
 /// Reads a value that takes all of the bytes.
-fn decode_whole<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, postcard::Error> {
+fn decode_exact<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, postcard::Error> {
     match postcard::take_from_bytes(bytes)? {
         (value, []) => Ok(value),
         _ => Err(postcard::Error::DeserializeBadEncoding),
