--- a/crates/micaspool-keeper/src/clock.rs
+++ b/crates/micaspool-keeper/src/clock.rs
@@ -1,11 +1,12 @@
-//! The clocks of a keeper.
+//! Monotonic and wall clock of a keeper.
 
 use micaspool_clock::BootInstant;
 use micaspool_ledger::LedgerTime;
 use micaspool_types::Moment;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock as the log core needs it.
+/// A monotonic clock that yields the [`Moment`]s of the consensus state machine, counted from its
+/// creation.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MonotonicClock {
     start: BootInstant,
@@ -21,7 +22,8 @@
     }
 }
 
-/// The wall clock, which only orders the ledger's retention.
+/// Returns the wall-clock time. The ledger uses it only for retention; hall orders show it to
+/// operators.
 pub(crate) fn ledger_time() -> LedgerTime {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     LedgerTime(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a keeper daemon together.
+//! Options and startup of the keeper daemon.
 
 use crate::engine::{EngineInput, EngineOptions, KeeperEngine, KeeperView, ReopenOptions};
 use crate::peers::{PeerExchange, MAX_FRAME};
@@ -26,15 +26,15 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-/// How many inputs may wait for the engine.
+/// The capacity of the engine's input queue.
 const INPUT_QUEUE_LEN: usize = 8_192;
 
-/// Why a keeper cannot run.
+/// An error while starting a keeper.
 #[derive(Debug)]
 pub enum Error {
-    /// The data folder cannot be used.
+    /// The data folder could not be opened.
     Store(micaspool_store::Error),
-    /// The process cannot start.
+    /// The process could not start, for example because an address is in use.
     Start(StartError),
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a keeper runs with; made by [`KeeperOptions::builder`].
+/// Options of a keeper, created with [`KeeperOptions::builder`].
 #[derive(Clone, Debug)]
 pub struct KeeperOptions {
     instance: InstanceName,
@@ -69,12 +69,12 @@
     spans: SpanSink,
 }
 
-/// Addresses that keepers use among themselves alone.
+/// Addresses reserved for messages between keepers.
 #[derive(Clone, Debug)]
 pub struct ExchangeAddresses {
-    /// Where this keeper takes the others' messages.
+    /// The address at which this keeper receives messages from the other keepers.
     pub own: SocketAddr,
-    /// Where the others take its own.
+    /// The addresses at which the other keepers receive messages.
     pub directory: Arc<dyn PeerDirectory>,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl KeeperOptions {
-    /// Options of a keeper that forms its first group with `configured` keepers.
+    /// Returns a builder for a keeper that forms the first group with the `configured` keepers.
     pub fn builder(
         instance: InstanceName,
         configured: Vec<InstanceName>,
@@ -108,56 +108,56 @@
 }
 
 impl KeeperOptionsBuilder {
-    /// Where it answers other processes.
+    /// Sets the address of the gRPC service.
     pub fn wire(mut self, address: SocketAddr) -> Self {
         self.options.wire = address;
         self
     }
 
-    /// Where keepers exchange messages; at their common addresses without one. A fleet of hundreds of
-    /// processes needs it: see `peers.rs`.
+    /// Sets separate addresses for messages between keepers. Without them, keepers use the address of
+    /// the gRPC service. Fleets of hundreds of processes need separate addresses: see `peers.rs`.
     pub fn exchange(mut self, addresses: Option<ExchangeAddresses>) -> Self {
         self.options.exchange = addresses;
         self
     }
 
-    /// Where it shows its status; nowhere unless this is set.
+    /// Sets the address of the status page. Without it, there is no status page.
     pub fn status(mut self, address: SocketAddr) -> Self {
         self.options.status = Some(address);
         self
     }
 
-    /// Where its files are.
+    /// Sets the data folder.
     pub fn data_folder(mut self, folder: PathBuf) -> Self {
         self.options.data_folder = folder;
         self
     }
 
-    /// False for a keeper that may only join a group.
+    /// Sets whether this keeper may form the first group. Otherwise it can only join an existing one.
     pub fn may_form(mut self, allowed: bool) -> Self {
         self.options.quorum.may_form = allowed;
         self
     }
 
-    /// Lets keepers come and go without an operator.
+    /// Allows membership changes without an operator.
     pub fn open_group(mut self, options: OpenGroupOptions) -> Self {
         self.options.quorum.open_group = Some(options);
         self
     }
 
-    /// True to open the files again after they failed, instead of stopping.
+    /// Sets whether the engine reopens the files after a failure instead of stopping.
     pub fn reopens_after_failure(mut self, reopens_after_failure: bool) -> Self {
         self.options.reopens_after_failure = reopens_after_failure;
         self
     }
 
-    /// Where spans go.
+    /// Sets the sink for tracing spans.
     pub fn spans(mut self, spans: SpanSink) -> Self {
         self.options.spans = spans;
         self
     }
 
-    /// The options.
+    /// Returns the options.
     pub fn build(self) -> KeeperOptions {
         self.options
     }
@@ -165,9 +165,9 @@
 
 /// A running keeper.
 pub struct KeeperDaemon {
-    /// Where it answers other processes.
+    /// The address of the gRPC service.
     pub wire: SocketAddr,
-    /// Where it shows its status, if anywhere.
+    /// The address of the status page, if there is one.
     pub status: Option<SocketAddr>,
     source: Arc<dyn StatusSource>,
     inputs: Sender<EngineInput>,
@@ -183,29 +183,29 @@
 }
 
 impl KeeperDaemon {
-    /// Saves what is under way and stops.
+    /// Persists pending input, then stops the engine.
     pub async fn stop(self) {
         let _ = self.inputs.send(EngineInput::Stop).await;
         let _ = self.finished.await;
     }
 
-    /// True once the files have failed or a stop has ended.
+    /// Returns whether the engine has stopped, by request or because of a file error.
     pub fn has_stopped(&self) -> bool {
         self.view.lock().expect("no holder of the view panics").stopped
     }
 
-    /// What it shows of itself.
+    /// Returns the source of the status page.
     pub fn status_source(&self) -> Arc<dyn StatusSource> {
         self.source.clone()
     }
 
-    /// The endpoints that registered here.
+    /// Returns the registry of the endpoints that registered at this keeper.
     pub fn hub(&self) -> &Arc<RegistryHub> {
         &self.hub
     }
 }
 
-/// Starts a keeper as its settings file says.
+/// Starts a keeper as configured in its settings file.
 pub async fn run_keeper(settings: &ProcessSettings) -> Result<KeeperDaemon, Error> {
     let configured = settings.keepers.iter().map(|keeper| keeper.name.clone()).collect();
     let directory = Arc::new(ListedPeers(settings.keepers.clone()));
@@ -218,7 +218,7 @@
     start_keeper(options).await
 }
 
-/// Starts a keeper; it runs until it is stopped or its files fail for good.
+/// Starts a keeper. It runs until it is stopped or, unless it reopens its files, until a file error.
 pub async fn start_keeper(options: KeeperOptions) -> Result<KeeperDaemon, Error> {
     let folder = &options.data_folder;
     let opened =
--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -1,7 +1,7 @@
-//! The thread that owns the log, the files and the state machines.
+//! The engine thread, which owns the consensus state machine, the files and the replicated state.
 //!
-//! The engine takes everything that has come in, saves once, and only then sends messages and
-//! answers callers, so that one sync serves all commands that came in meanwhile.
+//! The engine processes all queued inputs, persists their effects, and only then sends messages and
+//! replies to callers. One sync therefore covers all commands that arrived during the previous one.
 
 mod reopen;
 
@@ -23,83 +23,88 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-/// The most inputs that one save covers.
+/// The maximum number of inputs that one save covers.
 const MAX_BATCH: usize = 4_096;
-/// The log is compacted once it has this many entries more than the ledger has keys, so that
-/// writing the snapshot costs a bounded share of the work.
+/// The log is compacted when it has this many entries more than the ledger has keys. The size of a
+/// snapshot grows with the ledger, so this bounds the share of work spent on writing snapshots.
 const COMPACT_ENTRIES: usize = 8_192;
-/// The log is compacted as well once its commands have this many bytes: whole route plans of 100 KB
-/// would fill a small disk long before the entries are many.
+/// The log is also compacted when its commands exceed this many bytes. Route plans of 100 KB each
+/// would fill a small disk long before `COMPACT_ENTRIES` is reached.
 const COMPACT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a command gave no reply.
+/// The reason why a command failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineError {
-    /// Another keeper leads, or none; the command may have been taken if it was proposed before.
+    /// This keeper is not the leader. Contains the leader, if known. If the command was proposed before
+    /// this keeper lost its leadership, it may still be committed.
     NotLeader(Option<InstanceName>),
-    /// The files failed; the keeper stops.
+    /// The engine has stopped, by request or because of a file error.
     Stopped,
 }
 
 impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EngineError::NotLeader(Some(leader)) => write!(f, "this keeper does not lead; ask {leader}"),
-            EngineError::NotLeader(None) => f.write_str("no keeper leads now; come back shortly"),
-            EngineError::Stopped => f.write_str("the keeper has stopped; see its log, then restart it"),
+            EngineError::NotLeader(Some(leader)) => {
+                write!(f, "this keeper is not the leader; send the command to {leader}")
+            }
+            EngineError::NotLeader(None) => f.write_str("no leader is known; retry shortly"),
+            EngineError::Stopped => f.write_str("the keeper has stopped; check its log, then restart it"),
         }
     }
 }
 
 impl std::error::Error for EngineError {}
 
-/// What a command gave, or why nothing.
+/// The result of a command.
 pub type EngineReply = Result<KeeperReply, EngineError>;
 
-/// What the engine is asked to do.
+/// An input of the engine.
 #[derive(Debug)]
 pub enum EngineInput {
-    /// An event of the log core.
+    /// An event for the consensus state machine.
     Event(QuorumEvent),
-    /// A command, and where its reply goes.
+    /// A command to propose, and the channel for its reply.
     Command(KeeperCommand, Sender<EngineReply>),
-    /// A read barrier, and where its reply goes.
+    /// A read barrier, and the channel for its reply. A blank entry is committed first, so that reads
+    /// after the reply see all earlier commands.
     Barrier(Sender<EngineReply>),
-    /// Finish and close the files.
+    /// Persists the inputs so far and stops the engine.
     Stop,
 }
 
-/// What the other tasks of the process may read at any time.
+/// A copy of the engine's state for the other tasks of the process.
 #[derive(Debug)]
 pub struct KeeperView {
-    /// The newest applied settings.
+    /// The latest applied settings.
     pub settings: apply::SettingsState,
-    /// The newest applied route plan.
+    /// The latest applied route plan.
     pub plan: PlanDocument,
-    /// The newest applied orders about data halls.
+    /// The latest applied data hall orders.
     pub halls: HallOrders,
-    /// The log.
+    /// The state of the consensus state machine.
     pub status: QuorumStatus,
-    /// The keys in the ledger.
+    /// The number of keys in the ledger.
     pub ledger_keys: usize,
-    /// The bytes of answers in the ledger.
+    /// The size of the answers in the ledger, in bytes.
     pub ledger_answer_bytes: usize,
-    /// The number of syncs so far.
+    /// The number of syncs since the files were opened.
     pub syncs: u64,
-    /// True once the engine takes nothing more.
+    /// Whether the engine has stopped.
     pub stopped: bool,
     subscribers: Vec<Sender<()>>,
 }
 
 impl KeeperView {
-    /// A channel that gets a message after the settings or their confirmation have changed.
+    /// Returns a channel that receives a message after the settings, the plan, the hall orders, the
+    /// membership or the confirmation by a majority have changed, and when the engine stops.
     pub fn subscribe(&mut self) -> Receiver<()> {
         let (sender, receiver) = async_std::channel::bounded(1);
         self.subscribers.push(sender);
         receiver
     }
 
-    /// What a watcher needs that holds `from`.
+    /// Returns the updates for a watcher that has revision `from`.
     pub fn updates_since(&self, from: Revision) -> Vec<SettingsUpdate> {
         self.settings.updates_since(from)
     }
@@ -112,27 +117,27 @@
     }
 }
 
-/// What an engine is made with.
+/// Options of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Times and sizes of the log.
+    /// Options of the replicated log.
     pub quorum: QuorumOptions,
-    /// Limits of the ledger.
+    /// Limits of the claims ledger.
     pub ledger: LedgerOptions,
-    /// Where the files are opened again after they failed; `None` stops the engine then.
+    /// How to reopen the files after a failure. With `None`, the engine stops.
     pub reopen: Option<ReopenOptions>,
 }
 
-/// A data folder and the keeper that owns it.
+/// The data folder to reopen and the name of its keeper.
 #[derive(Debug, Clone)]
 pub struct ReopenOptions {
-    /// The folder.
+    /// The data folder.
     pub folder: PathBuf,
-    /// The keeper.
+    /// The name of the keeper.
     pub name: InstanceName,
 }
 
-/// The engine of a keeper; runs on the thread that calls [`KeeperEngine::run`].
+/// The engine of a keeper. It runs on the thread that calls [`KeeperEngine::run`].
 #[derive(Debug)]
 pub struct KeeperEngine {
     options: EngineOptions,
@@ -141,10 +146,10 @@
     files: KeeperFiles,
     state: KeeperState,
     applied: LogIndex,
-    /// The bytes of the commands applied since the last compaction.
+    /// The size of the commands applied since the last compaction, in bytes.
     command_bytes: usize,
     pending_replies: BTreeMap<(LogIndex, Term), Sender<EngineReply>>,
-    /// Replies that go out once the view shows what they are about.
+    /// Replies to send after the view has been updated, so that callers see their own writes.
     ready_replies: Vec<(Sender<EngineReply>, EngineReply)>,
     outgoing: Sender<Envelope>,
     view: Arc<Mutex<KeeperView>>,
@@ -152,7 +157,7 @@
 }
 
 impl KeeperEngine {
-    /// An engine that continues from opened files. Messages to other keepers go to `outgoing`.
+    /// Creates an engine from opened files. Messages to other keepers are sent to `outgoing`.
     pub fn new(options: EngineOptions, opened: OpenOutcome, outgoing: Sender<Envelope>) -> KeeperEngine {
         let clock = MonotonicClock::start();
         let snapshot = &opened.restored.snapshot;
@@ -186,12 +191,12 @@
         }
     }
 
-    /// What the other tasks of the process may read.
+    /// Returns the view for the other tasks of the process.
     pub fn view(&self) -> Arc<Mutex<KeeperView>> {
         self.view.clone()
     }
 
-    /// Works until a stop is asked for, the inputs end, or the files fail.
+    /// Runs until a stop is requested, the input channel closes, or the files fail and are not reopened.
     pub fn run(mut self, inputs: &Receiver<EngineInput>) {
         while let Ok(first) = inputs.recv_blocking() {
             self.handle_input(first);
@@ -227,7 +232,7 @@
             }
         }
         let command = with_timestamp(command, ledger_time());
-        let bytes = postcard::to_stdvec(&command).expect("commands have nothing that cannot be encoded");
+        let bytes = postcard::to_stdvec(&command).expect("commands can be encoded");
         self.propose_payload(EntryPayload::Command(bytes), reply);
     }
 
@@ -242,7 +247,7 @@
         }
     }
 
-    /// Acts on everything that the core asks for; false when the files failed.
+    /// Processes all outputs of the consensus state machine. Returns false if the files failed.
     fn process_output(&mut self) -> bool {
         loop {
             let output = self.core.take_output();
@@ -306,7 +311,7 @@
         }
     }
 
-    /// Answers the commands of a leadership that has ended. They may still be committed.
+    /// Fails the pending commands after this keeper has lost its leadership. They may still be committed.
     fn fail_commands_after_step_down(&mut self) {
         if self.core.is_leader() || self.pending_replies.is_empty() {
             return;
@@ -382,10 +387,11 @@
     if data.is_empty() {
         return KeeperState::new(options);
     }
-    KeeperState::decode(data).expect("a snapshot that passed its checksum was written by this version")
+    KeeperState::decode(data).expect("a snapshot with a valid checksum can be decoded")
 }
 
-/// Gives commands that note when they came the leader's time.
+/// Sets the leader's time in commands that carry a time. The log must hold the time so that all
+/// keepers apply the same value.
 fn with_timestamp(command: KeeperCommand, at: LedgerTime) -> KeeperCommand {
     match command {
         KeeperCommand::Claim(claim) => KeeperCommand::Claim(micaspool_ledger::ClaimCommand { at, ..claim }),
--- a/crates/micaspool-keeper/src/engine/reopen.rs
+++ b/crates/micaspool-keeper/src/engine/reopen.rs
@@ -1,4 +1,4 @@
-//! Going on after the files failed: a full disk, or one that refused a write.
+//! Recovery from file errors, such as a full disk or a failed write.
 
 use super::{restore_state, start_core, EngineError, EngineInput, KeeperEngine};
 use async_std::channel::Receiver;
@@ -6,13 +6,13 @@
 use micaspool_telemetry::events::{self, field, record};
 use std::time::Duration;
 
-/// The pause before files that failed are opened again.
+/// The delay before files are opened again after a failure.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
 impl KeeperEngine {
-    /// Starts anew from the files after they failed, like a process that was restarted; false when
-    /// that is not wanted. Everything that was read is written again first, since what an earlier
-    /// failure left in the system's cache need not be on the disk.
+    /// Reopens the files after a failure and restarts from them, like a restarted process. Retries until
+    /// it succeeds or a stop is requested. Returns false if it was stopped or reopening is disabled. The
+    /// log is rewritten first: after a failed sync, what is read may be in the page cache but not on disk.
     pub(super) fn reopen(&mut self, inputs: &Receiver<EngineInput>) -> bool {
         let Some(target) = self.options.reopen.clone() else { return false };
         self.fail_pending_replies(&EngineError::NotLeader(None));
@@ -46,7 +46,7 @@
         self.files = opened.files;
     }
 
-    /// Answers an input that comes while there are no files.
+    /// Rejects an input that arrives while the files are not open.
     fn reject_input(&mut self, input: EngineInput) {
         match input {
             EngineInput::Event(_) => {}
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Shows that this keeper hears no majority.
+    /// Marks this keeper as not confirmed by a majority in the view.
     fn mark_unconfirmed(&self) {
         let mut view = self.view.lock().expect("no holder of the view panics");
         if view.status.confirmed {
--- a/crates/micaspool-keeper/src/follow.rs
+++ b/crates/micaspool-keeper/src/follow.rs
@@ -1,4 +1,5 @@
-//! Tells followers of the fleet: the route plan, orders about halls, the endpoints heard here, and the members.
+//! Streams the state of the fleet to followers: the route plan, data hall orders, the endpoints
+//! registered at this keeper, and the members of the keeper group.
 
 use crate::engine::KeeperView;
 use crate::registry_hub::{HubCursor, HubScope, RegistryHub};
@@ -13,29 +14,33 @@
 use std::time::Duration;
 use tonic::Status;
 
-/// How often a follower hears of this keeper when nothing changes. A follower takes a keeper for lost after
-/// two and a half times as long; a router notices a dispatcher that is gone by its own requests, earlier.
+/// The interval of messages to a follower when nothing changes. A follower considers a keeper lost
+/// after two and a half times as long. The loss of a dispatcher is noticed earlier, by the requests
+/// that routers send to it.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a follower is told of endpoints that said nothing new. It forgets one after ten seconds.
+/// The interval at which records of unchanged endpoints are sent again. A follower removes an
+/// endpoint that it has not received for ten seconds.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The least time between two messages that name endpoints, in which what they say is gathered: they may come back by the
-/// hundred. A new plan, an order about a hall and a new majority are told at once.
+/// The minimum time between two messages with endpoint records, so that changes are batched when
+/// hundreds of endpoints return at once. A new plan, a hall order or a change of the majority is sent
+/// immediately.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a follower has been told.
+/// What has been sent to a follower.
 struct FollowerState {
     number: u64,
-    /// The number of the newest order about a hall.
+    /// The number of the latest hall order.
     hall_order: u64,
     cursor: HubCursor,
-    /// When it is told of all endpoints that were heard.
+    /// When the records of unchanged endpoints are due again.
     refresh_due: BootInstant,
     keepers: Vec<String>,
 }
 
-/// Sends a follower everything, then what changes, until it leaves or the keeper stops.
+/// Sends the complete state to a follower, then changes, until it disconnects or the keeper stops.
+/// A plan is sent only if its number is greater than `number`.
 pub(crate) async fn feed_follower(
     view: Arc<Mutex<KeeperView>>,
     hub: Arc<RegistryHub>,
@@ -64,7 +69,7 @@
     let change = changes.recv();
     let endpoint = records.recv();
     pin_mut!(change, endpoint);
-    // Both an event and a pulse lead to the next message, so which of them came does not matter.
+    // Both a change and a timeout are followed by a message, so the cause does not matter.
     let _ = timeout(HEARTBEAT_INTERVAL, select(change, endpoint)).await;
 }
 
@@ -83,7 +88,8 @@
         }
         let members = view.status.membership.members.iter();
         let keepers: Vec<String> = members.map(|member| member.identity.name.to_string()).collect();
-        // Followers believe a list only from a keeper that hears a majority; until then it is not told.
+        // Followers accept a list of members only from a keeper that is confirmed by a majority, so it
+        // is not sent until then.
         if view.status.confirmed && keepers != self.keepers {
             news.keepers.clone_from(&keepers);
             self.keepers = keepers;
@@ -96,7 +102,7 @@
         (news, stopped)
     }
 
-    /// Everything that was heard once in a while, else what is new.
+    /// Returns the records to send next: unchanged ones only once per [`REFRESH_INTERVAL`].
     fn next_scope(&mut self) -> HubScope {
         let now = BootInstant::now();
         if now < self.refresh_due {
--- a/crates/micaspool-keeper/src/lib.rs
+++ b/crates/micaspool-keeper/src/lib.rs
@@ -1,7 +1,8 @@
-//! The keeper: durable, replicated settings and claims.
+//! The keeper daemon, which stores settings, claims, route plans and data hall orders in a replicated
+//! log.
 //!
-//! [`KeeperEngine`] owns the log core, the files and the state machines, and works on a thread
-//! of its own; [`KeeperService`] is the protocol side; [`run_keeper`] puts a daemon together.
+//! [`KeeperEngine`] owns the consensus state machine, the files and the replicated state, and runs on
+//! a dedicated thread. [`KeeperService`] implements the gRPC service. [`run_keeper`] starts a daemon.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-keeper/src/peers.rs
+++ b/crates/micaspool-keeper/src/peers.rs
@@ -1,8 +1,8 @@
-//! The exchange with the other keepers, on a thread of its own.
+//! The exchange of messages with the other keepers, on a dedicated thread.
 //!
-//! A leader has to speak every 100 ms and is given up after 500 ms. On the executor that all followers,
-//! routers and endpoints of a process share, its messages would wait behind whatever came before them. A thread of its own
-//! gets its turn whatever the others do.
+//! A leader must send every 100 ms and loses its followers after 500 ms. On the executor that serves
+//! all followers, routers and endpoints of the process, its messages would queue behind other tasks. A
+//! dedicated thread is scheduled by the operating system however busy that executor is.
 
 use crate::engine::EngineInput;
 use crate::service::KeeperService;
@@ -23,40 +23,42 @@
 
 /// The version of the encoding of [`PeerMessage`] in frames.
 pub(crate) const FRAME_FORMAT: u32 = 1;
-/// The largest frame, which holds a whole snapshot.
+/// The maximum frame size in bytes. A frame must hold a complete snapshot.
 pub(crate) const MAX_FRAME: usize = 256 * 1024 * 1024;
-/// The most messages that wait for one keeper; more are dropped, and sent again by the log core.
+/// The maximum number of messages queued for one keeper. Further ones are dropped; the consensus
+/// state machine sends what is still needed again.
 const PEER_QUEUE_LEN: usize = 256;
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the log core looks at the time.
+/// The interval of [`QuorumEvent::Tick`]s.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the exchange with other keepers needs.
+/// The exchange of messages with the other keepers.
 pub(crate) struct PeerExchange {
-    /// Where the other keepers' messages are taken; `None` when the keeper's common address takes them.
+    /// The address for messages from other keepers. With `None`, they arrive at the address of the gRPC
+    /// service.
     pub address: Option<SocketAddr>,
-    /// Where the other keepers take messages.
+    /// The addresses at which the other keepers receive messages.
     pub directory: Arc<dyn PeerDirectory>,
     pub counter: TrafficCounter,
-    /// Messages of the log core to other keepers.
+    /// Messages from the engine to other keepers.
     pub outgoing: Receiver<Envelope>,
-    /// Takes messages and ticks to the log core.
+    /// Ticks for the engine.
     pub inputs: Sender<EngineInput>,
     pub service: KeeperService,
 }
 
 impl PeerExchange {
-    /// Starts the thread; an error says that its address cannot be used.
+    /// Starts the thread. Returns an error if its address cannot be bound.
     pub async fn start(self) -> Result<(), StartError> {
         let (start_result, outcome) = bounded(1);
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.expect("a process that starts has descriptors left").block_on(self.run(start_result));
+            runtime.expect("a starting process has free file descriptors").block_on(self.run(start_result));
         });
-        outcome.recv().await.expect("the thread tells how its start went")
+        outcome.recv().await.expect("the thread reports the result of its start")
     }
 
-    /// Works until the log core has ended.
+    /// Runs until the engine has stopped.
     async fn run(self, start_result: Sender<Result<(), StartError>>) {
         let started = match self.address {
             Some(address) => {
@@ -65,7 +67,7 @@
             None => Ok(()),
         };
         let failed = started.is_err();
-        // Whoever started the thread waits for this.
+        // `start` waits for this.
         let _ = start_result.send(started).await;
         if failed {
             return;
@@ -77,7 +79,7 @@
     }
 }
 
-/// Serves the other keepers' streams.
+/// Serves the streams of the other keepers.
 async fn serve_peers(
     address: SocketAddr,
     service: KeeperService,
@@ -91,8 +93,8 @@
     Ok(())
 }
 
-/// Hands messages out. A stream to a keeper opens with the first message for it, at the address that
-/// the directory gives.
+/// Distributes messages to the queues of their receivers. The stream to a keeper is opened on the
+/// first message to it, at its address in the directory. Messages without an address are dropped.
 async fn dispatch_envelopes(
     directory: Arc<dyn PeerDirectory>,
     counter: TrafficCounter,
@@ -110,7 +112,8 @@
     }
 }
 
-/// Keeps one stream to a keeper open. What could not be sent is dropped.
+/// Keeps a stream to a keeper open and reconnects when it fails. Messages that were queued while it
+/// was down are dropped.
 async fn run_peer_stream(address: SocketAddr, counter: TrafficCounter, queue: Receiver<PeerMessage>) {
     while !queue.is_closed() {
         if let Ok(channel) = socket::connect(address, counter.clone()).await {
@@ -124,11 +127,11 @@
 }
 
 fn encode_frame(message: &PeerMessage) -> PeerFrame {
-    let body = postcard::to_stdvec(message).expect("messages have nothing that cannot be encoded");
+    let body = postcard::to_stdvec(message).expect("messages can be encoded");
     PeerFrame { format: FRAME_FORMAT, body }
 }
 
-/// The message in a frame, if this version understands it.
+/// Decodes the message in a frame. Returns `None` if this version cannot decode it.
 pub(crate) fn decode_frame(frame: &PeerFrame) -> Option<PeerMessage> {
     if frame.format != FRAME_FORMAT {
         return None;
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -1,4 +1,4 @@
-//! The endpoints that registered at this keeper, and who wants to hear of them.
+//! Registry of the endpoints that registered at this keeper, with subscriptions to its changes.
 
 use crate::clock::MonotonicClock;
 use async_std::channel::{bounded, Receiver, Sender};
@@ -9,29 +9,30 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How long an endpoint may be silent at this keeper before it is forgotten here. Others may hear it
-/// elsewhere, so this only bounds memory.
+/// How long a record is kept after its endpoint last registered at this keeper. The endpoint may
+/// register at other keepers, so this only bounds memory.
 const RECORD_TTL: Duration = Duration::from_secs(60);
 
-/// Marks what a follower has been told. Both numbers rise with each record that comes in.
+/// Marks which records a follower has been sent, by the version of [`RegistryHub`] at that time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub(crate) struct HubCursor {
-    /// Up to where it knows what endpoints said that was new.
+    /// The version up to which it has been sent changed records.
     changed: u64,
-    /// Up to where it knows that they were heard at all.
+    /// The version up to which it has been sent unchanged records as well.
     received: u64,
 }
 
-/// Which records a follower is told.
+/// Selects the records to send to a follower.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum HubScope {
-    /// Those that say something new.
+    /// Records that changed.
     Changed,
-    /// All that were heard, so that the follower does not take an endpoint for silent.
+    /// All records received, changed or not, so that the follower does not consider an endpoint lost.
     Received,
 }
 
-/// What this keeper heard from endpoints. Followers merge what all keepers heard.
+/// The records of the endpoints that registered at this keeper. Followers merge the records of all
+/// keepers.
 #[derive(Debug)]
 pub struct RegistryHub {
     clock: MonotonicClock,
@@ -41,9 +42,9 @@
 #[derive(Debug, Default)]
 struct HubContent {
     registry: EndpointRegistry,
-    /// At which version each endpoint was heard last.
+    /// The version at which each endpoint last registered.
     received: HashMap<EndpointName, u64>,
-    /// At which version each endpoint said something new last.
+    /// The version at which each endpoint last changed.
     changed: HashMap<EndpointName, u64>,
     version: u64,
     subscribers: Vec<Sender<()>>,
@@ -56,7 +57,7 @@
 }
 
 impl RegistryHub {
-    /// Takes a record of an endpoint in.
+    /// Merges a record of an endpoint into the registry.
     pub fn register(&self, endpoint: EndpointRecord) -> MergeOutcome {
         let mut content = self.lock();
         let (name, stage, sequence) = (endpoint.name.clone(), endpoint.stage, endpoint.sequence);
@@ -88,8 +89,9 @@
         outcome
     }
 
-    /// Notes that an endpoint has left, by the name that its starts share. One that never registered here is known by its name alone,
-    /// which is no use to anyone, so the caller may ask it to register elsewhere first.
+    /// Marks an endpoint as left, by the identity that all its starts share. Returns false if it never
+    /// registered at this keeper: its identity alone does not make a record, so the caller must look for
+    /// its record elsewhere.
     pub fn leave(&self, identity: &EndpointName) -> bool {
         let mut content = self.lock();
         let Some(name) = content.registry.leave(self.clock.now(), identity) else { return false };
@@ -101,14 +103,14 @@
         true
     }
 
-    /// A channel that gets a message after an endpoint has said something new.
+    /// Returns a channel that receives a message after a record has changed.
     pub(crate) fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = bounded(1);
         self.lock().subscribers.push(sender);
         receiver
     }
 
-    /// The records of a scope that came in after a cursor, and the cursor after them.
+    /// Returns the records of a scope that are newer than a cursor, and the cursor after them.
     pub(crate) fn records_since(
         &self,
         cursor: HubCursor,
--- a/crates/micaspool-keeper/src/service.rs
+++ b/crates/micaspool-keeper/src/service.rs
@@ -1,4 +1,4 @@
-//! The protocol side of a keeper.
+//! The gRPC service of a keeper.
 
 use crate::engine::{EngineError, EngineInput, EngineReply, KeeperView};
 use crate::follow::feed_follower;
@@ -27,12 +27,12 @@
 use std::time::Duration;
 use tonic::{Request, Response, Status, Streaming};
 
-/// How long a command may wait for its commit.
+/// The maximum time that a command waits for its commit.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How many updates may wait for one watcher.
+/// The maximum number of messages queued for one watcher or follower.
 const STREAM_QUEUE_LEN: usize = 16;
 
-/// Answers routers, dispatchers, operators and other keepers.
+/// The gRPC service for routers, dispatchers, operators and other keepers.
 #[derive(Clone, Debug)]
 pub struct KeeperService {
     inputs: Sender<EngineInput>,
@@ -43,7 +43,7 @@
 }
 
 impl KeeperService {
-    /// A service in front of an engine.
+    /// Creates a service that passes commands to an engine.
     pub fn new(
         inputs: Sender<EngineInput>,
         view: Arc<Mutex<KeeperView>>,
@@ -65,7 +65,7 @@
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) => Err(stopped()),
             Err(_) => Err(Status::deadline_exceeded(
-                "no majority confirmed in time; send it again with the same id",
+                "no majority confirmed the command in time; send it again with the same id",
             )),
         }
     }
@@ -126,7 +126,7 @@
                 record(&events::CHANGE_REJECTED, &[field("change", id), field("operator", operator)]);
                 Outcome::Rejected(error.to_string())
             }
-            Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
+            Ok(_) => return Err(Status::internal("the reply does not match the command; report a bug")),
             Err(error) => Outcome::NotLeader(self.not_leader(error)?),
         };
         Ok(Response::new(v1::ApplyReply { outcome: Some(outcome) }))
@@ -157,7 +157,9 @@
         let traced = Some(request.traceparent.as_str()).filter(|parent| !parent.is_empty());
         let _span = traced.map(|parent| self.spans.start("keeper", Some(parent)));
         let body = <[u8; 32]>::try_from(request.body_hash.as_slice()).map_err(|_| {
-            Status::invalid_argument("a body hash has 32 bytes; run the same version everywhere")
+            Status::invalid_argument(
+                "the body hash must have 32 bytes; run the same version on all instances",
+            )
         })?;
         let command = ClaimCommand {
             key: claim_key(&request.customer, &request.key)?,
@@ -167,7 +169,7 @@
         };
         let reply = match self.submit_command(KeeperCommand::Claim(command)).await? {
             Ok(KeeperReply::Claimed(verdict)) => verdict_message(verdict),
-            Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
+            Ok(_) => return Err(Status::internal("the reply does not match the command; report a bug")),
             Err(error) => {
                 v1::ClaimReply { not_leader: Some(self.not_leader(error)?), ..v1::ClaimReply::default() }
             }
@@ -205,7 +207,7 @@
         let document = PlanDocument { number: request.number, text: request.document.into() };
         let reply = match self.submit_command(KeeperCommand::Publish(document)).await? {
             Ok(KeeperReply::Published(number)) => v1::PublishReply { in_force: number, not_leader: None },
-            Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
+            Ok(_) => return Err(Status::internal("the reply does not match the command; report a bug")),
             Err(error) => v1::PublishReply { in_force: 0, not_leader: Some(self.not_leader(error)?) },
         };
         Ok(Response::new(reply))
@@ -240,7 +242,7 @@
                 record_verdict(log_fields, verdict);
                 order_reply(verdict)
             }
-            Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
+            Ok(_) => return Err(Status::internal("the reply does not match the command; report a bug")),
             Err(error) => v1::OrderHallReply {
                 not_leader: Some(self.not_leader(error)?),
                 ..v1::OrderHallReply::default()
@@ -301,7 +303,7 @@
         self.inputs.send(event).await.map_err(|_| Status::unavailable("the keeper has stopped"))?;
         record(&events::GROUP_FORMED, &[field("operator", operator)]);
         let text =
-            "this keeper now leads a group of its own; start the others with empty data folders".to_owned();
+            "this keeper now forms the group alone; start the others with empty data folders".to_owned();
         Ok(Response::new(v1::RecoverReply { text }))
     }
 
@@ -324,7 +326,7 @@
     record(kind, &fields);
 }
 
-/// Sends a watcher what it lacks, now and after each change.
+/// Sends a watcher the settings updates that it does not have, now and after each change.
 async fn feed_watcher(view: Arc<Mutex<KeeperView>>, from: Revision, sender: Sender<v1::SettingsUpdate>) {
     let changes = view.lock().expect("no holder of the view panics").subscribe();
     let mut known_revision = from;
@@ -354,7 +356,8 @@
     }
 }
 
-/// Waits for news; false once the watcher has left.
+/// Waits for a change of the view. Returns false once the watcher has disconnected or the view has
+/// been dropped.
 async fn wait_for_change(
     changes: &async_std::channel::Receiver<()>,
     sender: &Sender<v1::SettingsUpdate>,
--- a/crates/micaspool-keeper/src/state.rs
+++ b/crates/micaspool-keeper/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machines that the log drives.
+//! The replicated state machines: settings, claims, route plan and data hall orders.
 
 use micaspool_halls::{HallOrders, OrderCommand, OrderVerdict};
 use micaspool_ledger::{
@@ -10,62 +10,64 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A command of the log.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeeperCommand {
-    /// Change the settings.
+    /// Changes the settings.
     Apply(SettingsChange),
-    /// Claim a call.
+    /// Claims an idempotency key for a call.
     Claim(ClaimCommand),
-    /// Record how a call ended.
+    /// Records how a claimed call ended.
     Finish(FinishCommand),
-    /// Offer a route plan.
+    /// Publishes a route plan.
     Publish(PlanDocument),
-    /// Evacuate a data hall or take it back.
+    /// Evacuates a data hall or returns it to service.
     OrderHall(OrderCommand),
 }
 
-/// A route plan as its operator sent it. Keepers check it before they propose it, and never read it
-/// afterwards, so that keepers of two versions can't differ about it.
+/// A route plan as sent by its operator. The core process checks it before it is proposed. Keepers do
+/// not parse it when they apply it, so that different versions cannot disagree about it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanDocument {
-    /// The operator's number; zero when there is no plan.
+    /// The operator's number of the plan. Zero if there is no plan.
     pub number: u64,
-    /// The text.
+    /// The text of the plan.
     pub text: Arc<str>,
 }
 
-/// What a command gave.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeeperReply {
-    /// The outcome of a settings change.
+    /// The result of a settings change.
     Applied(Result<Revision, apply::Error>),
     /// The verdict on a claim.
     Claimed(ClaimVerdict),
-    /// An outcome was recorded.
+    /// The outcome of a call was recorded.
     Finished,
-    /// A read barrier was passed.
+    /// An entry without a reply was applied: a read barrier, a membership change, or a command that this
+    /// version cannot decode.
     Passed,
-    /// The number of the plan in force after an offer.
+    /// The number of the plan in force after the command.
     Published(u64),
-    /// What came of an order about a data hall.
+    /// The verdict on a data hall order.
     Ordered(OrderVerdict),
 }
 
-/// All state machines.
+/// The state of all replicated state machines.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct KeeperState {
     /// The settings tree.
     pub settings: SettingsState,
-    /// The claims.
+    /// The ledger of claims.
     pub ledger: LedgerState,
     /// The route plan in force.
     pub plan: PlanDocument,
-    /// The orders about data halls.
+    /// The data hall orders.
     pub halls: HallOrders,
 }
 
-/// The state as versions wrote it whose ledger did not remember early releases.
+/// The state as written by versions with route plans, but without hall orders and with a ledger that
+/// did not remember early releases.
 #[derive(Deserialize)]
 struct StateWithPlan {
     settings: SettingsState,
@@ -73,7 +75,7 @@
     plan: PlanDocument,
 }
 
-/// The state as versions without route plans wrote it.
+/// The state as written by versions without route plans.
 #[derive(Deserialize)]
 struct StateWithoutPlan {
     settings: SettingsState,
@@ -103,7 +105,7 @@
 }
 
 impl KeeperState {
-    /// Empty state machines.
+    /// Creates empty state machines.
     pub fn new(options: LedgerOptions) -> KeeperState {
         KeeperState {
             settings: SettingsState::default(),
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Applies a command.
+    /// Applies a command and returns its reply.
     pub fn apply(&mut self, command: &KeeperCommand) -> KeeperReply {
         match command {
             KeeperCommand::Apply(change) => KeeperReply::Applied(self.settings.accept(change)),
@@ -132,13 +134,13 @@
         }
     }
 
-    /// The state as bytes.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("the state has nothing that cannot be encoded")
+        postcard::to_stdvec(self).expect("the state can be encoded")
     }
 
-    /// The state from bytes, of this version or an earlier one. Bytes of another version end too early, or are left
-    /// over, wherever they happen to be readable.
+    /// Decodes a snapshot of this version or an earlier one. Where the bytes of another version can be
+    /// decoded at all, they end too early or bytes are left over, so each format is tried in turn.
     pub fn decode(bytes: &[u8]) -> Result<KeeperState, postcard::Error> {
         decode_exact::<KeeperState>(bytes)
             .or_else(|_| decode_exact::<StateWithPlan>(bytes).map(KeeperState::from))
@@ -146,7 +148,7 @@
     }
 }
 
-/// Reads a value that takes all of the bytes.
+/// Decodes a value that must take up all of the bytes.
 fn decode_exact<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, postcard::Error> {
     match postcard::take_from_bytes(bytes)? {
         (value, []) => Ok(value),
--- a/crates/micaspool-keeper/src/status.rs
+++ b/crates/micaspool-keeper/src/status.rs
@@ -1,4 +1,4 @@
-//! What a keeper shows of itself: metrics and state.
+//! The status page of a keeper: metrics and state.
 
 use crate::engine::KeeperView;
 use micaspool_halls::HallOrders;
@@ -10,14 +10,14 @@
 use serde_json::json;
 use std::sync::{Arc, Mutex};
 
-/// Control bytes by kind of peer.
+/// Counters of control traffic in bytes, by kind of peer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeeperCounters {
     pub peers: TrafficCounter,
     pub clients: TrafficCounter,
 }
 
-/// The view of a keeper as metrics and state.
+/// Renders the view of a keeper as metrics and as JSON.
 pub(crate) struct KeeperStatusSource {
     view: Arc<Mutex<KeeperView>>,
     registry: Registry,
@@ -50,18 +50,18 @@
         registry.register("micaspool_keeper_leads", "1 while this keeper leads", gauges.leads.clone());
         registry.register(
             "micaspool_keeper_confirmed",
-            "1 while a majority is heard",
+            "1 while this keeper is confirmed by a majority",
             gauges.confirmed.clone(),
         );
-        registry.register("micaspool_ledger_keys", "Remembered idempotency keys", gauges.keys.clone());
+        registry.register("micaspool_ledger_keys", "Idempotency keys in the ledger", gauges.keys.clone());
         registry.register(
             "micaspool_ledger_answer_bytes",
-            "Bytes of kept answers",
+            "Size of the answers in the ledger in bytes",
             gauges.answer_bytes.clone(),
         );
-        let help = "Data halls that are evacuated by an operator's order";
+        let help = "Data halls evacuated by an operator";
         registry.register("micaspool_keeper_evacuated_halls", help, gauges.evacuated.clone());
-        registry.register("micaspool_keeper_syncs", "Syncs of the log so far", gauges.syncs.clone());
+        registry.register("micaspool_keeper_syncs", "Syncs of the keeper files", gauges.syncs.clone());
         KeeperStatusSource { view, registry, traffic, gauges }
     }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Every hall that an order was given about.
+/// Returns the latest order for each data hall that has one.
 fn halls_json(orders: &HallOrders) -> Vec<serde_json::Value> {
     let halls = orders.iter().map(|(hall, order)| {
         json!({
@@ -108,7 +108,7 @@
     halls.collect()
 }
 
-/// The state of a keeper as JSON.
+/// Returns the state of a keeper as JSON.
 pub(crate) fn state_json(view: &KeeperView) -> String {
     let status = &view.status;
     let members = status
