--- a/crates/micaspool-core/src/desk.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderError {
     /// The plan cannot be used.
-    Faulty(FormatError),
+    InvalidPlan(FormatError),
     /// No majority of keepers answered in time. An offered plan may come into force all the same.
     NoMajority,
     /// There is no plan yet.
@@ -35,7 +35,7 @@
 impl fmt::Display for OrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OrderError::Faulty(error) => error.fmt(f),
+            OrderError::InvalidPlan(error) => error.fmt(f),
             OrderError::NoMajority => f.write_str(
                 "no majority of keepers answered in time; send the order again, here or elsewhere",
             ),
@@ -55,7 +55,7 @@
 
 /// Serves operators and endpoints; whichever core instance they ask, the leading keeper decides.
 #[derive(Debug, Clone)]
-pub struct ControlDesk {
+pub struct ControlService {
     client: Arc<KeeperClient>,
     own: PeerAddress,
     hub: Arc<RegistryHub>,
@@ -65,7 +65,7 @@
     halls: Vec<HallName>,
 }
 
-impl ControlDesk {
+impl ControlService {
     /// A desk of the instance whose keeper is `own`.
     pub fn new(
         client: Arc<KeeperClient>,
@@ -73,13 +73,13 @@
         hub: Arc<RegistryHub>,
         mirror: Arc<FleetMirror>,
         format: Arc<dyn PlanFormat>,
-    ) -> ControlDesk {
-        ControlDesk { client, own, hub, mirror, format, halls: Vec::new() }
+    ) -> ControlService {
+        ControlService { client, own, hub, mirror, format, halls: Vec::new() }
     }
 
     /// The same with the data halls that settings name.
-    pub fn with_halls(self, halls: Vec<HallName>) -> ControlDesk {
-        ControlDesk { halls, ..self }
+    pub fn with_halls(self, halls: Vec<HallName>) -> ControlService {
+        ControlService { halls, ..self }
     }
 
     /// Evacuates a data hall or takes it back; gives the number of the order that holds.
@@ -136,7 +136,7 @@
     pub async fn publish(&self, text: &str) -> Result<u64, OrderError> {
         let offered = self.format.decode(text).map_err(|error| {
             record(&events::PLAN_REFUSED, &[field("error", &error)]);
-            OrderError::Faulty(error)
+            OrderError::InvalidPlan(error)
         })?;
         self.list_keepers();
         let request = v1::PublishRequest { number: offered.number, document: text.to_owned() };
--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -1,11 +1,11 @@
 //! Puts a core daemon together.
 
-use crate::desk::ControlDesk;
+use crate::control::ControlService;
 use micaspool_client::{FleetMirror, FleetMirrorOptions, KeeperClient, PeerDirectory, ENDPOINT_LIFE};
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{EndpointProbe, FleetDispatcher, FleetDispatcherOptions, HttpEndpointProbe};
 use micaspool_http::status::{serve_status, StatusSource};
-use micaspool_keeper::{start_keeper, ExchangePlace, KeeperDaemon, KeeperOptions};
+use micaspool_keeper::{start_keeper, ExchangeAddresses, KeeperDaemon, KeeperOptions};
 use micaspool_quorum::OpenGroupOptions;
 use micaspool_routes::PlanFormat;
 use micaspool_settings::process::PeerAddress;
@@ -29,12 +29,12 @@
     keepers: Arc<dyn PeerDirectory>,
     format: Arc<dyn PlanFormat>,
     keeper_address: SocketAddr,
-    exchange: Option<ExchangePlace>,
+    exchange: Option<ExchangeAddresses>,
     dispatcher_address: SocketAddr,
     status: Vec<SocketAddr>,
     data_folder: PathBuf,
     may_form: bool,
-    borne_losses: usize,
+    tolerated_failures: usize,
     halls: Vec<HallName>,
     probe: Arc<dyn EndpointProbe>,
 }
@@ -66,7 +66,7 @@
             status: Vec::new(),
             data_folder: PathBuf::from("."),
             may_form: true,
-            borne_losses: 1,
+            tolerated_failures: 1,
             halls: Vec::new(),
             probe: Arc::new(HttpEndpointProbe::default()),
         };
@@ -90,7 +90,7 @@
 
     /// Where keepers speak among themselves alone: this one's address, and those of the others.
     pub fn exchange(mut self, own: SocketAddr, directory: Arc<dyn PeerDirectory>) -> Self {
-        self.options.exchange = Some(ExchangePlace { own, directory });
+        self.options.exchange = Some(ExchangeAddresses { own, directory });
         self
     }
 
@@ -113,8 +113,8 @@
     }
 
     /// The number of keepers whose loss at once the fleet is to bear.
-    pub fn borne_losses(mut self, losses: usize) -> Self {
-        self.options.borne_losses = losses;
+    pub fn tolerated_failures(mut self, failures: usize) -> Self {
+        self.options.tolerated_failures = failures;
         self
     }
 
@@ -142,13 +142,13 @@
     keeper: KeeperDaemon,
     dispatcher: FleetDispatcher,
     mirror: Arc<FleetMirror>,
-    desk: ControlDesk,
+    control: ControlService,
 }
 
 impl CoreDaemon {
     /// Where operators and endpoints are served.
-    pub fn desk(&self) -> &ControlDesk {
-        &self.desk
+    pub fn control(&self) -> &ControlService {
+        &self.control
     }
 
     /// The fleet as this process knows it.
@@ -193,9 +193,10 @@
     }
     let own = PeerAddress { name: options.instance.clone(), address: keeper.wire };
     let client = Arc::new(KeeperClient::new(vec![own.clone()], TrafficCounter::default()));
-    let desk = ControlDesk::new(client, own, keeper.hub().clone(), mirror.clone(), options.format.clone())
-        .with_halls(options.halls.clone());
-    Ok(CoreDaemon { keeper, dispatcher, mirror, desk })
+    let control =
+        ControlService::new(client, own, keeper.hub().clone(), mirror.clone(), options.format.clone())
+            .with_halls(options.halls.clone());
+    Ok(CoreDaemon { keeper, dispatcher, mirror, control })
 }
 
 /// Keeper and dispatcher on one page.
@@ -232,8 +233,8 @@
         .wire(options.keeper_address)
         .data_folder(options.data_folder.clone())
         .may_form(options.may_form)
-        .open_group(OpenGroupOptions::bearing(options.borne_losses))
-        .reopens(true)
+        .open_group(OpenGroupOptions::tolerating(options.tolerated_failures))
+        .reopens_after_failure(true)
         .build()
 }
 
--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -1,7 +1,7 @@
-//! The thread that owns the log, the files and the state machines.
+//! The engine thread, which owns the consensus state machine, the files and the replicated state.
 //!
-//! The engine takes everything that has come in, saves once, and only then sends messages and
-//! answers callers, so that one sync serves all commands that came in meanwhile.
+//! The engine processes all queued inputs, persists their effects, and only then sends messages and
+//! replies to callers. One sync therefore covers all commands that arrived during the previous one.
 
 mod reopen;
 
@@ -23,116 +23,121 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-/// The most inputs that one save covers.
+/// The maximum number of inputs that one save covers.
 const MAX_BATCH: usize = 4_096;
-/// The log is compacted once it has this many entries more than the ledger has keys, so that
-/// writing the snapshot costs a bounded share of the work.
+/// The log is compacted when it has this many entries more than the ledger has keys. The size of a
+/// snapshot grows with the ledger, so this bounds the share of work spent on writing snapshots.
 const COMPACT_ENTRIES: usize = 8_192;
-/// The log is compacted as well once its commands have this many bytes: whole route plans of 100 KB
-/// would fill a small disk long before the entries are many.
+/// The log is also compacted when its commands exceed this many bytes. Route plans of 100 KB each
+/// would fill a small disk long before `COMPACT_ENTRIES` is reached.
 const COMPACT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a command gave no reply.
+/// The reason why a command failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineError {
-    /// Another keeper leads, or none; the command may have been taken if it was proposed before.
+    /// This keeper is not the leader. Contains the leader, if known. If the command was proposed before
+    /// this keeper lost its leadership, it may still be committed.
     NotLeader(Option<InstanceName>),
-    /// The files failed; the keeper stops.
+    /// The engine has stopped, by request or because of a file error.
     Stopped,
 }
 
 impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EngineError::NotLeader(Some(leader)) => write!(f, "this keeper does not lead; ask {leader}"),
-            EngineError::NotLeader(None) => f.write_str("no keeper leads now; come back shortly"),
-            EngineError::Stopped => f.write_str("the keeper has stopped; see its log, then restart it"),
+            EngineError::NotLeader(Some(leader)) => {
+                write!(f, "this keeper is not the leader; send the command to {leader}")
+            }
+            EngineError::NotLeader(None) => f.write_str("no leader is known; retry shortly"),
+            EngineError::Stopped => f.write_str("the keeper has stopped; check its log, then restart it"),
         }
     }
 }
 
 impl std::error::Error for EngineError {}
 
-/// What a command gave, or why nothing.
+/// The result of a command.
 pub type EngineReply = Result<KeeperReply, EngineError>;
 
-/// What the engine is asked to do.
+/// An input of the engine.
 #[derive(Debug)]
 pub enum EngineInput {
-    /// An event of the log core.
+    /// An event for the consensus state machine.
     Event(QuorumEvent),
-    /// A command, and where its reply goes.
+    /// A command to propose, and the channel for its reply.
     Command(KeeperCommand, Sender<EngineReply>),
-    /// A read barrier, and where its reply goes.
+    /// A read barrier, and the channel for its reply. A blank entry is committed first, so that reads
+    /// after the reply see all earlier commands.
     Barrier(Sender<EngineReply>),
-    /// Finish and close the files.
+    /// Persists the inputs so far and stops the engine.
     Stop,
 }
 
-/// What the other tasks of the process may read at any time.
+/// A copy of the engine's state for the other tasks of the process.
 #[derive(Debug)]
 pub struct KeeperView {
-    /// The newest applied settings.
+    /// The latest applied settings.
     pub settings: apply::SettingsState,
-    /// The newest applied route plan.
+    /// The latest applied route plan.
     pub plan: PlanDocument,
-    /// The newest applied orders about data halls.
+    /// The latest applied data hall orders.
     pub halls: HallOrders,
-    /// The log.
+    /// The state of the consensus state machine.
     pub status: QuorumStatus,
-    /// The keys in the ledger.
+    /// The number of keys in the ledger.
     pub ledger_keys: usize,
-    /// The bytes of answers in the ledger.
+    /// The size of the answers in the ledger, in bytes.
     pub ledger_answer_bytes: usize,
-    /// The number of syncs so far.
+    /// The number of syncs since the files were opened.
     pub syncs: u64,
-    /// True once the engine takes nothing more.
+    /// Whether the engine has stopped.
     pub stopped: bool,
-    listeners: Vec<Sender<()>>,
+    subscribers: Vec<Sender<()>>,
 }
 
 impl KeeperView {
-    /// A channel that gets a message after the settings or their confirmation have changed.
-    pub fn listen(&mut self) -> Receiver<()> {
+    /// Returns a channel that receives a message after the settings, the plan, the hall orders, the
+    /// membership or the confirmation by a majority have changed, and when the engine stops.
+    pub fn subscribe(&mut self) -> Receiver<()> {
         let (sender, receiver) = async_std::channel::bounded(1);
-        self.listeners.push(sender);
+        self.subscribers.push(sender);
         receiver
     }
 
-    /// What a watcher needs that holds `from`.
+    /// Returns the updates for a watcher that has revision `from`.
     pub fn updates_since(&self, from: Revision) -> Vec<SettingsUpdate> {
         self.settings.updates_since(from)
     }
 
     fn notify(&mut self) {
-        self.listeners.retain(|listener| !listener.is_closed());
-        for listener in &self.listeners {
-            let _ = listener.try_send(());
+        self.subscribers.retain(|subscriber| !subscriber.is_closed());
+        for subscriber in &self.subscribers {
+            let _ = subscriber.try_send(());
         }
     }
 }
 
-/// What an engine is made with.
+/// Options of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Times and sizes of the log.
+    /// Options of the replicated log.
     pub quorum: QuorumOptions,
-    /// Limits of the ledger.
+    /// Limits of the claims ledger.
     pub ledger: LedgerOptions,
-    /// Where the files are opened again after they failed; `None` stops the engine then.
-    pub reopen: Option<ReopenPlace>,
+    /// How to reopen the files after a failure. With `None`, the engine stops.
+    pub reopen: Option<ReopenOptions>,
 }
 
-/// A data folder and the keeper that owns it.
+/// The data folder to reopen and the name of its keeper.
 #[derive(Debug, Clone)]
-pub struct ReopenPlace {
-    /// The folder.
+pub struct ReopenOptions {
+    /// The data folder.
     pub folder: PathBuf,
-    /// The keeper.
+    /// The name of the keeper.
     pub name: InstanceName,
 }
 
-/// The engine of a keeper; runs on the thread that calls [`KeeperEngine::run`].
+/// The engine of a keeper. It runs on the thread that calls [`KeeperEngine::run`].
 #[derive(Debug)]
 pub struct KeeperEngine {
     options: EngineOptions,
@@ -141,18 +146,18 @@
     files: KeeperFiles,
     state: KeeperState,
     applied: LogIndex,
-    /// The bytes of the commands applied since the last compaction.
+    /// The size of the commands applied since the last compaction, in bytes.
     command_bytes: usize,
-    waiting: BTreeMap<(LogIndex, Term), Sender<EngineReply>>,
-    /// Replies that go out once the view shows what they are about.
-    replies: Vec<(Sender<EngineReply>, EngineReply)>,
+    pending_replies: BTreeMap<(LogIndex, Term), Sender<EngineReply>>,
+    /// Replies to send after the view has been updated, so that callers see their own writes.
+    ready_replies: Vec<(Sender<EngineReply>, EngineReply)>,
     outgoing: Sender<Envelope>,
     view: Arc<Mutex<KeeperView>>,
     stopping: bool,
 }
 
 impl KeeperEngine {
-    /// An engine that continues from opened files. Messages to other keepers go to `outgoing`.
+    /// Creates an engine from opened files. Messages to other keepers are sent to `outgoing`.
     pub fn new(options: EngineOptions, opened: OpenOutcome, outgoing: Sender<Envelope>) -> KeeperEngine {
         let clock = MonotonicClock::start();
         let snapshot = &opened.restored.snapshot;
@@ -168,7 +173,7 @@
             ledger_answer_bytes: 0,
             syncs: 0,
             stopped: false,
-            listeners: Vec::new(),
+            subscribers: Vec::new(),
         };
         KeeperEngine {
             options,
@@ -178,38 +183,38 @@
             state,
             applied,
             command_bytes: 0,
-            waiting: BTreeMap::new(),
-            replies: Vec::new(),
+            pending_replies: BTreeMap::new(),
+            ready_replies: Vec::new(),
             outgoing,
             view: Arc::new(Mutex::new(view)),
             stopping: false,
         }
     }
 
-    /// What the other tasks of the process may read.
+    /// Returns the view for the other tasks of the process.
     pub fn view(&self) -> Arc<Mutex<KeeperView>> {
         self.view.clone()
     }
 
-    /// Works until a stop is asked for, the inputs end, or the files fail.
+    /// Runs until a stop is requested, the input channel closes, or the files fail and are not reopened.
     pub fn run(mut self, inputs: &Receiver<EngineInput>) {
         while let Ok(first) = inputs.recv_blocking() {
-            self.take(first);
+            self.handle_input(first);
             for _ in 1..MAX_BATCH {
                 match inputs.try_recv() {
-                    Ok(input) => self.take(input),
+                    Ok(input) => self.handle_input(input),
                     Err(_) => break,
                 }
             }
-            let working = self.settle() || self.reopen(inputs);
-            if !working || self.stopping {
+            let is_working = self.process_output() || self.reopen(inputs);
+            if !is_working || self.stopping {
                 break;
             }
         }
         self.stop();
     }
 
-    fn take(&mut self, input: EngineInput) {
+    fn handle_input(&mut self, input: EngineInput) {
         let now = self.clock.now();
         match input {
             EngineInput::Event(event) => self.core.step(now, event),
@@ -226,15 +231,15 @@
                 return;
             }
         }
-        let command = stamped(command, ledger_time());
-        let bytes = postcard::to_stdvec(&command).expect("commands have nothing that cannot be encoded");
+        let command = with_timestamp(command, ledger_time());
+        let bytes = postcard::to_stdvec(&command).expect("commands can be encoded");
         self.propose_payload(EntryPayload::Command(bytes), reply);
     }
 
     fn propose_payload(&mut self, payload: EntryPayload, reply: Sender<EngineReply>) {
         match self.core.propose(self.clock.now(), payload) {
-            Ok(place) => {
-                self.waiting.insert(place, reply);
+            Ok(position) => {
+                self.pending_replies.insert(position, reply);
             }
             Err(ProposeError::NotLeader(leader)) => {
                 let _ = reply.try_send(Err(EngineError::NotLeader(leader)));
@@ -242,15 +247,15 @@
         }
     }
 
-    /// Acts on everything that the core asks for; false when the files failed.
-    fn settle(&mut self) -> bool {
+    /// Processes all outputs of the consensus state machine. Returns false if the files failed.
+    fn process_output(&mut self) -> bool {
         loop {
             let output = self.core.take_output();
             if output.is_empty() {
                 break;
             }
             let saving = !output.save.is_empty();
-            if let Err(error) = self.act(output) {
+            if let Err(error) = self.execute_output(output) {
                 record(&events::STORE_FAILED, &[field("error", error)]);
                 return false;
             }
@@ -258,16 +263,16 @@
                 self.core.step(self.clock.now(), QuorumEvent::Saved);
             }
         }
-        self.fail_lost_commands();
-        self.compact_if_long();
+        self.fail_commands_after_step_down();
+        self.compact_if_needed();
         self.publish();
-        for (waiter, reply) in self.replies.drain(..) {
+        for (waiter, reply) in self.ready_replies.drain(..) {
             let _ = waiter.try_send(reply);
         }
         true
     }
 
-    fn act(&mut self, output: QuorumOutput) -> Result<(), micaspool_store::Error> {
+    fn execute_output(&mut self, output: QuorumOutput) -> Result<(), micaspool_store::Error> {
         if !output.save.is_empty() {
             self.files.save(output.save)?;
         }
@@ -301,29 +306,29 @@
                 KeeperReply::Passed
             }
         };
-        if let Some(waiter) = self.waiting.remove(&(entry.index, entry.term)) {
-            self.replies.push((waiter, Ok(reply)));
+        if let Some(waiter) = self.pending_replies.remove(&(entry.index, entry.term)) {
+            self.ready_replies.push((waiter, Ok(reply)));
         }
     }
 
-    /// Answers the commands of a leadership that has ended. They may still be committed.
-    fn fail_lost_commands(&mut self) {
-        if self.core.is_leader() || self.waiting.is_empty() {
+    /// Fails the pending commands after this keeper has lost its leadership. They may still be committed.
+    fn fail_commands_after_step_down(&mut self) {
+        if self.core.is_leader() || self.pending_replies.is_empty() {
             return;
         }
         let leader = self.core.status(self.clock.now()).leader;
-        self.fail_waiting(&EngineError::NotLeader(leader));
+        self.fail_pending_replies(&EngineError::NotLeader(leader));
     }
 
-    fn fail_waiting(&mut self, error: &EngineError) {
-        for reply in std::mem::take(&mut self.waiting).into_values() {
+    fn fail_pending_replies(&mut self, error: &EngineError) {
+        for reply in std::mem::take(&mut self.pending_replies).into_values() {
             let _ = reply.try_send(Err(error.clone()));
         }
     }
 
-    fn compact_if_long(&mut self) {
-        let many = self.core.log_len() > COMPACT_ENTRIES + self.state.ledger.len();
-        if many || self.command_bytes > COMPACT_BYTES {
+    fn compact_if_needed(&mut self) {
+        let has_many_entries = self.core.log_len() > COMPACT_ENTRIES + self.state.ledger.len();
+        if has_many_entries || self.command_bytes > COMPACT_BYTES {
             self.command_bytes = 0;
             let event = QuorumEvent::Compact(self.applied, self.state.encode());
             self.core.step(self.clock.now(), event);
@@ -338,34 +343,34 @@
             let kind = if leads { &events::LEADER_ELECTED } else { &events::LEADER_STEPPED_DOWN };
             record(kind, &[field("term", status.term.0)]);
         }
-        let newer = view.settings.revision() != self.state.settings.revision();
-        let planned = view.plan.number != self.state.plan.number;
-        let ordered = view.halls.newest() != self.state.halls.newest();
-        let changed = newer
-            || planned
-            || ordered
+        let settings_changed = view.settings.revision() != self.state.settings.revision();
+        let plan_changed = view.plan.number != self.state.plan.number;
+        let halls_changed = view.halls.newest() != self.state.halls.newest();
+        let has_news = settings_changed
+            || plan_changed
+            || halls_changed
             || view.status.confirmed != status.confirmed
             || view.status.membership != status.membership;
-        if newer {
+        if settings_changed {
             view.settings = self.state.settings.clone();
         }
-        if planned {
+        if plan_changed {
             view.plan = self.state.plan.clone();
         }
-        if ordered {
+        if halls_changed {
             view.halls = self.state.halls.clone();
         }
         view.status = status;
         view.ledger_keys = self.state.ledger.len();
         view.ledger_answer_bytes = self.state.ledger.answer_bytes();
         view.syncs = self.files.sync_count();
-        if changed {
+        if has_news {
             view.notify();
         }
     }
 
     fn stop(&mut self) {
-        self.fail_waiting(&EngineError::Stopped);
+        self.fail_pending_replies(&EngineError::Stopped);
         let mut view = self.view.lock().expect("no holder of the view panics");
         view.stopped = true;
         view.status.confirmed = false;
@@ -382,11 +387,12 @@
     if data.is_empty() {
         return KeeperState::new(options);
     }
-    KeeperState::decode(data).expect("a snapshot that passed its checksum was written by this version")
+    KeeperState::decode(data).expect("a snapshot with a valid checksum can be decoded")
 }
 
-/// Gives commands that note when they came the leader's time.
-fn stamped(command: KeeperCommand, at: LedgerTime) -> KeeperCommand {
+/// Sets the leader's time in commands that carry a time. The log must hold the time so that all
+/// keepers apply the same value.
+fn with_timestamp(command: KeeperCommand, at: LedgerTime) -> KeeperCommand {
     match command {
         KeeperCommand::Claim(claim) => KeeperCommand::Claim(micaspool_ledger::ClaimCommand { at, ..claim }),
         KeeperCommand::Finish(finish) => {
--- a/crates/micaspool-quorum/src/core/mod.rs
+++ b/crates/micaspool-quorum/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of one keeper.
+//! The consensus state machine of one keeper.
 
 mod election;
 mod forming;
@@ -21,32 +21,34 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What a keeper is to its group.
+/// The role of a keeper in its group.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum QuorumRole {
-    /// It belongs to no group yet.
+    /// The keeper belongs to no group yet.
     Unformed,
-    /// It follows a leader, or waits for one.
+    /// The keeper follows a leader, or waits for one.
     Follower,
-    /// It asks for votes.
+    /// The keeper asks for votes.
     Candidate,
-    /// It leads.
+    /// The keeper leads the group.
     Leader,
 }
 
-/// Why an entry was not taken.
+/// The reason why an entry could not be proposed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum ProposeError {
-    /// This keeper does not lead; the one named does, as far as it knows.
+    /// This keeper is not the leader. Contains the leader, if this keeper knows one.
     NotLeader(Option<InstanceName>),
 }
 
 impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ProposeError::NotLeader(Some(leader)) => write!(f, "this keeper does not lead; ask {leader}"),
+            ProposeError::NotLeader(Some(leader)) => {
+                write!(f, "this keeper is not the leader; send the command to {leader}")
+            }
             ProposeError::NotLeader(None) => {
-                f.write_str("this keeper knows no leader; ask another or come back")
+                f.write_str("this keeper knows no leader; try another keeper or retry later")
             }
         }
     }
@@ -54,26 +56,27 @@
 
 impl std::error::Error for ProposeError {}
 
-/// What operators see of a keeper.
+/// The state of a keeper as shown to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct QuorumStatus {
-    /// Its role.
+    /// The role in the group.
     pub role: QuorumRole,
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// The leader that it knows.
+    /// The leader, if known.
     pub leader: Option<InstanceName>,
-    /// The newest committed entry.
+    /// The last committed entry.
     pub commit: LogIndex,
-    /// The last entry.
+    /// The last entry of the log.
     pub last: LogIndex,
-    /// The group.
+    /// The latest membership, committed or not.
     pub membership: GroupMembership,
-    /// True when a majority was heard within the election timeout, directly or through the leader.
+    /// Whether this keeper has had contact with a majority within the election timeout, directly as
+    /// the leader or through the leader. See [`QuorumCore::is_confirmed`].
     pub confirmed: bool,
 }
 
-/// The state of the role.
+/// The role with the state that it needs.
 #[derive(Debug)]
 enum RoleState {
     Follower,
@@ -81,7 +84,8 @@
     Leader(LeaderState),
 }
 
-/// One keeper's part of the replicated log.
+/// The consensus state machine of one keeper. It performs no I/O: see [`QuorumCore::step`] and
+/// [`QuorumCore::take_output`].
 #[derive(Debug)]
 pub struct QuorumCore {
     options: QuorumOptions,
@@ -89,23 +93,23 @@
     hard: HardState,
     log: EntryLog,
     commit: LogIndex,
-    /// The last entry that was handed out as committed.
+    /// The last entry that was put into `output.committed`.
     applied: LogIndex,
     role: RoleState,
     leader: Option<KeeperIdentity>,
-    /// When the leader was last heard.
-    leader_heard: Option<Moment>,
-    election_at: Moment,
+    /// When the last message of a leader arrived.
+    leader_last_contact: Option<Moment>,
+    election_deadline: Moment,
     forming: FormingState,
     rng: ChaCha8Rng,
     output: QuorumOutput,
     hard_dirty: bool,
-    /// Our last entry that is durable.
+    /// The last entry of this keeper's log that is durable.
     saved: LogIndex,
 }
 
 impl QuorumCore {
-    /// A keeper that continues from what it read back. `seed` spreads election times.
+    /// Creates a keeper from its persistent state. `seed` randomises the election timeouts.
     pub fn new(now: Moment, options: QuorumOptions, restored: RestoredState, seed: u64) -> QuorumCore {
         let log = EntryLog::new(restored.snapshot, restored.entries);
         let start = log.snapshot().index;
@@ -116,8 +120,8 @@
             applied: start,
             role: RoleState::Follower,
             leader: None,
-            leader_heard: None,
-            election_at: now,
+            leader_last_contact: None,
+            election_deadline: now,
             forming: FormingState::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             output: QuorumOutput::default(),
@@ -130,31 +134,32 @@
         core
     }
 
-    /// Takes an event in; what follows from it waits in [`QuorumCore::take_output`].
+    /// Processes an event. The effects are collected until [`QuorumCore::take_output`] is called.
     pub fn step(&mut self, now: Moment, event: QuorumEvent) {
         match event {
             QuorumEvent::Tick => self.tick(now),
             QuorumEvent::Message(message) => self.receive(now, message),
-            QuorumEvent::Saved => self.note_saved(now),
+            QuorumEvent::Saved => self.handle_saved(now),
             QuorumEvent::Compact(index, data) => self.compact(index, data),
             QuorumEvent::RecoverAlone => self.recover_alone(now),
         }
     }
 
-    /// Adds an entry when this keeper leads, and gives its position and term.
+    /// Appends an entry if this keeper leads, and returns its position and term.
     ///
-    /// The entry counts once it is handed out as committed with the same term.
+    /// The entry has taken effect once it appears in [`QuorumOutput::committed`] with the same term.
+    /// If another entry appears at that position, it was lost.
     pub fn propose(&mut self, now: Moment, payload: EntryPayload) -> Result<(LogIndex, Term), ProposeError> {
         if !matches!(self.role, RoleState::Leader(_)) {
             let leader = self.leader.as_ref().map(|leader| leader.name.clone());
             return Err(ProposeError::NotLeader(leader));
         }
-        let index = self.append_own(payload);
+        let index = self.append_entry(payload);
         self.replicate_idle(now);
         Ok((index, self.hard.term))
     }
 
-    /// What the driver must do now.
+    /// Returns the effects of all events since the last call.
     pub fn take_output(&mut self) -> QuorumOutput {
         if self.hard_dirty {
             self.output.save.hard = Some(self.hard.clone());
@@ -163,36 +168,36 @@
         std::mem::take(&mut self.output)
     }
 
-    /// The number of entries after the newest snapshot.
+    /// Returns the number of entries after the latest snapshot.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// Who this keeper is.
+    /// Returns the identity of this keeper.
     pub fn identity(&self) -> &KeeperIdentity {
         &self.identity
     }
 
-    /// True when this keeper leads and heard a majority within the election timeout, or follows
-    /// a leader that it heard within that time.
+    /// Returns whether this keeper leads and has had contact with a majority within the election
+    /// timeout, or follows a leader that it has had contact with in that time.
     pub fn is_confirmed(&self, now: Moment) -> bool {
         match &self.role {
             RoleState::Leader(state) => {
                 state.has_majority(now, &self.identity, self.log.membership(), &self.options)
             }
-            RoleState::Follower => {
-                self.leader_heard.is_some_and(|heard| now.since(heard) < self.options.election_timeout)
-            }
+            RoleState::Follower => self
+                .leader_last_contact
+                .is_some_and(|contact| now.since(contact) < self.options.election_timeout),
             RoleState::Candidate(_) => false,
         }
     }
 
-    /// True when this keeper leads.
+    /// Returns whether this keeper leads.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, RoleState::Leader(_))
     }
 
-    /// What operators see.
+    /// Returns the state as shown to operators.
     pub fn status(&self, now: Moment) -> QuorumStatus {
         let role = match &self.role {
             _ if !self.is_formed() => QuorumRole::Unformed,
@@ -221,44 +226,46 @@
             self.announce(now);
         }
         if self.is_leader() {
-            self.lead(now);
-        } else if now >= self.election_at && self.log.membership().is_voter(&self.identity) {
+            self.tick_leader(now);
+        } else if now >= self.election_deadline && self.log.membership().is_voter(&self.identity) {
             self.begin_pre_vote(now);
         }
     }
 
     fn receive(&mut self, now: Moment, message: PeerMessage) {
         let PeerMessage { from, term, body } = message;
-        self.note_sender(&from);
+        self.remember_sender(&from);
         match body {
-            PeerBody::Announce { empty, members } => return self.hear_announce(now, from, empty, members),
+            PeerBody::Announce { empty, members } => return self.handle_announce(now, from, empty, members),
             PeerBody::Form { membership } => return self.adopt_group(now, membership),
             PeerBody::PreVote { next, last, last_term } => {
-                self.readmit_dropped(now, &from);
-                return self.answer_pre_vote(now, &from, next, (last_term, last));
+                self.readmit_removed(now, &from);
+                return self.handle_pre_vote(now, &from, next, (last_term, last));
+            }
+            PeerBody::PreVoteReply { next, granted } => {
+                return self.handle_pre_vote_reply(now, from, next, granted)
             }
-            PeerBody::PreVoteReply { next, granted } => return self.count_pre_vote(now, from, next, granted),
             _ => {}
         }
         if term > self.hard.term {
             self.enter_term(now, term);
         }
         match body {
-            PeerBody::Vote { last, last_term } => self.answer_vote(now, &from, term, (last_term, last)),
-            PeerBody::VoteReply { granted } => self.count_vote(now, from, term, granted),
+            PeerBody::Vote { last, last_term } => self.handle_vote(now, &from, term, (last_term, last)),
+            PeerBody::VoteReply { granted } => self.handle_vote_reply(now, from, term, granted),
             PeerBody::Append { sent_at, .. } | PeerBody::Install { sent_at, .. } => {
                 let accepted = self.accept_leader(now, &from, term, sent_at);
-                self.follow_leader(&from, body, accepted);
+                self.handle_leader_message(&from, body, accepted);
             }
             PeerBody::AppendReply { accepted, matched, sent_at } => {
-                self.hear_reply(now, &from, term, accepted, matched, sent_at);
+                self.handle_append_reply(now, &from, term, accepted, matched, sent_at);
             }
             _ => {}
         }
     }
 
-    /// Takes over what an accepted leader sent.
-    fn follow_leader(&mut self, from: &KeeperIdentity, body: PeerBody, accepted: bool) {
+    /// Processes the content of an `Append` or `Install` from the current leader.
+    fn handle_leader_message(&mut self, from: &KeeperIdentity, body: PeerBody, accepted: bool) {
         match body {
             PeerBody::Append { prev, prev_term, entries, commit, sent_at } if accepted => {
                 self.accept_entries(from, (prev, prev_term), entries, commit, sent_at);
@@ -270,28 +277,28 @@
         }
     }
 
-    /// Moves to a newer term as a follower without a vote.
+    /// Adopts a newer term as a follower that has not voted yet.
     fn enter_term(&mut self, now: Moment, term: Term) {
         self.hard = HardState { term, vote: None };
         self.hard_dirty = true;
-        self.follow(now, None);
+        self.become_follower(now, None);
     }
 
-    fn follow(&mut self, now: Moment, leader: Option<KeeperIdentity>) {
+    fn become_follower(&mut self, now: Moment, leader: Option<KeeperIdentity>) {
         self.role = RoleState::Follower;
         self.leader = leader;
         self.reset_election(now);
     }
 
     fn reset_election(&mut self, now: Moment) {
-        let shortest = self.options.election_timeout;
-        let spread = u64::try_from(shortest.as_micros()).unwrap_or(u64::MAX);
-        let extra = self.rng.random_range(0..=spread);
-        self.election_at = now + shortest + Duration::from_micros(extra);
+        let min_timeout = self.options.election_timeout;
+        let max_jitter = u64::try_from(min_timeout.as_micros()).unwrap_or(u64::MAX);
+        let jitter = self.rng.random_range(0..=max_jitter);
+        self.election_deadline = now + min_timeout + Duration::from_micros(jitter);
     }
 
-    /// Adds an entry of this term to the log and to what must be saved.
-    fn append_own(&mut self, payload: EntryPayload) -> LogIndex {
+    /// Appends an entry of the current term to the log and to the save batch.
+    fn append_entry(&mut self, payload: EntryPayload) -> LogIndex {
         let index = self.log.last_index().next();
         let entry = LogEntry { index, term: self.hard.term, payload };
         self.output.save.append.push(entry.clone());
@@ -304,8 +311,8 @@
         self.output.send.push(Envelope { to: to.clone(), message });
     }
 
-    /// Hands out the entries up to the commit index.
-    fn hand_out(&mut self) {
+    /// Adds the entries up to the commit index to `output.committed`.
+    fn emit_committed(&mut self) {
         while self.applied < self.commit {
             let next = self.applied.next();
             let entry = self.log.get(next).expect("committed entries after the snapshot are in the log");
@@ -325,7 +332,7 @@
         self.output.save.snapshot = Some(snapshot);
     }
 
-    fn note_saved(&mut self, now: Moment) {
+    fn handle_saved(&mut self, now: Moment) {
         self.saved = self.log.last_index();
         if self.is_leader() {
             self.advance_commit(now);
--- a/crates/micaspool-store/src/files.rs
+++ b/crates/micaspool-store/src/files.rs
@@ -1,4 +1,4 @@
-//! Opening, saving and compacting.
+//! Opens, writes and rewrites the files of a keeper.
 
 use crate::error::Error;
 use crate::record::{checksum, encode_record, LogRecord};
@@ -14,13 +14,13 @@
 const IDENTITY: &str = "identity";
 const SNAPSHOT: &str = "snapshot";
 const LOG: &str = "log";
-/// The first bytes of each file: a name and the version of the format.
+/// The first bytes of each file: a format name and, in the last byte, the format version.
 const MAGIC: &[u8; 8] = b"MICASP\x00\x01";
 
-/// How the files are written.
+/// Options for writing files.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreOptions {
-    /// False only in measurements of what syncing costs.
+    /// Whether to sync files after writing. Disable it only to measure the cost of syncing.
     pub sync: bool,
 }
 
@@ -30,15 +30,15 @@
     }
 }
 
-/// What opening a data folder found.
+/// The result of opening a data folder.
 #[derive(Debug)]
 pub struct OpenOutcome {
-    /// The files, ready to be written.
+    /// The files, open for writing.
     pub files: KeeperFiles,
-    /// The state that they hold.
+    /// The state read from the files.
     pub restored: RestoredState,
-    /// How many bytes of a torn record were cut from the end of the log.
-    pub cut_bytes: u64,
+    /// The size of a torn record that was truncated from the end of the log, in bytes.
+    pub truncated_bytes: u64,
 }
 
 /// The open files of a keeper.
@@ -48,7 +48,7 @@
     options: StoreOptions,
     log: File,
     buffer: Vec<u8>,
-    /// What a rewritten log must hold besides the snapshot.
+    /// The entries after the snapshot, kept for rewriting the log.
     entries: Vec<LogEntry>,
     hard: HardState,
     failed: bool,
@@ -56,16 +56,16 @@
 }
 
 impl KeeperFiles {
-    /// Opens a data folder, or begins a new one with a new incarnation.
+    /// Opens a data folder. If it does not exist or is empty, creates it with a new incarnation.
     pub fn open(folder: &Path, name: &InstanceName, options: StoreOptions) -> Result<OpenOutcome, Error> {
         fs::create_dir_all(folder).map_err(|error| Error::Io(folder.to_owned(), error))?;
         let identity = open_identity(folder, name, options)?;
-        let snapshot: LogSnapshot = read_whole(&folder.join(SNAPSHOT))?.unwrap_or_default();
+        let snapshot: LogSnapshot = read_checked_file(&folder.join(SNAPSHOT))?.unwrap_or_default();
         let path = folder.join(LOG);
         let bytes = read_log(&path, folder, options)?;
         let scanned = scan_log(&path, &bytes, MAGIC.len())?;
-        let cut_bytes = (bytes.len() - scanned.end) as u64;
-        let log = open_log(&path, scanned.end as u64, cut_bytes > 0, options)?;
+        let truncated_bytes = (bytes.len() - scanned.end) as u64;
+        let log = open_log(&path, scanned.end as u64, truncated_bytes > 0, options)?;
         let entries: Vec<LogEntry> =
             scanned.entries.into_iter().filter(|entry| entry.index > snapshot.index).collect();
         check_sequence(&path, &snapshot, &entries)?;
@@ -81,32 +81,32 @@
             failed: false,
             syncs: 0,
         };
-        Ok(OpenOutcome { files, restored, cut_bytes })
+        Ok(OpenOutcome { files, restored, truncated_bytes })
     }
 
-    /// Makes a batch durable. After an error the files take nothing more.
+    /// Makes a batch durable. After an error, all further calls fail with [`Error::Failed`].
     pub fn save(&mut self, batch: SaveBatch) -> Result<(), Error> {
         if self.failed {
             return Err(Error::Failed);
         }
-        let result = self.write(batch);
+        let result = self.write_batch(batch);
         self.failed = result.is_err();
         result
     }
 
-    /// Writes everything that the log holds into a new file and makes it durable.
+    /// Replaces the log by a new file with the same content and syncs it.
     pub fn rewrite(&mut self) -> Result<(), Error> {
         let result = self.replace_log();
         self.failed = result.is_err();
         result
     }
 
-    /// How often a file was synced so far.
+    /// Returns the number of syncs since the files were opened.
     pub fn sync_count(&self) -> u64 {
         self.syncs
     }
 
-    fn write(&mut self, batch: SaveBatch) -> Result<(), Error> {
+    fn write_batch(&mut self, batch: SaveBatch) -> Result<(), Error> {
         self.buffer.clear();
         if let Some(from) = batch.truncate_from {
             self.entries.retain(|entry| entry.index < from);
@@ -121,26 +121,26 @@
             self.entries.push(entry);
         }
         match batch.snapshot {
-            Some(snapshot) => self.replace(&snapshot),
-            None => self.append(),
+            Some(snapshot) => self.replace_snapshot(&snapshot),
+            None => self.append_buffer(),
         }
     }
 
-    fn append(&mut self) -> Result<(), Error> {
+    fn append_buffer(&mut self) -> Result<(), Error> {
         let path = self.folder.join(LOG);
-        let failed = |error| Error::Io(path.clone(), error);
-        self.log.write_all(&self.buffer).map_err(failed)?;
+        let io_error = |error| Error::Io(path.clone(), error);
+        self.log.write_all(&self.buffer).map_err(io_error)?;
         if self.options.sync {
-            self.log.sync_data().map_err(failed)?;
+            self.log.sync_data().map_err(io_error)?;
             self.syncs += 1;
         }
         Ok(())
     }
 
-    /// Writes the snapshot, then a log with only what follows it. Stopping between the two
-    /// leaves entries that the snapshot covers, which the next start passes over.
-    fn replace(&mut self, snapshot: &LogSnapshot) -> Result<(), Error> {
-        write_whole(&self.folder, SNAPSHOT, snapshot, self.options)?;
+    /// Writes the snapshot, then a log with only the entries after it. A crash between the two leaves
+    /// entries in the log that the snapshot covers, which are ignored when the files are opened.
+    fn replace_snapshot(&mut self, snapshot: &LogSnapshot) -> Result<(), Error> {
+        write_checked_file(&self.folder, SNAPSHOT, snapshot, self.options)?;
         self.entries.retain(|entry| entry.index > snapshot.index);
         self.replace_log()?;
         self.syncs += 2;
@@ -164,14 +164,14 @@
 
 fn open_identity(folder: &Path, name: &InstanceName, options: StoreOptions) -> Result<KeeperIdentity, Error> {
     let path = folder.join(IDENTITY);
-    if let Some(identity) = read_whole::<KeeperIdentity>(&path)? {
+    if let Some(identity) = read_checked_file::<KeeperIdentity>(&path)? {
         if identity.name != *name {
             return Err(Error::Damaged(path, 0));
         }
         return Ok(identity);
     }
     let identity = KeeperIdentity { name: name.clone(), incarnation: Incarnation(rand::rng().random()) };
-    write_whole(folder, IDENTITY, &identity, options)?;
+    write_checked_file(folder, IDENTITY, &identity, options)?;
     Ok(identity)
 }
 
@@ -186,21 +186,21 @@
     Ok(bytes)
 }
 
-/// Opens the log for writing at `end`, and cuts off what follows.
-fn open_log(path: &Path, end: u64, cut: bool, options: StoreOptions) -> Result<File, Error> {
-    let failed = |error| Error::Io(path.to_owned(), error);
-    let mut file = OpenOptions::new().write(true).open(path).map_err(failed)?;
-    if cut {
-        file.set_len(end).map_err(failed)?;
+/// Opens the log for writing at offset `end`. With `truncate`, drops everything after `end` first.
+fn open_log(path: &Path, end: u64, truncate: bool, options: StoreOptions) -> Result<File, Error> {
+    let io_error = |error| Error::Io(path.to_owned(), error);
+    let mut file = OpenOptions::new().write(true).open(path).map_err(io_error)?;
+    if truncate {
+        file.set_len(end).map_err(io_error)?;
         if options.sync {
-            file.sync_all().map_err(failed)?;
+            file.sync_all().map_err(io_error)?;
         }
     }
-    file.seek(SeekFrom::Start(end)).map_err(failed)?;
+    file.seek(SeekFrom::Start(end)).map_err(io_error)?;
     Ok(file)
 }
 
-/// The entries must follow the snapshot without a gap.
+/// Checks that the entries follow the snapshot without a gap.
 fn check_sequence(path: &Path, snapshot: &LogSnapshot, entries: &[LogEntry]) -> Result<(), Error> {
     let mut expected = snapshot.index;
     for entry in entries {
@@ -212,8 +212,8 @@
     Ok(())
 }
 
-/// Reads a file that was written whole, if it is there.
-fn read_whole<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, Error> {
+/// Reads and decodes a file that [`write_checked_file`] wrote. Returns `None` if it does not exist.
+fn read_checked_file<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, Error> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -228,32 +228,32 @@
     postcard::from_bytes(payload).map(Some).map_err(|_| damaged())
 }
 
-fn write_whole<T: Serialize>(
+fn write_checked_file<T: Serialize>(
     folder: &Path,
     name: &str,
     value: &T,
     options: StoreOptions,
 ) -> Result<(), Error> {
-    let payload = postcard::to_stdvec(value).expect("stored values have nothing that cannot be encoded");
+    let payload = postcard::to_stdvec(value).expect("stored values can be encoded");
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&checksum(&payload).to_le_bytes());
     bytes.extend_from_slice(&payload);
     replace_file(folder, name, &bytes, options)
 }
 
-/// Replaces a file by writing another, syncing it, renaming it, and syncing the folder.
+/// Replaces a file atomically: writes and syncs a temporary file, renames it, and syncs the folder.
 fn replace_file(folder: &Path, name: &str, bytes: &[u8], options: StoreOptions) -> Result<(), Error> {
     let target = folder.join(name);
-    let draft = folder.join(format!("{name}.new"));
-    let failed = |error| Error::Io(target.clone(), error);
-    let mut file = File::create(&draft).map_err(failed)?;
-    file.write_all(bytes).map_err(failed)?;
+    let temporary = folder.join(format!("{name}.new"));
+    let io_error = |error| Error::Io(target.clone(), error);
+    let mut file = File::create(&temporary).map_err(io_error)?;
+    file.write_all(bytes).map_err(io_error)?;
     if options.sync {
-        file.sync_all().map_err(failed)?;
+        file.sync_all().map_err(io_error)?;
     }
-    fs::rename(&draft, &target).map_err(failed)?;
+    fs::rename(&temporary, &target).map_err(io_error)?;
     if options.sync {
-        File::open(folder).and_then(|folder| folder.sync_all()).map_err(failed)?;
+        File::open(folder).and_then(|folder| folder.sync_all()).map_err(io_error)?;
     }
     Ok(())
 }
