--- a/crates/micaspool-dispatch/src/action.rs
+++ b/crates/micaspool-dispatch/src/action.rs
@@ -8,7 +8,7 @@
 
 /// Why a ticket was not accepted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ReleaseReason {
+pub enum RefusalReason {
     /// The customer has as many waiting requests as it may.
     CustomerFull,
     /// The shard has as many waiting requests as it holds.
@@ -101,7 +101,7 @@
         /// The request.
         request: RequestId,
         /// Why.
-        reason: ReleaseReason,
+        reason: RefusalReason,
         /// When coming back may help.
         retry_after: Duration,
         /// How long its ticket waited here; zero for one that is refused on arrival.
--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -18,7 +18,7 @@
 mod shard;
 mod throttle;
 
-pub use action::{ReleaseReason, ShardAction, StandingCause};
+pub use action::{RefusalReason, ShardAction, StandingCause};
 pub use candidates::{CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep};
 pub use event::{
     CacheNews, ColdTerms, CustomerTotal, EndpointSpec, GrantFate, HeldGrant, HeldTotal, KeptPart, LoadReport,
--- a/crates/micaspool-dispatch/src/shard/advice.rs
+++ b/crates/micaspool-dispatch/src/shard/advice.rs
@@ -8,7 +8,7 @@
 use super::routers::RouterIndex;
 use super::tickets::WaitingTicket;
 use super::ShardCore;
-use crate::action::{ReleaseReason, ShardAction};
+use crate::action::{RefusalReason, ShardAction};
 use crate::event::SessionId;
 use micaspool_types::{AdviceRecord, HallMask, Moment, RequestId};
 
@@ -69,7 +69,7 @@
             self.refuse_for(
                 now,
                 request,
-                RefusalCause::not_before(ReleaseReason::EndpointsRest, wanted_again),
+                RefusalCause::not_before(RefusalReason::EndpointsRest, wanted_again),
                 actions,
             );
         }
--- a/crates/micaspool-dispatch/src/shard/evacuation.rs
+++ b/crates/micaspool-dispatch/src/shard/evacuation.rs
@@ -7,7 +7,7 @@
 use super::endpoints::EndpointTable;
 use super::overdue::RefusalCause;
 use super::ShardCore;
-use crate::action::{ReleaseReason, ShardAction};
+use crate::action::{RefusalReason, ShardAction};
 use micaspool_types::{HallMask, Moment, RequestId};
 
 impl EndpointTable {
@@ -38,7 +38,7 @@
         let mut requests: Vec<RequestId> = self.waiting.keys().copied().filter(closed).collect();
         requests.sort();
         for request in requests {
-            self.refuse_for(now, request, RefusalCause::of(ReleaseReason::HallsEvacuated), actions);
+            self.refuse_for(now, request, RefusalCause::of(RefusalReason::HallsEvacuated), actions);
         }
     }
 }
--- a/crates/micaspool-dispatch/src/shard/overdue.rs
+++ b/crates/micaspool-dispatch/src/shard/overdue.rs
@@ -3,7 +3,7 @@
 use super::customers::CustomerState;
 use super::tickets::WaitingTicket;
 use super::ShardCore;
-use crate::action::{ReleaseReason, ShardAction};
+use crate::action::{RefusalReason, ShardAction};
 use crate::event::RequestTicket;
 use crate::shard::engine::PromptShape;
 use micaspool_fair::CustomerIndex;
@@ -31,18 +31,18 @@
 /// Why a waiting ticket is refused, and the first moment at which coming back may help, if that is known.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RefusalCause {
-    reason: ReleaseReason,
+    reason: RefusalReason,
     earliest: Option<Moment>,
 }
 
 impl RefusalCause {
     /// A cause whose end nobody knows; callers come back as grants allow.
-    pub fn of(reason: ReleaseReason) -> RefusalCause {
+    pub fn of(reason: RefusalReason) -> RefusalCause {
         RefusalCause { reason, earliest: None }
     }
 
     /// A cause that ends at this moment.
-    pub fn not_before(reason: ReleaseReason, earliest: Moment) -> RefusalCause {
+    pub fn not_before(reason: RefusalReason, earliest: Moment) -> RefusalCause {
         RefusalCause { reason, earliest: Some(earliest) }
     }
 }
@@ -139,7 +139,7 @@
     fn refuse_late(&mut self, now: Moment, request: RequestId, actions: &mut Vec<ShardAction>) {
         let Some(ticket) = self.waiting.get(&request) else { return };
         self.customers.get_mut(ticket.customer).refused_at = Some(now);
-        self.refuse_for(now, request, RefusalCause::of(ReleaseReason::Overdue), actions);
+        self.refuse_for(now, request, RefusalCause::of(RefusalReason::Overdue), actions);
     }
 
     /// Refuses a waiting ticket.
--- a/crates/micaspool-dispatch/src/shard/suspects.rs
+++ b/crates/micaspool-dispatch/src/shard/suspects.rs
@@ -11,7 +11,7 @@
 use super::status::SuspectStatus;
 use super::tickets::WaitingTicket;
 use super::ShardCore;
-use crate::action::{ReleaseReason, ShardAction};
+use crate::action::{RefusalReason, ShardAction};
 use crate::event::{RequestTicket, SessionId};
 use micaspool_fair::CustomerIndex;
 use micaspool_quarantine::{CrashRecord, CrashTable, QuarantineOptions, RequestStanding, TableChange};
@@ -105,7 +105,7 @@
 /// Why a ticket is not taken, and when its caller may come back.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeepOut {
-    reason: ReleaseReason,
+    reason: RefusalReason,
     retry_after: Duration,
 }
 
@@ -134,15 +134,15 @@
             RequestStanding::Clear => None,
             RequestStanding::Quarantined { until } => {
                 let retry_after = self.wait_for_end(now, digest, until);
-                Some(KeepOut { reason: ReleaseReason::Quarantined, retry_after })
+                Some(KeepOut { reason: RefusalReason::Quarantined, retry_after })
             }
             // Its router would send it on from the endpoint that has just ended.
             RequestStanding::Suspected if ticket.attempt > 0 => {
-                Some(KeepOut { reason: ReleaseReason::Quarantined, retry_after: COPY_WAIT })
+                Some(KeepOut { reason: RefusalReason::Quarantined, retry_after: COPY_WAIT })
             }
             RequestStanding::Doubted | RequestStanding::Suspected => {
                 let copies = self.copies.runs(digest) || self.copies.waits(digest);
-                copies.then_some(KeepOut { reason: ReleaseReason::CopyRunning, retry_after: COPY_WAIT })
+                copies.then_some(KeepOut { reason: RefusalReason::CopyRunning, retry_after: COPY_WAIT })
             }
         }
     }
@@ -190,8 +190,8 @@
             copies.map(|(request, ticket)| (ticket.place.order, *request)).collect();
         copies.sort_unstable();
         let (reason, kept, retry_after) = match change.after {
-            RequestStanding::Quarantined { .. } => (ReleaseReason::Quarantined, 0, UNPROVEN_WAIT),
-            _ => (ReleaseReason::CopyRunning, usize::from(!self.copies.runs(digest)), COPY_WAIT),
+            RequestStanding::Quarantined { .. } => (RefusalReason::Quarantined, 0, UNPROVEN_WAIT),
+            _ => (RefusalReason::CopyRunning, usize::from(!self.copies.runs(digest)), COPY_WAIT),
         };
         for (_, request) in copies.into_iter().skip(kept) {
             let Some(ticket) = self.drop_waiting(request) else { continue };
--- a/crates/micaspool-dispatch/src/shard/tickets.rs
+++ b/crates/micaspool-dispatch/src/shard/tickets.rs
@@ -4,7 +4,7 @@
 use super::overdue::WaitEstimate;
 use super::routers::RouterIndex;
 use super::ShardCore;
-use crate::action::{ReleaseReason, ShardAction};
+use crate::action::{RefusalReason, ShardAction};
 use crate::event::{RequestTicket, SessionId};
 use crate::shard::endpoints::EndpointIndex;
 use crate::shard::engine::PromptShape;
@@ -137,23 +137,23 @@
         customer: CustomerIndex,
         ticket: &RequestTicket,
         wait: WaitEstimate,
-    ) -> Option<ReleaseReason> {
+    ) -> Option<RefusalReason> {
         let state = self.customers.get(customer);
         if self.endpoints.all_evacuated(state.halls) {
-            return Some(ReleaseReason::HallsEvacuated);
+            return Some(RefusalReason::HallsEvacuated);
         }
         if self.waiting.len() >= self.options.max_waiting {
-            return Some(ReleaseReason::ShardFull);
+            return Some(RefusalReason::ShardFull);
         }
         if state.queue.len() >= state.max_waiting as usize {
-            return Some(ReleaseReason::CustomerFull);
+            return Some(RefusalReason::CustomerFull);
         }
         if self.comes_too_late(customer, ticket, wait) {
             self.customers.get_mut(customer).refused_at = Some(now);
-            return Some(ReleaseReason::Overdue);
+            return Some(RefusalReason::Overdue);
         }
         let allowed = self.retries.admit(customer, ticket.attempt);
-        (!allowed).then_some(ReleaseReason::RetryBudget)
+        (!allowed).then_some(RefusalReason::RetryBudget)
     }
 
     /// Puts a ticket into its customer's queue, at its old place if it had one.
--- a/crates/micaspool-dispatch/tests/shard/advice.rs
+++ b/crates/micaspool-dispatch/tests/shard/advice.rs
@@ -6,7 +6,7 @@
 
 use crate::bench::{endpoint, hello, id, ticket, Bench};
 use micaspool_dispatch::{
-    EndpointClosure, GrantFate, ReleaseReason, RequestTicket, RouterHello, SessionId, ShardAction,
+    EndpointClosure, GrantFate, RefusalReason, RequestTicket, RouterHello, SessionId, ShardAction,
     ShardEvent, ShardOptions,
 };
 use micaspool_types::{AdviceRecord, Cost, EndpointAdvice};
@@ -32,7 +32,7 @@
     RequestTicket { objective: Some(Duration::from_millis(millis)), ..ticket(number, name, 10) }
 }
 
-fn refusals(bench: &Bench) -> Vec<(u128, ReleaseReason, Duration)> {
+fn refusals(bench: &Bench) -> Vec<(u128, RefusalReason, Duration)> {
     let refusal = |action: &ShardAction| match action {
         ShardAction::Refuse { request, reason, retry_after, .. } => Some((request.0, *reason, *retry_after)),
         _ => None,
@@ -90,7 +90,7 @@
     bench.pass_with(1_000, &[1, 2]);
     assert_eq!(run(&mut bench, 2, 1), 0);
     bench.submit(1, wanted(2, "a", 500));
-    assert_eq!(refusals(&bench), [(2, ReleaseReason::EndpointsRest, Duration::from_secs(2))]);
+    assert_eq!(refusals(&bench), [(2, RefusalReason::EndpointsRest, Duration::from_secs(2))]);
 }
 
 #[test]
@@ -106,12 +106,12 @@
     bench.grants();
     advise(&mut bench, 1, vec![rest(0, REST), rest(1, Duration::from_secs(5))]);
     let waits = "the one that can wait for the first endpoint stays";
-    assert_eq!(refusals(&bench), [(11, ReleaseReason::EndpointsRest, REST)], "{waits}");
+    assert_eq!(refusals(&bench), [(11, RefusalReason::EndpointsRest, REST)], "{waits}");
     bench.seen.clear();
     bench.pass_with(1_000, &[1, 2, 3]);
     bench.seen.clear();
     bench.submit(1, wanted(12, "b", 500));
-    assert_eq!(refusals(&bench), [(12, ReleaseReason::EndpointsRest, Duration::from_secs(2))]);
+    assert_eq!(refusals(&bench), [(12, RefusalReason::EndpointsRest, Duration::from_secs(2))]);
 }
 
 #[test]
--- a/crates/micaspool-dispatch/tests/shard/bench.rs
+++ b/crates/micaspool-dispatch/tests/shard/bench.rs
@@ -1,7 +1,7 @@
 //! A shard with hand-made routers, endpoints and customers.
 
 use micaspool_dispatch::{
-    ColdTerms, EndpointSpec, GrantFate, HeldGrant, HeldTotal, LoadReport, ReleaseReason, RequestTicket,
+    ColdTerms, EndpointSpec, GrantFate, HeldGrant, HeldTotal, LoadReport, RefusalReason, RequestTicket,
     RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool_fair::ServiceLevel;
@@ -196,7 +196,7 @@
     }
 
     /// The refusals since the grants were last taken.
-    pub fn refused(&self) -> Vec<(u128, ReleaseReason)> {
+    pub fn refused(&self) -> Vec<(u128, RefusalReason)> {
         let refusals = self.seen.iter().filter_map(|action| match action {
             ShardAction::Refuse { request, reason, .. } => Some((request.0, *reason)),
             _ => None,
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{endpoint, hello, ticket, Bench};
 use micaspool_dispatch::{
-    CacheNews, GrantFate, KeptPart, ReleaseReason, RequestTicket, SessionId, ShardEvent,
+    CacheNews, GrantFate, KeptPart, RefusalReason, RequestTicket, SessionId, ShardEvent,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::HashMap;
@@ -135,7 +135,7 @@
     assert!(bench.refused().is_empty());
     assert!(bench.core.next_wake().is_some(), "the driver is told when to look again");
     bench.pass_with(50, &[1]);
-    assert_eq!(bench.refused(), [(2, ReleaseReason::Overdue)]);
+    assert_eq!(bench.refused(), [(2, RefusalReason::Overdue)]);
 }
 
 /// Two customers ask for more than there is, one ten times as often. Long prompts keep the engine
@@ -263,7 +263,7 @@
     }
     let late = bench.refused();
     assert!((15..20).contains(&late.len()), "one runs and two or three may wait: {late:?}");
-    assert!(late.iter().all(|(_, reason)| *reason == ReleaseReason::Overdue));
+    assert!(late.iter().all(|(_, reason)| *reason == RefusalReason::Overdue));
     bench.submit(1, wanted(100, "small"));
     assert_eq!(bench.refused().len(), late.len(), "the small customer has nothing in the queue");
 }
--- a/crates/micaspool-dispatch/tests/shard/evacuation.rs
+++ b/crates/micaspool-dispatch/tests/shard/evacuation.rs
@@ -1,7 +1,7 @@
 //! Data halls that are evacuated while requests wait, and taken back while queues are full.
 
 use crate::bench::{endpoint, hello, id, ticket, Bench};
-use micaspool_dispatch::{EndpointClosure, GrantFate, ReleaseReason};
+use micaspool_dispatch::{EndpointClosure, GrantFate, RefusalReason};
 use std::time::Duration;
 
 fn evacuate(bench: &mut Bench, halls: &[usize]) {
@@ -52,10 +52,10 @@
     bench.submit(1, ticket(1, "a", 10));
     bench.submit(1, ticket(2, "a", 10));
     evacuate(&mut bench, &[0]);
-    assert_eq!(bench.refused(), [(2, ReleaseReason::HallsEvacuated)], "it waited");
+    assert_eq!(bench.refused(), [(2, RefusalReason::HallsEvacuated)], "it waited");
     bench.seen.clear();
     bench.submit(1, ticket(3, "a", 10));
-    assert_eq!(bench.refused(), [(3, ReleaseReason::HallsEvacuated)], "it came later");
+    assert_eq!(bench.refused(), [(3, RefusalReason::HallsEvacuated)], "it came later");
     bench.seen.clear();
     evacuate(&mut bench, &[]);
     bench.settle(1, 1, 1, GrantFate::Done);
--- a/crates/micaspool-dispatch/tests/shard/limits.rs
+++ b/crates/micaspool-dispatch/tests/shard/limits.rs
@@ -2,13 +2,13 @@
 
 use crate::bench::{hello, ticket, Bench};
 use micaspool_dispatch::{
-    GrantFate, ReleaseReason, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
+    GrantFate, RefusalReason, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn refusals(bench: &Bench) -> Vec<(u128, ReleaseReason, Duration)> {
+fn refusals(bench: &Bench) -> Vec<(u128, RefusalReason, Duration)> {
     let refused = bench.seen.iter().filter_map(|action| match action {
         ShardAction::Refuse { request, reason, retry_after, .. } => Some((request.0, *reason, *retry_after)),
         _ => None,
@@ -25,7 +25,7 @@
         bench.submit(1, ticket(number, "flood", 10));
     }
     assert_eq!(refusals(&bench).len(), 189, "one runs and ten wait");
-    assert!(refusals(&bench).iter().all(|(_, reason, _)| *reason == ReleaseReason::CustomerFull));
+    assert!(refusals(&bench).iter().all(|(_, reason, _)| *reason == RefusalReason::CustomerFull));
     bench.seen.clear();
     bench.submit(1, ticket(1_000, "farm", 10));
     assert!(refusals(&bench).is_empty());
@@ -159,8 +159,8 @@
     for number in 0..10 {
         bench.submit(1, ticket(number, "a", 10));
     }
-    let reasons: Vec<ReleaseReason> = refusals(&bench).into_iter().map(|(_, reason, _)| reason).collect();
-    assert_eq!(reasons, vec![ReleaseReason::ShardFull; 4]);
+    let reasons: Vec<RefusalReason> = refusals(&bench).into_iter().map(|(_, reason, _)| reason).collect();
+    assert_eq!(reasons, vec![RefusalReason::ShardFull; 4]);
 }
 
 #[test]
--- a/crates/micaspool-dispatch/tests/shard/poison.rs
+++ b/crates/micaspool-dispatch/tests/shard/poison.rs
@@ -4,7 +4,7 @@
 //! refused" and "shard decisions" told of the load alone, and grants went on as ever.
 
 use crate::bench::{endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{EndpointSpec, GrantFate, ReleaseReason, RequestTicket, ShardAction, ShardEvent};
+use micaspool_dispatch::{EndpointSpec, GrantFate, RefusalReason, RequestTicket, ShardAction, ShardEvent};
 use micaspool_types::{EndpointName, Moment, RequestDigest};
 use rand::Rng;
 use rand::SeedableRng;
@@ -127,7 +127,7 @@
                 ShardAction::Refuse { request, reason, .. } => {
                     let (digest, _) = self.asked.remove(&request.0).expect("it was asked for");
                     self.refused += 1;
-                    self.wronged += usize::from(reason == ReleaseReason::Quarantined && digest != FATAL);
+                    self.wronged += usize::from(reason == RefusalReason::Quarantined && digest != FATAL);
                 }
                 _ => {}
             }
--- a/crates/micaspool-dispatch/tests/shard/suspects.rs
+++ b/crates/micaspool-dispatch/tests/shard/suspects.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{customer, endpoint, hello, id, ticket, Bench};
 use micaspool_dispatch::{
-    CrashRecord, EndpointCrash, GrantFate, LoadReport, ReleaseReason, RequestTicket, RouterHello, SessionId,
+    CrashRecord, EndpointCrash, GrantFate, LoadReport, RefusalReason, RequestTicket, RouterHello, SessionId,
     ShardAction, ShardEvent,
 };
 use micaspool_types::{Cost, EndpointName, RequestDigest};
@@ -36,7 +36,7 @@
 }
 
 /// Why a ticket is refused at once, and when its caller may come back.
-fn refused(bench: &mut Bench, session: u64, ticket: RequestTicket) -> Option<(ReleaseReason, Duration)> {
+fn refused(bench: &mut Bench, session: u64, ticket: RequestTicket) -> Option<(RefusalReason, Duration)> {
     let request = ticket.request;
     bench.seen.clear();
     bench.submit(session, ticket);
@@ -46,7 +46,7 @@
         .map(|(_, reason, after)| (reason, after))
 }
 
-fn refusals(bench: &Bench) -> Vec<(u128, ReleaseReason, Duration)> {
+fn refusals(bench: &Bench) -> Vec<(u128, RefusalReason, Duration)> {
     let refusal = |action: &ShardAction| match action {
         ShardAction::Refuse { request, reason, retry_after, .. } => Some((request.0, *reason, *retry_after)),
         _ => None,
@@ -89,7 +89,7 @@
     end_endpoints(&mut bench, LETTER, 1, 1);
     granted(&mut bench, 1, asked(2, LETTER));
     let second = refused(&mut bench, 2, asked(3, LETTER));
-    assert_eq!(second, Some((ReleaseReason::CopyRunning, Duration::from_secs(1))));
+    assert_eq!(second, Some((RefusalReason::CopyRunning, Duration::from_secs(1))));
     granted(&mut bench, 2, asked(4, OTHER));
     bench.settle(1, 2, 10, GrantFate::Abandoned);
     granted(&mut bench, 2, asked(5, LETTER));
@@ -161,12 +161,12 @@
     let fresh = refused(&mut bench, 2, asked(4, LETTER));
     assert_eq!(
         fresh,
-        Some((ReleaseReason::Quarantined, Duration::from_secs(2))),
+        Some((RefusalReason::Quarantined, Duration::from_secs(2))),
         "it may turn out otherwise"
     );
     bench.pass_with(10_000, &[1, 2]);
     let (reason, after) = refused(&mut bench, 2, asked(5, LETTER)).expect("it is shut out");
-    assert_eq!(reason, ReleaseReason::Quarantined);
+    assert_eq!(reason, RefusalReason::Quarantined);
     assert!(after > Duration::from_secs(3_500) && after <= Duration::from_secs(3_590), "{after:?}");
     bench.join(3, hello("r3", 1));
     assert_eq!(told(&bench, LETTER), [(3, 3)], "one that joins later is told");
@@ -269,7 +269,7 @@
     bench.submit(2, asked(1, LETTER));
     assert!(refusals(&bench).is_empty(), "two endpoints ended under it");
     bench.join(3, told_by("r3", vec![crash(2)]));
-    assert_eq!(refusals(&bench), [(1, ReleaseReason::Quarantined, Duration::from_secs(2))]);
+    assert_eq!(refusals(&bench), [(1, RefusalReason::Quarantined, Duration::from_secs(2))]);
     bench.pass_with(1_000, &[1, 2, 3]);
     let waiting = RouterHello { waiting: vec![asked(9, LETTER)], ..hello("r4", 1) };
     bench.seen.clear();
--- a/crates/micaspool-router/src/shard_client/held.rs
+++ b/crates/micaspool-router/src/shard_client/held.rs
@@ -7,7 +7,7 @@
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    AskThrottle, GrantFate, HeldGrant, HeldTotal, ReleaseReason, RequestTicket, RouterHello,
+    AskThrottle, GrantFate, HeldGrant, HeldTotal, RefusalReason, RequestTicket, RouterHello,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_quarantine::{CrashTable, QuarantineOptions};
@@ -339,14 +339,14 @@
         let entry = request_id(&refused.request).ok().and_then(|request| self.waiting.remove(&request));
         let Some(entry) = entry else { return };
         let kind = match release_reason(&refused.kind) {
-            ReleaseReason::CustomerFull => RefusalKind::CustomerBacklogFull,
-            ReleaseReason::ShardFull => RefusalKind::FleetBacklogFull,
-            ReleaseReason::RetryBudget => RefusalKind::RetriesExhausted,
-            ReleaseReason::Overdue => RefusalKind::Overloaded,
-            ReleaseReason::Quarantined => RefusalKind::Quarantined,
-            ReleaseReason::CopyRunning => RefusalKind::CopyRunning,
-            ReleaseReason::EndpointsRest => RefusalKind::EndpointsRest,
-            ReleaseReason::HallsEvacuated => RefusalKind::HallsEvacuated,
+            RefusalReason::CustomerFull => RefusalKind::CustomerBacklogFull,
+            RefusalReason::ShardFull => RefusalKind::FleetBacklogFull,
+            RefusalReason::RetryBudget => RefusalKind::RetriesExhausted,
+            RefusalReason::Overdue => RefusalKind::Overloaded,
+            RefusalReason::Quarantined => RefusalKind::Quarantined,
+            RefusalReason::CopyRunning => RefusalKind::CopyRunning,
+            RefusalReason::EndpointsRest => RefusalKind::EndpointsRest,
+            RefusalReason::HallsEvacuated => RefusalKind::HallsEvacuated,
         };
         let wait = Duration::from_millis(refused.retry_after_millis);
         let now = self.moment();
--- a/crates/micaspool-wire/src/convert.rs
+++ b/crates/micaspool-wire/src/convert.rs
@@ -13,7 +13,7 @@
 use crate::v1;
 use advice::advice_record;
 use micaspool_dispatch::{
-    CustomerTotal, GrantFate, HeldGrant, HeldTotal, RegionTotals, ReleaseReason, RequestTicket, RouterHello,
+    CustomerTotal, GrantFate, HeldGrant, HeldTotal, RefusalReason, RegionTotals, RequestTicket, RouterHello,
     SessionId, ShardAction, ShardEvent,
 };
 use micaspool_fair::ServiceLevel;
@@ -295,30 +295,30 @@
 const HALLS_EVACUATED: &str = "halls-evacuated";
 
 /// Why a ticket was refused, as text.
-pub fn reason_text(reason: ReleaseReason) -> &'static str {
+pub fn reason_text(reason: RefusalReason) -> &'static str {
     match reason {
-        ReleaseReason::CustomerFull => CUSTOMER_FULL,
-        ReleaseReason::ShardFull => SHARD_FULL,
-        ReleaseReason::RetryBudget => RETRY_BUDGET,
-        ReleaseReason::Overdue => OVERDUE,
-        ReleaseReason::Quarantined => QUARANTINED,
-        ReleaseReason::CopyRunning => COPY_RUNNING,
-        ReleaseReason::EndpointsRest => ENDPOINTS_REST,
-        ReleaseReason::HallsEvacuated => HALLS_EVACUATED,
+        RefusalReason::CustomerFull => CUSTOMER_FULL,
+        RefusalReason::ShardFull => SHARD_FULL,
+        RefusalReason::RetryBudget => RETRY_BUDGET,
+        RefusalReason::Overdue => OVERDUE,
+        RefusalReason::Quarantined => QUARANTINED,
+        RefusalReason::CopyRunning => COPY_RUNNING,
+        RefusalReason::EndpointsRest => ENDPOINTS_REST,
+        RefusalReason::HallsEvacuated => HALLS_EVACUATED,
     }
 }
 
 /// Why a ticket was refused, from text; an unknown text counts as a full shard.
-pub fn release_reason(text: &str) -> ReleaseReason {
+pub fn release_reason(text: &str) -> RefusalReason {
     match text {
-        CUSTOMER_FULL => ReleaseReason::CustomerFull,
-        RETRY_BUDGET => ReleaseReason::RetryBudget,
-        OVERDUE => ReleaseReason::Overdue,
-        QUARANTINED => ReleaseReason::Quarantined,
-        COPY_RUNNING => ReleaseReason::CopyRunning,
-        ENDPOINTS_REST => ReleaseReason::EndpointsRest,
-        HALLS_EVACUATED => ReleaseReason::HallsEvacuated,
-        _ => ReleaseReason::ShardFull,
+        CUSTOMER_FULL => RefusalReason::CustomerFull,
+        RETRY_BUDGET => RefusalReason::RetryBudget,
+        OVERDUE => RefusalReason::Overdue,
+        QUARANTINED => RefusalReason::Quarantined,
+        COPY_RUNNING => RefusalReason::CopyRunning,
+        ENDPOINTS_REST => RefusalReason::EndpointsRest,
+        HALLS_EVACUATED => RefusalReason::HallsEvacuated,
+        _ => RefusalReason::ShardFull,
     }
 }
 
