--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -98,7 +98,7 @@
 
 /// How a grant ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum GrantFate {
+pub enum GrantOutcome {
     /// The endpoint answered whole.
     Done,
     /// The caller left before the whole answer had come; it says nothing of the endpoint.
@@ -112,7 +112,7 @@
     /// The endpoint failed after the request was sent.
     Broken,
     /// Its connection ended after the request was sent and before the whole answer had come, as when the endpoint
-    /// ends. Otherwise like [`GrantFate::Broken`].
+    /// ends. Otherwise like [`GrantOutcome::Broken`].
     Severed,
     /// The router did not send the request.
     Unsent,
@@ -263,7 +263,7 @@
     /// A running request has delivered this much in all.
     Progress(SessionId, RequestId, Cost),
     /// A grant has ended with this cost.
-    Settle(SessionId, RequestId, Cost, GrantFate),
+    Settle(SessionId, RequestId, Cost, GrantOutcome),
     /// A router is alive.
     Heartbeat(SessionId, u64),
     /// Endpoints asked something of a router.
--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -21,8 +21,8 @@
 pub use action::{RefusalReason, ShardAction, StandingCause};
 pub use candidates::{CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep};
 pub use event::{
-    CacheNews, ColdTerms, CustomerTotal, EndpointSpec, GrantFate, HeldGrant, HeldTotal, KeptPart, LoadReport,
-    RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent, ShardPolicy,
+    CacheNews, ColdTerms, CustomerTotal, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, KeptPart,
+    LoadReport, RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent, ShardPolicy,
 };
 pub use micaspool_quarantine::{CrashRecord, EndpointCrash, QuarantineOptions, RequestStanding};
 pub use options::{ShardOptions, ShardOptionsBuilder};
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -6,7 +6,7 @@
 use super::reports::SeenSurplus;
 use super::service_time::ServiceTime;
 use super::status::EndpointClosure;
-use crate::event::{CacheNews, ColdTerms, EndpointSpec, GrantFate, ShardPolicy};
+use crate::event::{CacheNews, ColdTerms, EndpointSpec, GrantOutcome, ShardPolicy};
 use micaspool_types::{EndpointName, HallMask, Moment, RequestId};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -294,30 +294,30 @@
     }
 
     /// Gives one slot back and learns from how the grant ended.
-    pub fn vacate(&mut self, now: Moment, endpoint: EndpointIndex, fate: GrantFate) {
+    pub fn vacate(&mut self, now: Moment, endpoint: EndpointIndex, fate: GrantOutcome) {
         let state = &mut self.states[endpoint.0 as usize];
         state.busy = state.busy.saturating_sub(1);
         match fate {
-            GrantFate::Done | GrantFate::Abandoned => {
+            GrantOutcome::Done | GrantOutcome::Abandoned => {
                 state.failures = 0;
                 state.breaks = 0;
                 self.presume_cold(now, endpoint);
             }
-            GrantFate::Broken | GrantFate::Severed if state.breaks < self.tolerated_breaks => {
+            GrantOutcome::Broken | GrantOutcome::Severed if state.breaks < self.tolerated_breaks => {
                 state.breaks += 1
             }
             // One router's word is no more than a pause: endpoints that are not asked for their load would never
             // be opened again.
-            GrantFate::Refused
-            | GrantFate::Unreachable
-            | GrantFate::Draining
-            | GrantFate::Broken
-            | GrantFate::Severed => {
-                state.doors.paused_as_leaving = fate == GrantFate::Draining;
-                state.absences += u32::from(fate == GrantFate::Unreachable);
+            GrantOutcome::Refused
+            | GrantOutcome::Unreachable
+            | GrantOutcome::Draining
+            | GrantOutcome::Broken
+            | GrantOutcome::Severed => {
+                state.doors.paused_as_leaving = fate == GrantOutcome::Draining;
+                state.absences += u32::from(fate == GrantOutcome::Unreachable);
                 self.pause(now, endpoint)
             }
-            GrantFate::Unsent | GrantFate::NotHeld => {}
+            GrantOutcome::Unsent | GrantOutcome::NotHeld => {}
         }
         self.reindex(endpoint);
     }
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -5,7 +5,7 @@
 use super::suspects::{EndedRun, RecordHolders};
 use super::ShardCore;
 use crate::action::{ShardAction, StandingCause};
-use crate::event::{GrantFate, LoadReport};
+use crate::event::{GrantOutcome, LoadReport};
 use micaspool_quarantine::{CrashRecord, RequestStanding, TableChange};
 use micaspool_types::{Moment, RequestDigest};
 use std::time::Duration;
@@ -25,7 +25,7 @@
         &mut self,
         now: Moment,
         ended: &EndedRun,
-        fate: GrantFate,
+        fate: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
         if self.suspects.standing(now, ended.digest).is_in_doubt() {
@@ -33,8 +33,8 @@
             self.fill_due = now;
         }
         match fate {
-            GrantFate::Severed => self.note_severed(now, ended, actions),
-            GrantFate::Done => {
+            GrantOutcome::Severed => self.note_severed(now, ended, actions),
+            GrantOutcome::Done => {
                 self.hear_endpoint(now, ended.endpoint, actions);
                 self.acquit(now, ended.digest, StandingCause::Answered, actions);
             }
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -8,7 +8,7 @@
 use super::tickets::{EngineChoice, WaitingTicket};
 use super::ShardCore;
 use crate::action::ShardAction;
-use crate::event::{CacheNews, GrantFate, SessionId};
+use crate::event::{CacheNews, GrantOutcome, SessionId};
 use micaspool_fair::{CustomerIndex, Rank};
 use micaspool_types::{Cost, Moment, OrderNumber, RequestDigest, RequestId};
 use std::time::Duration;
@@ -258,7 +258,7 @@
         session: SessionId,
         request: RequestId,
         cost: Cost,
-        fate: GrantFate,
+        fate: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
         let owner = self.routers.by_session(session);
@@ -269,7 +269,13 @@
     }
 
     /// Ends a grant, if the request has one; without a cost, what was delivered counts.
-    pub(super) fn end_grant(&mut self, now: Moment, request: RequestId, cost: Option<Cost>, fate: GrantFate) {
+    pub(super) fn end_grant(
+        &mut self,
+        now: Moment,
+        request: RequestId,
+        cost: Option<Cost>,
+        fate: GrantOutcome,
+    ) {
         let Some(grant) = self.running.remove(&request) else { return };
         self.copies.end_running(grant.digest, grant.endpoint);
         self.routers.release(grant.router, request);
@@ -277,33 +283,35 @@
             self.endpoints.withdraw(now, grant.endpoint, request);
         }
         self.endpoints.vacate(now, grant.endpoint, fate);
-        if let Some(since) = grant.since.filter(|_| matches!(fate, GrantFate::Done | GrantFate::Abandoned)) {
+        if let Some(since) =
+            grant.since.filter(|_| matches!(fate, GrantOutcome::Done | GrantOutcome::Abandoned))
+        {
             let took = now.since(since);
             self.endpoints.note_service(grant.endpoint, took);
             if grant.unread {
                 self.endpoints.note_answer(grant.endpoint, took);
             }
         }
-        if fate == GrantFate::NotHeld {
+        if fate == GrantOutcome::NotHeld {
             self.routers.note_lacking(now, grant.router, grant.endpoint);
         }
         let state = self.customers.get_mut(grant.customer);
         state.running -= 1;
         match fate {
-            GrantFate::Done | GrantFate::Abandoned | GrantFate::Broken | GrantFate::Severed => {
+            GrantOutcome::Done | GrantOutcome::Abandoned | GrantOutcome::Broken | GrantOutcome::Severed => {
                 let cost = cost.unwrap_or(grant.delivered);
                 state.account.charge_end(grant.estimate, grant.delivered, cost);
                 state.served = state.served.plus(cost.minus(grant.delivered));
                 self.delivered.add(now, cost.minus(grant.delivered).0);
-                if matches!(fate, GrantFate::Done | GrantFate::Abandoned) && cost > Cost(0) {
+                if matches!(fate, GrantOutcome::Done | GrantOutcome::Abandoned) && cost > Cost(0) {
                     state.estimator.learn(grant.hint, cost);
                 }
             }
-            GrantFate::Refused
-            | GrantFate::Unreachable
-            | GrantFate::Draining
-            | GrantFate::Unsent
-            | GrantFate::NotHeld => {
+            GrantOutcome::Refused
+            | GrantOutcome::Unreachable
+            | GrantOutcome::Draining
+            | GrantOutcome::Unsent
+            | GrantOutcome::NotHeld => {
                 state.account.revoke_grant(grant.estimate, grant.delivered);
             }
         }
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -12,7 +12,7 @@
 use super::tickets::WaitingTicket;
 use super::ShardCore;
 use crate::action::ShardAction;
-use crate::event::{GrantFate, HeldGrant, HeldTotal, RequestTicket, RouterHello, SessionId};
+use crate::event::{GrantOutcome, HeldGrant, HeldTotal, RequestTicket, RouterHello, SessionId};
 use crate::shard::customers::QueuePlace;
 use micaspool_fair::{CustomerIndex, Rank, ServiceLevel};
 use micaspool_types::{Cost, Moment, RequestId};
@@ -75,14 +75,14 @@
         match running.remove(&request) {
             Some(held) => self.update_delivered(request, held.delivered),
             None if held_waiting => self.take_grant_back(now, request),
-            None => self.end_grant(now, request, None, GrantFate::Abandoned),
+            None => self.end_grant(now, request, None, GrantOutcome::Abandoned),
         }
     }
 
     /// The grant did not reach the router: the ticket waits again at its old place.
     fn take_grant_back(&mut self, now: Moment, request: RequestId) {
         let Some(grant) = self.running.get(&request).cloned() else { return };
-        self.end_grant(now, request, None, GrantFate::Unsent);
+        self.end_grant(now, request, None, GrantOutcome::Unsent);
         let ticket = WaitingTicket {
             customer: grant.customer,
             router: grant.router,
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -43,7 +43,7 @@
 pub use status::{CustomerStatus, EndpointClosure, EndpointStatus, PaceStatus, ShardStatus, SuspectStatus};
 
 use crate::action::ShardAction;
-use crate::event::{GrantFate, SessionId, ShardEvent, ShardPolicy};
+use crate::event::{GrantOutcome, SessionId, ShardEvent, ShardPolicy};
 use crate::options::ShardOptions;
 use copies::CopyCounts;
 use customers::CustomerTable;
@@ -235,7 +235,7 @@
         for router in self.routers.expired(now, self.options.lease) {
             for request in self.routers.forget(router) {
                 self.drop_waiting(request);
-                self.end_grant(now, request, None, GrantFate::Abandoned);
+                self.end_grant(now, request, None, GrantOutcome::Abandoned);
             }
         }
         self.endpoints.forget_old_reports(now);
@@ -257,7 +257,7 @@
         if let Some(router) = self.routers.by_session(session) {
             for request in self.routers.forget(router) {
                 self.drop_waiting(request);
-                self.end_grant(now, request, None, GrantFate::Abandoned);
+                self.end_grant(now, request, None, GrantOutcome::Abandoned);
             }
         }
     }
--- a/crates/micaspool-dispatch/src/shard/tickets.rs
+++ b/crates/micaspool-dispatch/src/shard/tickets.rs
@@ -216,7 +216,7 @@
         }
         let granted = self.running.get(&request).is_some_and(|grant| Some(grant.router) == owner);
         if granted {
-            self.end_grant(now, request, None, crate::event::GrantFate::Unsent);
+            self.end_grant(now, request, None, crate::event::GrantOutcome::Unsent);
         }
     }
 
--- a/crates/micaspool-dispatch/tests/shard/advice.rs
+++ b/crates/micaspool-dispatch/tests/shard/advice.rs
@@ -6,7 +6,7 @@
 
 use crate::bench::{endpoint, hello, id, ticket, Bench};
 use micaspool_dispatch::{
-    EndpointClosure, GrantFate, RefusalReason, RequestTicket, RouterHello, SessionId, ShardAction,
+    EndpointClosure, GrantOutcome, RefusalReason, RequestTicket, RouterHello, SessionId, ShardAction,
     ShardEvent, ShardOptions,
 };
 use micaspool_types::{AdviceRecord, Cost, EndpointAdvice};
@@ -53,7 +53,7 @@
 fn run(bench: &mut Bench, session: u64, number: u128) -> usize {
     bench.submit(session, ticket(number, "a", 10));
     let at = bench.grants().pop().expect("it is granted").endpoint;
-    bench.settle(session, number, 10, GrantFate::Done);
+    bench.settle(session, number, 10, GrantOutcome::Done);
     (0..2).find(|number| endpoint(*number) == at).expect("one of two")
 }
 
@@ -165,7 +165,7 @@
     bench.pass_with(60_000, &[1, 2, 3]);
     assert_eq!(run(&mut bench, 1, 20), 1, "no later word of this start opens it");
     bench.step(ShardEvent::Progress(SessionId(2), id(1), Cost(5)));
-    bench.settle(2, 1, 10, GrantFate::Done);
+    bench.settle(2, 1, 10, GrantOutcome::Done);
     let status = bench.core.status(bench.now);
     assert_eq!(status.endpoints[0].closure, Some(EndpointClosure::Draining));
     assert_eq!(status.endpoints[0].busy, 0);
@@ -184,7 +184,7 @@
     assert_eq!(bench.granted_requests().len(), 8);
     for session in 1..=8 {
         advise(&mut bench, session, vec![rest(0, REST)]);
-        bench.settle(session, u128::from(session), 0, GrantFate::Refused);
+        bench.settle(session, u128::from(session), 0, GrantOutcome::Refused);
     }
     let alive: Vec<u64> = (1..=9).collect();
     for session in 1..=8 {
@@ -197,6 +197,6 @@
     let first = bench.granted_requests();
     assert_eq!(first.len(), 1, "one comes back: {first:?}");
     let session = u64::try_from(first[0] - 20).expect("a session");
-    bench.settle(session, first[0], 10, GrantFate::Done);
+    bench.settle(session, first[0], 10, GrantOutcome::Done);
     assert_eq!(bench.granted_requests().len(), 7);
 }
--- a/crates/micaspool-dispatch/tests/shard/bench.rs
+++ b/crates/micaspool-dispatch/tests/shard/bench.rs
@@ -1,7 +1,7 @@
 //! A shard with hand-made routers, endpoints and customers.
 
 use micaspool_dispatch::{
-    ColdTerms, EndpointSpec, GrantFate, HeldGrant, HeldTotal, LoadReport, RefusalReason, RequestTicket,
+    ColdTerms, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, LoadReport, RefusalReason, RequestTicket,
     RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool_fair::ServiceLevel;
@@ -154,7 +154,7 @@
         self.step(ShardEvent::Submit(SessionId(session), ticket));
     }
 
-    pub fn settle(&mut self, session: u64, request: u128, cost: u64, fate: GrantFate) {
+    pub fn settle(&mut self, session: u64, request: u128, cost: u64, fate: GrantOutcome) {
         self.step(ShardEvent::Settle(SessionId(session), id(request), Cost(cost), fate));
     }
 
--- a/crates/micaspool-dispatch/tests/shard/bound.rs
+++ b/crates/micaspool-dispatch/tests/shard/bound.rs
@@ -5,7 +5,7 @@
 //! `docs/design/001-order.md`.
 
 use crate::bench::{endpoint, hello, id, ticket, Bench};
-use micaspool_dispatch::{GrantFate, SessionId, ShardAction, ShardCore, ShardEvent, ShardOptions};
+use micaspool_dispatch::{GrantOutcome, SessionId, ShardAction, ShardCore, ShardEvent, ShardOptions};
 use micaspool_fair::{policies::ProgressCounters, GapMeter};
 use micaspool_types::{Cost, HallMask, Weight};
 use proptest::prelude::*;
@@ -97,7 +97,7 @@
         self.meter.serve(number, Cost(step));
         if done + step == cost {
             self.running.remove(&request);
-            self.step(ShardEvent::Settle(SessionId(1), id(request), Cost(cost), GrantFate::Done));
+            self.step(ShardEvent::Settle(SessionId(1), id(request), Cost(cost), GrantOutcome::Done));
         } else {
             self.running.insert(request, (number, cost, done + step));
             self.step(ShardEvent::Progress(SessionId(1), id(request), Cost(done + step)));
--- a/crates/micaspool-dispatch/tests/shard/breaks.rs
+++ b/crates/micaspool-dispatch/tests/shard/breaks.rs
@@ -1,11 +1,11 @@
 //! Endpoints that lose an answer now and then.
 
 use crate::bench::{hello, ticket, Bench};
-use micaspool_dispatch::{GrantFate, ShardOptions};
+use micaspool_dispatch::{GrantOutcome, ShardOptions};
 use test_case::test_case;
 
 /// The grants of the next request after these fates, at the only endpoint.
-fn grants_after(tolerated: u32, fates: &[GrantFate]) -> usize {
+fn grants_after(tolerated: u32, fates: &[GrantOutcome]) -> usize {
     let options = ShardOptions::builder().tolerated_breaks(tolerated).build();
     let mut bench = Bench::recovering(1, 4, &["a"], options);
     bench.pass(1_000);
@@ -19,11 +19,11 @@
     bench.grants().len()
 }
 
-#[test_case(0, &[GrantFate::Broken] => 0; "none is tolerated by default")]
-#[test_case(2, &[GrantFate::Broken, GrantFate::Broken] => 1; "two in a row")]
-#[test_case(2, &[GrantFate::Broken, GrantFate::Broken, GrantFate::Broken] => 0; "three in a row")]
-#[test_case(2, &[GrantFate::Broken, GrantFate::Broken, GrantFate::Done, GrantFate::Broken] => 1; "an answer between")]
-#[test_case(2, &[GrantFate::Unreachable] => 0; "one that is gone is left at once")]
-fn breaks(tolerated: u32, fates: &[GrantFate]) -> usize {
+#[test_case(0, &[GrantOutcome::Broken] => 0; "none is tolerated by default")]
+#[test_case(2, &[GrantOutcome::Broken, GrantOutcome::Broken] => 1; "two in a row")]
+#[test_case(2, &[GrantOutcome::Broken, GrantOutcome::Broken, GrantOutcome::Broken] => 0; "three in a row")]
+#[test_case(2, &[GrantOutcome::Broken, GrantOutcome::Broken, GrantOutcome::Done, GrantOutcome::Broken] => 1; "an answer between")]
+#[test_case(2, &[GrantOutcome::Unreachable] => 0; "one that is gone is left at once")]
+fn breaks(tolerated: u32, fates: &[GrantOutcome]) -> usize {
     grants_after(tolerated, fates)
 }
--- a/crates/micaspool-dispatch/tests/shard/capacity.rs
+++ b/crates/micaspool-dispatch/tests/shard/capacity.rs
@@ -1,7 +1,7 @@
 //! Which endpoints take new work, and where a request may run.
 
 use crate::bench::{customer, endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{CacheNews, GrantFate, RequestTicket, ShardEvent, ShardPolicy};
+use micaspool_dispatch::{CacheNews, GrantOutcome, RequestTicket, ShardEvent, ShardPolicy};
 use micaspool_types::HallMask;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -39,17 +39,17 @@
         LeavingSign::Listed => bench.step(listed(&[0])),
         LeavingSign::LoadReport => bench.load(0, 2, true),
         LeavingSign::OwnAnswer => {
-            bench.settle(1, 1, 0, GrantFate::Draining);
+            bench.settle(1, 1, 0, GrantOutcome::Draining);
             bench.load(0, 1, true);
         }
         LeavingSign::Settings => bench.change(|policy| policy.endpoints[0].leaving = true),
     }
     bench.submit(1, ticket(3, "a", 10));
-    bench.settle(1, 1, 5, GrantFate::Done);
+    bench.settle(1, 1, 5, GrantOutcome::Done);
     bench.pass_with(10_000, &[1]);
     assert!(bench.granted_requests().is_empty());
     assert_eq!(bench.core.status(bench.now).running, 1, "what runs there goes on");
-    bench.settle(1, 2, 5, GrantFate::Done);
+    bench.settle(1, 2, 5, GrantOutcome::Done);
     assert_eq!(bench.core.status(bench.now).running, 0);
 }
 
@@ -74,7 +74,7 @@
     let mut bench = Bench::new(1, 4, &["a"]);
     bench.join(1, hello("r1", 1));
     bench.submit(1, ticket(0, "a", 10));
-    bench.settle(1, 0, 0, GrantFate::Draining);
+    bench.settle(1, 0, 0, GrantOutcome::Draining);
     bench.grants();
     let mut asked = 0;
     for number in 1..=100 {
@@ -82,7 +82,7 @@
         bench.pass_with(100, &[1]);
         for request in bench.granted_requests() {
             asked += 1;
-            bench.settle(1, request, 0, GrantFate::Draining);
+            bench.settle(1, request, 0, GrantOutcome::Draining);
         }
     }
     assert!((2..=5).contains(&asked), "after 0.5, 1, 2, 4 and 8 s: {asked} in ten seconds");
@@ -107,7 +107,7 @@
     let asked_at = bench.now;
     bench.pass_with(500, &[1]);
     bench.submit(1, ticket(1, "a", 10));
-    bench.settle(1, 1, 0, GrantFate::Draining);
+    bench.settle(1, 1, 0, GrantOutcome::Draining);
     bench.grants();
     let report = micaspool_dispatch::LoadReport {
         endpoint: endpoint(0),
@@ -121,10 +121,10 @@
     assert!(bench.granted_requests().is_empty());
 }
 
-#[test_case(GrantFate::Unreachable; "unreachable")]
-#[test_case(GrantFate::Refused; "full")]
-#[test_case(GrantFate::Broken; "broken")]
-fn after_a_failure_an_endpoint_rests_and_then_gets_one_request_at_a_time(fate: GrantFate) {
+#[test_case(GrantOutcome::Unreachable; "unreachable")]
+#[test_case(GrantOutcome::Refused; "full")]
+#[test_case(GrantOutcome::Broken; "broken")]
+fn after_a_failure_an_endpoint_rests_and_then_gets_one_request_at_a_time(fate: GrantOutcome) {
     let mut bench = Bench::new(1, 4, &["a"]);
     bench.join(1, hello("r1", 1));
     bench.submit(1, ticket(1, "a", 10));
@@ -137,7 +137,7 @@
     assert!(bench.granted_requests().is_empty());
     bench.pass_with(100, &[1]);
     assert_eq!(bench.granted_requests(), vec![2]);
-    bench.settle(1, 2, 5, GrantFate::Done);
+    bench.settle(1, 2, 5, GrantOutcome::Done);
     assert_eq!(bench.granted_requests(), vec![3, 4, 5]);
 }
 
@@ -150,7 +150,7 @@
         bench.submit(1, again);
         for grant in bench.grants() {
             assert_eq!(grant.endpoint, endpoint(1));
-            bench.settle(1, grant.request.0, 5, GrantFate::Done);
+            bench.settle(1, grant.request.0, 5, GrantOutcome::Done);
         }
     }
 }
@@ -170,8 +170,8 @@
     assert_eq!(grants.len(), 1);
     assert_eq!(grants[0].endpoint, endpoint(2));
     bench.change(|policy| policy.customers[0].halls = HallMask::EMPTY);
-    bench.settle(1, 0, 5, GrantFate::Done);
-    bench.settle(1, 1, 5, GrantFate::Done);
+    bench.settle(1, 0, 5, GrantOutcome::Done);
+    bench.settle(1, 1, 5, GrantOutcome::Done);
     assert!(bench.granted_requests().is_empty(), "refusing is better than the wrong hall");
 }
 
@@ -251,8 +251,8 @@
     for (number, priority) in [(1, 5), (2, 5), (3, 1)] {
         bench.submit(1, RequestTicket { priority, ..ticket(number, "a", 10) });
     }
-    bench.settle(1, 1, 5, GrantFate::Done);
-    bench.settle(1, 3, 5, GrantFate::Done);
+    bench.settle(1, 1, 5, GrantOutcome::Done);
+    bench.settle(1, 3, 5, GrantOutcome::Done);
     assert_eq!(bench.granted_requests(), vec![1, 3, 2]);
 }
 
--- a/crates/micaspool-dispatch/tests/shard/closing.rs
+++ b/crates/micaspool-dispatch/tests/shard/closing.rs
@@ -9,7 +9,7 @@
 //! waiting and no endpoint failing, while other instances' shards of the same service had 3 open.
 
 use crate::bench::{endpoint, hello, ticket, Bench};
-use micaspool_dispatch::GrantFate;
+use micaspool_dispatch::GrantOutcome;
 
 /// A shard of three endpoints that are never asked for their load.
 fn unasked() -> Bench {
@@ -33,16 +33,16 @@
             served = Some(grant);
             break;
         }
-        bench.settle(1, 1, 0, GrantFate::NotHeld);
+        bench.settle(1, 1, 0, GrantOutcome::NotHeld);
     }
     assert!(served.is_some(), "the third grant at the latest is for the endpoint that it holds");
     for number in 10..28 {
         bench.submit(2, ticket(number, "a", 10));
     }
     assert_eq!(bench.grants().len(), 17, "all slots but one, for a router that holds all");
-    bench.settle(1, 1, 5, GrantFate::Done);
+    bench.settle(1, 1, 5, GrantOutcome::Done);
     for number in 10..28 {
-        bench.settle(2, number, 5, GrantFate::Done);
+        bench.settle(2, number, 5, GrantOutcome::Done);
     }
     bench.pass_with(200, &[1, 2]);
     bench.grants();
@@ -60,16 +60,16 @@
     }
     assert_eq!(bench.granted_requests().len(), 3);
     for number in 0..3 {
-        bench.settle(1, number, 0, GrantFate::Draining);
+        bench.settle(1, number, 0, GrantOutcome::Draining);
     }
     bench.submit(1, ticket(10, "a", 10));
     assert!(bench.granted_requests().is_empty(), "each has just said that it leaves");
     bench.pass_with(1_000, &[1]);
     assert_eq!(bench.granted_requests(), vec![10], "the word of one router has aged");
-    bench.settle(1, 10, 5, GrantFate::Done);
+    bench.settle(1, 10, 5, GrantOutcome::Done);
     for number in 20..30 {
         bench.submit(1, ticket(number, "a", 10));
-        bench.settle(1, number, 5, GrantFate::Done);
+        bench.settle(1, number, 5, GrantOutcome::Done);
     }
     assert_eq!(bench.granted_requests().len(), 10);
 }
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -5,7 +5,7 @@
 
 use crate::bench::{customer, endpoint, hello, id, ticket, Bench};
 use micaspool_dispatch::{
-    ColdTerms, GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
+    ColdTerms, GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
 };
 use micaspool_types::{Cost, EndpointName, Moment};
 use rand::{Rng, SeedableRng};
@@ -85,7 +85,7 @@
         per_step: usize,
         mut delay: impl FnMut() -> u64,
         work: u64,
-        mut fate: impl FnMut() -> GrantFate,
+        mut fate: impl FnMut() -> GrantOutcome,
     ) {
         for _ in 0..millis / 10 {
             for _ in 0..per_step {
@@ -135,7 +135,7 @@
 fn a_hall_that_comes_back_cold_gets_what_it_bears() {
     let mut hall = ColdHall::new(6, ShardOptions::default());
     hall.turn_cold();
-    hall.press(STILL_COLD, 4, || 1, 300, || GrantFate::Done);
+    hall.press(STILL_COLD, 4, || 1, 300, || GrantOutcome::Done);
     assert!(hall.worst_second() <= 7, "{}", hall.worst_second());
     let least = (0.8 * BORNE * STILL_COLD as f64 / 1_000.0) as usize;
     for number in 0..6 {
@@ -149,9 +149,9 @@
 fn an_endpoint_that_is_warm_again_is_used_fully() {
     let mut hall = ColdHall::new(3, ShardOptions::default());
     hall.turn_cold();
-    hall.press(COLD + 100, 4, || 1, 300, || GrantFate::Done);
+    hall.press(COLD + 100, 4, || 1, 300, || GrantOutcome::Done);
     hall.arrivals.clear();
-    hall.press(1_000, 4, || 1, 300, || GrantFate::Done);
+    hall.press(1_000, 4, || 1, 300, || GrantOutcome::Done);
     assert!(hall.worst_second() > 20, "{}", hall.worst_second());
 }
 
@@ -159,10 +159,10 @@
 #[test]
 fn an_endpoint_that_turns_cold_without_a_start_gets_less_from_then_on() {
     let mut hall = ColdHall::new(3, ShardOptions::default());
-    hall.press(1_000, 4, || 1, 300, || GrantFate::Done);
+    hall.press(1_000, 4, || 1, 300, || GrantOutcome::Done);
     hall.arrivals.clear();
     hall.turn_cold();
-    hall.press(STILL_COLD, 4, || 1, 300, || GrantFate::Done);
+    hall.press(STILL_COLD, 4, || 1, 300, || GrantOutcome::Done);
     assert!(hall.worst_second() <= MOST_ARRIVALS, "{}", hall.worst_second());
 }
 
@@ -172,11 +172,11 @@
 fn a_new_dispatcher_during_it_keeps_the_bound() {
     let mut before = ColdHall::new(3, ShardOptions::default());
     before.turn_cold();
-    before.press(1_000, 4, || 1, 300, || GrantFate::Done);
+    before.press(1_000, 4, || 1, 300, || GrantOutcome::Done);
     let mut after = ColdHall::new(3, ShardOptions::default());
     after.turn_cold();
     let shift = after.bench.now;
-    after.press(1_000, 4, || 1, 300, || GrantFate::Done);
+    after.press(1_000, 4, || 1, 300, || GrantOutcome::Done);
     for (name, arrivals) in &after.arrivals {
         let began = before.bench.now;
         let later = arrivals.iter().map(|at| began + at.since(shift));
@@ -189,9 +189,9 @@
 #[test]
 fn an_endpoint_that_was_away_is_taken_for_cold() {
     let mut hall = ColdHall::new(1, ShardOptions::default());
-    hall.press(4_000, 1, || 1, 10, || GrantFate::Unreachable);
+    hall.press(4_000, 1, || 1, 10, || GrantOutcome::Unreachable);
     hall.arrivals.clear();
-    hall.press(2_500, 4, || 1, 100, || GrantFate::Done);
+    hall.press(2_500, 4, || 1, 100, || GrantOutcome::Done);
     assert!(hall.worst_second() <= MOST_ARRIVALS, "{}", hall.worst_second());
     assert!(hall.arrivals[&endpoint(0)].len() > 5);
 }
@@ -202,7 +202,7 @@
     let mut hall = ColdHall::new(2, ShardOptions::default());
     hall.bench.change(|policy| policy.cold = ColdTerms::default());
     hall.turn_cold();
-    hall.press(1_000, 4, || 1, 300, || GrantFate::Done);
+    hall.press(1_000, 4, || 1, 300, || GrantOutcome::Done);
     assert!(hall.worst_second() > 20, "{}", hall.worst_second());
 }
 
@@ -220,7 +220,7 @@
     };
     hall.bench.submit(1, known(1_000));
     let holder = hall.bench.grants()[0].endpoint.clone();
-    hall.bench.settle(1, 1_000, 1, GrantFate::Done);
+    hall.bench.settle(1, 1_000, 1, GrantOutcome::Done);
     hall.bench.pass_with(500, &[1]);
     hall.bench.change(|policy| {
         let cold = policy.endpoints.iter_mut().filter(|spec| spec.name == holder);
@@ -258,7 +258,7 @@
             let refused = rng.random_bool(0.3);
             let work = rng.random_range(10..400);
             let mut delays = ChaCha8Rng::seed_from_u64(seed * 2 + shard);
-            let fate = || if refused { GrantFate::Unsent } else { GrantFate::Done };
+            let fate = || if refused { GrantOutcome::Unsent } else { GrantOutcome::Done };
             let began = hall.bench.now;
             hall.press(1_200, 1, || delays.random_range(0..spread), work, fate);
             let all = hall.arrivals.into_values().flatten();
@@ -277,7 +277,7 @@
         let mut hall = ColdHall::new(1, ShardOptions::builder().first_share(20).build());
         hall.turn_cold();
         let began = hall.bench.now;
-        hall.press(STILL_COLD, 2, || 1, 100, || GrantFate::Done);
+        hall.press(STILL_COLD, 2, || 1, 100, || GrantOutcome::Done);
         arrivals.extend(hall.arrivals.into_values().flatten().map(|at| Moment(0) + at.since(began)));
     }
     assert!(worst_second(arrivals.clone()) <= MOST_ARRIVALS, "{}", worst_second(arrivals));
--- a/crates/micaspool-dispatch/tests/shard/engine_objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/engine_objectives.rs
@@ -7,7 +7,7 @@
 //! refused_on_arrival="138"` of the same shard and second.
 
 use crate::bench::{hello, ticket, Bench};
-use micaspool_dispatch::{GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent};
+use micaspool_dispatch::{GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent};
 use micaspool_types::{Cost, EndpointName, RequestId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -133,7 +133,7 @@
                 }
                 Step::End => {
                     let (index, _) = self.open[&number];
-                    self.bench.settle(1, number, self.kinds[index].tokens, GrantFate::Done);
+                    self.bench.settle(1, number, self.kinds[index].tokens, GrantOutcome::Done);
                 }
             }
         }
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{endpoint, hello, ticket, Bench};
 use micaspool_dispatch::{
-    CacheNews, GrantFate, KeptPart, RefusalReason, RequestTicket, SessionId, ShardEvent,
+    CacheNews, GrantOutcome, KeptPart, RefusalReason, RequestTicket, SessionId, ShardEvent,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::HashMap;
@@ -41,7 +41,7 @@
 /// The first event of a request, then its end.
 fn run(bench: &mut Bench, number: u128, cost: u64) {
     bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(cost)));
-    bench.settle(1, number, cost, GrantFate::Done);
+    bench.settle(1, number, cost, GrantOutcome::Done);
 }
 
 /// The engine reads what it lacks of a prompt, then the request runs.
--- a/crates/micaspool-dispatch/tests/shard/evacuation.rs
+++ b/crates/micaspool-dispatch/tests/shard/evacuation.rs
@@ -1,7 +1,7 @@
 //! Data halls that are evacuated while requests wait, and taken back while queues are full.
 
 use crate::bench::{endpoint, hello, id, ticket, Bench};
-use micaspool_dispatch::{EndpointClosure, GrantFate, RefusalReason};
+use micaspool_dispatch::{EndpointClosure, GrantOutcome, RefusalReason};
 use std::time::Duration;
 
 fn evacuate(bench: &mut Bench, halls: &[usize]) {
@@ -38,7 +38,7 @@
     evacuate(&mut bench, &[1]);
     bench.submit(1, ticket(9, "a", 10));
     for number in 0..3 {
-        bench.settle(1, number, 1, GrantFate::Done);
+        bench.settle(1, number, 1, GrantOutcome::Done);
     }
     let grants = bench.grants();
     assert!(grants.iter().any(|grant| grant.request == id(9) && grant.endpoint != endpoint(1)), "{grants:?}");
@@ -58,7 +58,7 @@
     assert_eq!(bench.refused(), [(3, RefusalReason::HallsEvacuated)], "it came later");
     bench.seen.clear();
     evacuate(&mut bench, &[]);
-    bench.settle(1, 1, 1, GrantFate::Done);
+    bench.settle(1, 1, 1, GrantOutcome::Done);
     bench.submit(1, ticket(4, "a", 10));
     assert_eq!(bench.granted_requests(), [4]);
 }
--- a/crates/micaspool-dispatch/tests/shard/faults.rs
+++ b/crates/micaspool-dispatch/tests/shard/faults.rs
@@ -1,7 +1,7 @@
 //! The fault table: what is lost, late, doubled, crossed, frozen or cut.
 
 use crate::bench::{held, hello, id, ordered, ticket, Bench};
-use micaspool_dispatch::{GrantFate, RouterHello, SessionId, ShardEvent};
+use micaspool_dispatch::{GrantOutcome, RouterHello, SessionId, ShardEvent};
 use micaspool_types::Cost;
 use test_case::test_case;
 
@@ -30,19 +30,19 @@
     let mut bench = one_running();
     bench.pass_with(4_000, &[2]);
     assert_eq!(bench.granted_requests(), vec![2], "the lease of the frozen router has ended");
-    bench.step(ShardEvent::Settle(SessionId(1), id(1), Cost(5), GrantFate::Done));
+    bench.step(ShardEvent::Settle(SessionId(1), id(1), Cost(5), GrantOutcome::Done));
     assert_eq!(bench.rejoins(), 1);
     bench.join(3, RouterHello { running: vec![held(1, "a", 0, 1)], ..hello("r1", 1) });
-    bench.settle(2, 2, 5, GrantFate::Done);
+    bench.settle(2, 2, 5, GrantOutcome::Done);
     bench.submit(2, ticket(3, "b", 10));
     assert!(bench.granted_requests().is_empty(), "the thawed router's request holds the slot");
-    bench.settle(3, 1, 5, GrantFate::Done);
+    bench.settle(3, 1, 5, GrantOutcome::Done);
     assert_eq!(bench.granted_requests(), vec![3]);
 }
 
-#[test_case(&[GrantFate::Done, GrantFate::Done]; "doubled")]
-#[test_case(&[GrantFate::Done, GrantFate::Broken]; "doubled with another outcome")]
-fn a_doubled_report_frees_one_slot_once(fates: &[GrantFate]) {
+#[test_case(&[GrantOutcome::Done, GrantOutcome::Done]; "doubled")]
+#[test_case(&[GrantOutcome::Done, GrantOutcome::Broken]; "doubled with another outcome")]
+fn a_doubled_report_frees_one_slot_once(fates: &[GrantOutcome]) {
     let mut bench = Bench::new(1, 2, &["a"]);
     bench.join(1, hello("r1", 1));
     for number in 1..=4 {
@@ -58,7 +58,7 @@
 #[test]
 fn a_report_of_another_router_is_not_heard() {
     let mut bench = one_running();
-    bench.settle(2, 1, 5, GrantFate::Done);
+    bench.settle(2, 1, 5, GrantOutcome::Done);
     bench.step(ShardEvent::Cancel(SessionId(2), id(1)));
     assert!(bench.granted_requests().is_empty());
 }
@@ -66,7 +66,7 @@
 #[test]
 fn a_late_progress_report_after_the_end_changes_nothing() {
     let mut bench = one_running();
-    bench.settle(1, 1, 7, GrantFate::Done);
+    bench.settle(1, 1, 7, GrantOutcome::Done);
     let before = bench.core.status(bench.now);
     bench.step(ShardEvent::Progress(SessionId(1), id(1), Cost(500)));
     assert_eq!(bench.core.status(bench.now).customers, before.customers);
@@ -95,7 +95,7 @@
     let mut bench = one_running();
     bench.submit(1, ticket(3, "a", 10));
     bench.step(ShardEvent::Left(SessionId(1)));
-    bench.settle(2, 2, 0, GrantFate::Done);
+    bench.settle(2, 2, 0, GrantOutcome::Done);
     bench.pass_with(5_000, &[2]);
     let granted = bench.granted_requests();
     assert_eq!(granted, vec![2]);
@@ -119,9 +119,9 @@
     bench.step(ShardEvent::Left(SessionId(1)));
     bench.grants();
     bench.submit(2, ticket(2, "a", 10));
-    bench.settle(2, 1, 5, GrantFate::Done);
+    bench.settle(2, 1, 5, GrantOutcome::Done);
     assert_eq!(bench.granted_requests(), vec![2]);
-    bench.settle(2, 2, 5, GrantFate::Done);
+    bench.settle(2, 2, 5, GrantOutcome::Done);
     bench.submit(2, ticket(3, "a", 10));
     assert_eq!(bench.granted_requests(), vec![3], "a new ticket is looked at as it arrives");
 }
@@ -141,7 +141,7 @@
         bench.load(0, 4, false);
         bench.load(0, 4, false);
     }
-    one.settle(1, 0, 5, GrantFate::Done);
+    one.settle(1, 0, 5, GrantOutcome::Done);
     assert!(one.granted_requests().is_empty(), "the endpoint runs as much as it may");
     one.load(0, 1, false);
     assert_eq!(one.granted_requests().len(), 1);
@@ -155,7 +155,7 @@
         bench.submit(1, ticket(number, "a", 100));
     }
     for number in 0..10 {
-        bench.settle(1, number, 100, GrantFate::Done);
+        bench.settle(1, number, 100, GrantOutcome::Done);
     }
     bench.grants();
     for number in 100..120 {
@@ -164,7 +164,7 @@
     let mut served = (0, 0);
     let mut running = 10;
     for _ in 0..12 {
-        bench.settle(1, running, 100, GrantFate::Done);
+        bench.settle(1, running, 100, GrantOutcome::Done);
         running = bench.granted_requests()[0];
         if running >= 100 {
             served.1 += 1;
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -9,7 +9,9 @@
 //! kinds of streams at 116 and 119, from the first second to the last.
 
 use crate::bench::{endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{CacheNews, GrantFate, KeptPart, RequestTicket, SessionId, ShardAction, ShardEvent};
+use micaspool_dispatch::{
+    CacheNews, GrantOutcome, KeptPart, RequestTicket, SessionId, ShardAction, ShardEvent,
+};
 use micaspool_types::{Cost, EndpointName, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -83,7 +85,7 @@
                     self.bench.step(begun);
                     self.due.insert((now + RUN, number), Step::End(number));
                 }
-                Step::End(number) => self.bench.settle(1, number, 10_000, GrantFate::Done),
+                Step::End(number) => self.bench.settle(1, number, 10_000, GrantOutcome::Done),
             }
         }
         self.bench.step(ShardEvent::Wake);
--- a/crates/micaspool-dispatch/tests/shard/horizon.rs
+++ b/crates/micaspool-dispatch/tests/shard/horizon.rs
@@ -6,7 +6,7 @@
 //! for that, and had all of the other's lead to itself.
 
 use crate::bench::{endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{GrantFate, RequestTicket};
+use micaspool_dispatch::{GrantOutcome, RequestTicket};
 use micaspool_types::Cost;
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     bench.submit(1, hurried);
     bench.pass_with(200, &[1]);
     for number in 0..60 {
-        bench.settle(1, number, COST, GrantFate::Done);
+        bench.settle(1, number, COST, GrantOutcome::Done);
         bench.submit(1, asked(number + 4, "flood"));
     }
     bench.grants();
@@ -45,7 +45,7 @@
     let mut running: Vec<u128> = (60..64).collect();
     let mut order = Vec::new();
     for _ in 0..40 {
-        bench.settle(1, running.remove(0), COST, GrantFate::Done);
+        bench.settle(1, running.remove(0), COST, GrantOutcome::Done);
         running.extend(bench.granted_requests());
         order.extend(running.last().copied());
     }
@@ -73,7 +73,7 @@
         bench.submit(1, asked(2_000 + number, "b"));
     }
     for number in 60..64 {
-        bench.settle(1, number, COST, GrantFate::Done);
+        bench.settle(1, number, COST, GrantOutcome::Done);
     }
     assert_eq!(bench.granted_requests(), [2_000, 2_001, 2_002, 2_003]);
 }
@@ -87,7 +87,7 @@
     bench.submit(1, RequestTicket { avoid: Some(endpoint(0)), ..asked(1_000, "b") });
     (0..4).for_each(|number| bench.submit(1, asked(number, "flood")));
     for number in 0..60 {
-        bench.settle(1, number, COST, GrantFate::Done);
+        bench.settle(1, number, COST, GrantOutcome::Done);
         bench.submit(1, asked(number + 4, "flood"));
     }
     bench.grants();
--- a/crates/micaspool-dispatch/tests/shard/limits.rs
+++ b/crates/micaspool-dispatch/tests/shard/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{hello, ticket, Bench};
 use micaspool_dispatch::{
-    GrantFate, RefusalReason, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
+    GrantOutcome, RefusalReason, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
             ends.iter().filter(|(_, end)| **end == now + 1_000_000).map(|(request, _)| *request).collect();
         for request in due {
             ends.remove(&request);
-            bench.settle(1, request, 1, GrantFate::Done);
+            bench.settle(1, request, 1, GrantOutcome::Done);
         }
     }
     assert!(in_time > 700, "{in_time} of {asked} in time, of 800 that the endpoints do");
@@ -89,7 +89,7 @@
         bench.pass_with(50, &[1]);
         bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(1)));
         bench.pass_with(2_000, &[1]);
-        bench.settle(1, number, 9, GrantFate::Done);
+        bench.settle(1, number, 9, GrantOutcome::Done);
     }
     bench.submit(1, ticket(10, "a", 1));
     bench.seen.clear();
@@ -120,7 +120,7 @@
             bench.pass_with(40, &[1]);
             ended += running.len();
             for request in running {
-                bench.settle(1, request, 1, GrantFate::Done);
+                bench.settle(1, request, 1, GrantOutcome::Done);
             }
         }
         assert_eq!(ended, 24, "round {round}");
@@ -136,7 +136,7 @@
         bench.submit(1, ticket(number, "a", 10));
     }
     for number in 0..10 {
-        bench.settle(1, number, 10, GrantFate::Done);
+        bench.settle(1, number, 10, GrantOutcome::Done);
         bench.pass_with(500, &[1]);
     }
     bench.seen.clear();
--- a/crates/micaspool-dispatch/tests/shard/objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/objectives.rs
@@ -10,7 +10,7 @@
 //! refused_on_arrival="0"`, and records refused on arrival with an `expected_wait_ms` of 137.
 
 use crate::bench::{hello, ticket, Bench};
-use micaspool_dispatch::{GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent};
+use micaspool_dispatch::{GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent};
 use micaspool_types::RequestId;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -151,7 +151,7 @@
                 return;
             }
             self.ends.remove(&(at, number));
-            self.bench.settle(1, number, 1, GrantFate::Done);
+            self.bench.settle(1, number, 1, GrantOutcome::Done);
             let open = self.open.remove(&number).expect("what runs is open");
             if !open.counted {
                 continue;
@@ -280,7 +280,7 @@
         let usual = if number % 4 == 0 { 400 } else { 1_000 };
         bench.submit(1, asked(number, Some(usual)));
         bench.pass_with(WORK, &[1]);
-        bench.settle(1, number, 1, GrantFate::Done);
+        bench.settle(1, number, 1, GrantOutcome::Done);
     }
     for number in 100..104 {
         bench.submit(1, asked(number, Some(1_000)));
--- a/crates/micaspool-dispatch/tests/shard/outage.rs
+++ b/crates/micaspool-dispatch/tests/shard/outage.rs
@@ -5,7 +5,7 @@
 //! after longer ones for up to 16 s, while every request was refused.
 
 use crate::bench::{hello, ticket, Bench};
-use micaspool_dispatch::{GrantFate, RequestTicket, ShardAction};
+use micaspool_dispatch::{GrantOutcome, RequestTicket, ShardAction};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     }
 
     /// Asks for so many milliseconds; each grant ends at once as `fate` says.
-    fn ask_for(&mut self, millis: u64, mut fate: impl FnMut() -> GrantFate) -> Outcome {
+    fn ask_for(&mut self, millis: u64, mut fate: impl FnMut() -> GrantOutcome) -> Outcome {
         let mut outcome = Outcome::default();
         for _ in 0..millis / EVERY {
             self.next += 1;
@@ -61,11 +61,12 @@
         outcome
     }
 
-    fn take(&mut self, action: ShardAction, fate: &mut impl FnMut() -> GrantFate, outcome: &mut Outcome) {
+    fn take(&mut self, action: ShardAction, fate: &mut impl FnMut() -> GrantOutcome, outcome: &mut Outcome) {
         match action {
             ShardAction::Grant { request, .. } => {
                 let fate = fate();
-                let counter = if fate == GrantFate::Done { &mut outcome.served } else { &mut outcome.failed };
+                let counter =
+                    if fate == GrantOutcome::Done { &mut outcome.served } else { &mut outcome.failed };
                 *counter += 1;
                 self.bench.settle(1, request.0, 1, fate);
             }
@@ -75,16 +76,16 @@
     }
 }
 
-#[test_case(3_000, GrantFate::Unreachable; "away for three seconds")]
-#[test_case(12_000, GrantFate::Unreachable; "away for twelve seconds")]
-#[test_case(40_000, GrantFate::Unreachable; "away for forty seconds")]
-#[test_case(12_000, GrantFate::Refused; "full for twelve seconds")]
-fn a_service_is_used_again_soon_after_all_of_its_endpoints_are_back(millis: u64, fate: GrantFate) {
+#[test_case(3_000, GrantOutcome::Unreachable; "away for three seconds")]
+#[test_case(12_000, GrantOutcome::Unreachable; "away for twelve seconds")]
+#[test_case(40_000, GrantOutcome::Unreachable; "away for forty seconds")]
+#[test_case(12_000, GrantOutcome::Refused; "full for twelve seconds")]
+fn a_service_is_used_again_soon_after_all_of_its_endpoints_are_back(millis: u64, fate: GrantOutcome) {
     let mut callers = Callers::new();
-    callers.ask_for(1_000, || GrantFate::Done);
+    callers.ask_for(1_000, || GrantOutcome::Done);
     callers.ask_for(millis, || fate);
-    callers.ask_for(SOON, || GrantFate::Done);
-    let after = callers.ask_for(1_000, || GrantFate::Done);
+    callers.ask_for(SOON, || GrantOutcome::Done);
+    let after = callers.ask_for(1_000, || GrantOutcome::Done);
     assert!(after.served >= 45 && after.refused == 0, "{after:?}");
 }
 
@@ -95,8 +96,8 @@
 #[test_case(300)]
 fn endpoints_that_are_away_are_asked_seldom(endpoints: usize) {
     let mut callers = Callers::of(endpoints);
-    callers.ask_for(100_000, || GrantFate::Unreachable);
-    let away = callers.ask_for(20_000, || GrantFate::Unreachable);
+    callers.ask_for(100_000, || GrantOutcome::Unreachable);
+    let away = callers.ask_for(20_000, || GrantOutcome::Unreachable);
     let fastest = 40 * endpoints as u32;
     assert!(away.failed <= fastest.min(20 * 20), "{away:?}");
 }
@@ -108,12 +109,12 @@
 fn a_service_that_fails_half_of_the_time_is_used(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut callers = Callers::new();
-    callers.ask_for(1_000, || GrantFate::Done);
+    callers.ask_for(1_000, || GrantOutcome::Done);
     let grey = |rng: &mut ChaCha8Rng| {
         if rng.random_bool(0.5) {
-            GrantFate::Done
+            GrantOutcome::Done
         } else {
-            GrantFate::Broken
+            GrantOutcome::Broken
         }
     };
     for second in 0..8 {
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{endpoint, hello, ticket, Bench};
 use micaspool_dispatch::{
-    GrantFate, LoadReport, PaceStatus, RequestTicket, SessionId, ShardEvent, ShardOptions,
+    GrantOutcome, LoadReport, PaceStatus, RequestTicket, SessionId, ShardEvent, ShardOptions,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::{BTreeMap, HashMap};
@@ -109,7 +109,7 @@
                 }
                 Step::End(number, tokens) => {
                     self.running -= 1;
-                    self.bench.settle(1, number, tokens, GrantFate::Done);
+                    self.bench.settle(1, number, tokens, GrantOutcome::Done);
                 }
             }
         }
@@ -240,7 +240,7 @@
     for (place, step) in due.iter().enumerate() {
         let (Step::Begin(number, tokens) | Step::End(number, tokens)) = *step;
         if place % 2 == 0 {
-            shard.bench.settle(1, number, 0, GrantFate::Broken);
+            shard.bench.settle(1, number, 0, GrantOutcome::Broken);
         } else {
             shard.bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(tokens)));
         }
--- a/crates/micaspool-dispatch/tests/shard/poison.rs
+++ b/crates/micaspool-dispatch/tests/shard/poison.rs
@@ -4,7 +4,7 @@
 //! refused" and "shard decisions" told of the load alone, and grants went on as ever.
 
 use crate::bench::{endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{EndpointSpec, GrantFate, RefusalReason, RequestTicket, ShardAction, ShardEvent};
+use micaspool_dispatch::{EndpointSpec, GrantOutcome, RefusalReason, RequestTicket, ShardAction, ShardEvent};
 use micaspool_types::{EndpointName, Moment, RequestDigest};
 use rand::Rng;
 use rand::SeedableRng;
@@ -133,7 +133,7 @@
             }
         }
         for request in unreachable {
-            self.settle(request, GrantFate::Unreachable);
+            self.settle(request, GrantOutcome::Unreachable);
         }
     }
 
@@ -141,7 +141,7 @@
         self.away.iter().any(|(number, _)| number_of(endpoint) == *number)
     }
 
-    fn settle(&mut self, request: u128, fate: GrantFate) {
+    fn settle(&mut self, request: u128, fate: GrantOutcome) {
         let run = self.running.remove(&request).expect("it runs");
         self.bench.settle(run.session, request, 10, fate);
         self.take_actions();
@@ -166,7 +166,7 @@
             .collect();
         done.sort_unstable();
         for request in done {
-            self.settle(request, GrantFate::Done);
+            self.settle(request, GrantOutcome::Done);
             self.served += 1;
         }
         self.return_endpoints();
@@ -187,7 +187,7 @@
             if digest != FATAL {
                 self.repeats.push((self.bench.now + REPEAT_PAUSE, digest));
             }
-            self.settle(request, GrantFate::Severed);
+            self.settle(request, GrantOutcome::Severed);
         }
         self.bench.step(ShardEvent::Unreachable(ended.clone()));
         self.take_actions();
--- a/crates/micaspool-dispatch/tests/shard/recovery.rs
+++ b/crates/micaspool-dispatch/tests/shard/recovery.rs
@@ -1,7 +1,7 @@
 //! A shard that starts empty is rebuilt from its routers.
 
 use crate::bench::{customer, held, hello, id, ordered, ticket, total, Bench};
-use micaspool_dispatch::{GrantFate, RouterHello, SessionId, ShardEvent, ShardOptions};
+use micaspool_dispatch::{GrantOutcome, RouterHello, SessionId, ShardEvent, ShardOptions};
 use micaspool_types::{Cost, InstanceName};
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     for _ in 0..4 {
         let granted = bench.grants();
         order.push(granted[0].request.0);
-        bench.settle(granted[0].session.0, granted[0].request.0, 5, GrantFate::Done);
+        bench.settle(granted[0].session.0, granted[0].request.0, 5, GrantOutcome::Done);
     }
     assert_eq!(order, vec![11, 12, 13, 14]);
 }
@@ -46,7 +46,7 @@
     let running = RouterHello { running: vec![held(2, "a", 0, 0)], ..hello("r2", 1) };
     bench.join(2, running);
     assert!(bench.granted_requests().is_empty(), "the slot is taken by what r2 runs");
-    bench.settle(2, 2, 5, GrantFate::Done);
+    bench.settle(2, 2, 5, GrantOutcome::Done);
     assert_eq!(bench.granted_requests(), vec![1]);
 }
 
@@ -92,7 +92,7 @@
         for request in bench.granted_requests() {
             served.push(request);
             let session = if request < 100 { 1 } else { 2 };
-            bench.settle(session, request, 10, GrantFate::Done);
+            bench.settle(session, request, 10, GrantOutcome::Done);
         }
     }
     let long = served.iter().filter(|request| **request < 100).count();
@@ -112,7 +112,7 @@
     second.join(3, held_by_routers().0);
     second.join(4, held_by_routers().1);
     assert!(second.granted_requests().is_empty());
-    second.settle(3, 1, 5, GrantFate::Done);
+    second.settle(3, 1, 5, GrantOutcome::Done);
     assert_eq!(second.granted_requests(), vec![2]);
 }
 
--- a/crates/micaspool-dispatch/tests/shard/regions.rs
+++ b/crates/micaspool-dispatch/tests/shard/regions.rs
@@ -1,7 +1,7 @@
 //! Shards of two regions that tell each other what they have delivered.
 
 use crate::bench::{customer, hello, ticket, Bench};
-use micaspool_dispatch::{CustomerTotal, GrantFate, RegionTotals, ShardEvent};
+use micaspool_dispatch::{CustomerTotal, GrantOutcome, RegionTotals, ShardEvent};
 use micaspool_types::{Cost, Incarnation, RegionName};
 use std::collections::VecDeque;
 use test_case::test_case;
@@ -41,7 +41,7 @@
         let number = self.running.pop_front().expect("every slot is busy");
         let who = (number % 2) as usize;
         self.served[who] += COST;
-        self.bench.settle(1, number, COST, GrantFate::Done);
+        self.bench.settle(1, number, COST, GrantOutcome::Done);
         self.running.extend(self.bench.granted_requests());
         self.submit(who);
     }
--- a/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
@@ -3,7 +3,7 @@
 use super::load::{LoadPlan, LossKind, RetryHabit, LOSS_AT, PACE_PER_SECOND};
 use super::share::ShareRecord;
 use crate::bench::{customer, endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{AskThrottle, GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent};
+use micaspool_dispatch::{AskThrottle, GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent};
 use micaspool_types::{Cost, EndpointName, Moment, RequestId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -35,7 +35,7 @@
     /// A caller comes again.
     Return(CallerTry),
     Begin(u128),
-    End(u128, GrantFate),
+    End(u128, GrantOutcome),
     /// The engine with this number is lost.
     Lose(usize),
     Tick,
@@ -252,11 +252,11 @@
         let real = &mut self.engines[engine];
         let slowness = match real.loss {
             Some(LossKind::Gone) => {
-                self.at(self.now + REFUSED_CONNECT, Step::End(number, GrantFate::Unreachable));
+                self.at(self.now + REFUSED_CONNECT, Step::End(number, GrantOutcome::Unreachable));
                 return;
             }
             Some(LossKind::Silent) => {
-                self.at(self.now + SILENT_CONNECT, Step::End(number, GrantFate::Unreachable));
+                self.at(self.now + SILENT_CONNECT, Step::End(number, GrantOutcome::Unreachable));
                 return;
             }
             Some(LossKind::Slow) => SLOW_FACTOR,
@@ -286,24 +286,24 @@
         let begun = ShardEvent::Progress(SessionId(open.router), RequestId(number), Cost(tokens));
         self.bench.step(begun);
         let run = LONGEST_RUN.mul_f64(self.rng.random());
-        self.at(self.now + run, Step::End(number, GrantFate::Done));
+        self.at(self.now + run, Step::End(number, GrantOutcome::Done));
     }
 
-    fn end(&mut self, number: u128, fate: GrantFate) {
+    fn end(&mut self, number: u128, fate: GrantOutcome) {
         let Some(open) = self.open.get(&number).copied() else { return };
         let engine = open.engine.expect("it was granted");
         let is_lost = matches!(self.engines[engine].loss, Some(LossKind::Gone | LossKind::Silent));
-        if fate == GrantFate::Done && is_lost {
+        if fate == GrantOutcome::Done && is_lost {
             return;
         }
         self.open.remove(&number);
         let load = &self.plan.customers[open.caller.customer];
         let cost = match fate {
-            GrantFate::Done => u64::from(load.part_tokens + open.caller.own_tokens),
+            GrantOutcome::Done => u64::from(load.part_tokens + open.caller.own_tokens),
             _ => 0,
         };
         self.bench.settle(open.router, number, cost, fate);
-        if fate == GrantFate::Unreachable {
+        if fate == GrantOutcome::Unreachable {
             self.refuse(open.caller, Duration::from_secs(1));
         }
     }
@@ -311,8 +311,8 @@
     fn lose(&mut self, engine: usize) {
         self.engines[engine].loss = Some(self.plan.loss);
         let (fate, after) = match self.plan.loss {
-            LossKind::Gone => (GrantFate::Severed, Duration::ZERO),
-            LossKind::Silent => (GrantFate::Broken, SILENT_RUN),
+            LossKind::Gone => (GrantOutcome::Severed, Duration::ZERO),
+            LossKind::Silent => (GrantOutcome::Broken, SILENT_RUN),
             LossKind::Slow => return,
         };
         let running = self.open.iter().filter(|(_, open)| open.engine == Some(engine));
--- a/crates/micaspool-dispatch/tests/shard/suspects.rs
+++ b/crates/micaspool-dispatch/tests/shard/suspects.rs
@@ -2,8 +2,8 @@
 
 use crate::bench::{customer, endpoint, hello, id, ticket, Bench};
 use micaspool_dispatch::{
-    CrashRecord, EndpointCrash, GrantFate, LoadReport, RefusalReason, RequestTicket, RouterHello, SessionId,
-    ShardAction, ShardEvent,
+    CrashRecord, EndpointCrash, GrantOutcome, LoadReport, RefusalReason, RequestTicket, RouterHello,
+    SessionId, ShardAction, ShardEvent,
 };
 use micaspool_types::{Cost, EndpointName, RequestDigest};
 use std::time::Duration;
@@ -69,7 +69,7 @@
 fn end_endpoints(bench: &mut Bench, digest: RequestDigest, first: u128, times: u128) {
     for number in first..first + times {
         let ended = granted(bench, 1, asked(number, digest));
-        bench.settle(1, number, 0, GrantFate::Severed);
+        bench.settle(1, number, 0, GrantOutcome::Severed);
         bench.step(ShardEvent::Unreachable(ended));
     }
 }
@@ -91,7 +91,7 @@
     let second = refused(&mut bench, 2, asked(3, LETTER));
     assert_eq!(second, Some((RefusalReason::CopyRunning, Duration::from_secs(1))));
     granted(&mut bench, 2, asked(4, OTHER));
-    bench.settle(1, 2, 10, GrantFate::Abandoned);
+    bench.settle(1, 2, 10, GrantOutcome::Abandoned);
     granted(&mut bench, 2, asked(5, LETTER));
 }
 
@@ -103,18 +103,18 @@
         bench.submit(1, asked(number, LETTER));
     }
     assert_eq!(bench.granted_requests(), [1, 2]);
-    bench.settle(1, 1, 0, GrantFate::Severed);
+    bench.settle(1, 1, 0, GrantOutcome::Severed);
     assert_eq!(refusals(&bench).len(), 3, "a copy runs, so none of three need wait");
     bench.seen.clear();
     bench.submit(1, asked(6, OTHER));
     assert!(refusals(&bench).is_empty());
 }
 
-#[test_case(GrantFate::Done, true; "an answer that came whole")]
-#[test_case(GrantFate::Abandoned, false; "a caller that left")]
-#[test_case(GrantFate::Broken, false; "a deadline")]
-#[test_case(GrantFate::Refused, false; "an endpoint that was full")]
-fn only_a_whole_answer_acquits(fate: GrantFate, acquits: bool) {
+#[test_case(GrantOutcome::Done, true; "an answer that came whole")]
+#[test_case(GrantOutcome::Abandoned, false; "a caller that left")]
+#[test_case(GrantOutcome::Broken, false; "a deadline")]
+#[test_case(GrantOutcome::Refused, false; "an endpoint that was full")]
+fn only_a_whole_answer_acquits(fate: GrantOutcome, acquits: bool) {
     let mut bench = fleet(6);
     end_endpoints(&mut bench, LETTER, 1, 2);
     granted(&mut bench, 1, asked(3, LETTER));
@@ -124,10 +124,10 @@
     assert_eq!(next.is_none(), acquits, "{next:?}");
 }
 
-#[test_case(GrantFate::Broken; "a deadline or an answer that can't be used")]
-#[test_case(GrantFate::Unreachable; "no connection")]
-#[test_case(GrantFate::Draining; "an endpoint that leaves")]
-fn other_failures_say_nothing_of_a_request(fate: GrantFate) {
+#[test_case(GrantOutcome::Broken; "a deadline or an answer that can't be used")]
+#[test_case(GrantOutcome::Unreachable; "no connection")]
+#[test_case(GrantOutcome::Draining; "an endpoint that leaves")]
+fn other_failures_say_nothing_of_a_request(fate: GrantOutcome) {
     let mut bench = fleet(8);
     for number in 1..=6 {
         granted(&mut bench, 1, asked(number, LETTER));
@@ -145,7 +145,7 @@
         bench.submit(1, asked(number, LETTER));
     }
     for number in 1..=4 {
-        bench.settle(1, number, 0, GrantFate::Severed);
+        bench.settle(1, number, 0, GrantOutcome::Severed);
     }
     assert_eq!(refused(&mut bench, 1, asked(5, LETTER)), None);
 }
@@ -155,7 +155,7 @@
     let mut bench = fleet(6);
     end_endpoints(&mut bench, LETTER, 1, 2);
     let third = granted(&mut bench, 1, asked(3, LETTER));
-    bench.settle(1, 3, 0, GrantFate::Severed);
+    bench.settle(1, 3, 0, GrantOutcome::Severed);
     assert_eq!(told(&bench, LETTER), [(1, 3), (2, 3)]);
     bench.step(ShardEvent::Unreachable(third));
     let fresh = refused(&mut bench, 2, asked(4, LETTER));
@@ -181,7 +181,7 @@
     end_endpoints(&mut bench, LETTER, 1, 1);
     let again = RequestTicket { attempt: 1, ..asked(1, LETTER) };
     granted(&mut bench, 1, again.clone());
-    bench.settle(1, 1, 0, GrantFate::Severed);
+    bench.settle(1, 1, 0, GrantOutcome::Severed);
     assert!(refused(&mut bench, 1, RequestTicket { attempt: 2, ..again }).is_some());
     granted(&mut bench, 1, asked(2, LETTER));
 }
@@ -217,7 +217,7 @@
         };
         bench.change(leaves(true));
         bench.seen.clear();
-        bench.settle(1, number, 0, GrantFate::Severed);
+        bench.settle(1, number, 0, GrantOutcome::Severed);
         assert_eq!(told(&bench, LETTER), [(1, 0)], "its router holds nothing against it either");
         bench.change(leaves(false));
         bench.pass_with(20_000, &[1, 2]);
@@ -231,7 +231,7 @@
 fn a_load_report_shows_that_an_endpoint_is_alive(after: u64, asked_before: u64, is_alive: bool) {
     let mut bench = fleet(4);
     let at = granted(&mut bench, 1, asked(1, LETTER));
-    bench.settle(1, 1, 0, GrantFate::Severed);
+    bench.settle(1, 1, 0, GrantOutcome::Severed);
     let asks = bench.seen.iter().any(|action| *action == ShardAction::AskEndpoint { endpoint: at.clone() });
     assert!(asks, "it is asked at once");
     bench.pass_with(after, &[1, 2]);
@@ -254,7 +254,7 @@
     bench.join(1, hello("r1", 1));
     granted(&mut bench, 1, asked(1, LETTER));
     granted(&mut bench, 1, asked(2, OTHER));
-    bench.settle(1, 1, 0, GrantFate::Severed);
+    bench.settle(1, 1, 0, GrantOutcome::Severed);
     bench.pass_with(after, &[1]);
     bench.seen.clear();
     bench.step(ShardEvent::Progress(SessionId(1), id(2), Cost(5)));
--- a/crates/micaspool-gateway/src/path/attempt.rs
+++ b/crates/micaspool-gateway/src/path/attempt.rs
@@ -12,7 +12,7 @@
 use http_body_util::{BodyExt, Full};
 use micaspool_backpressure::AdviceSource;
 use micaspool_clock::BootInstant;
-use micaspool_dispatch::{GrantFate, RequestTicket};
+use micaspool_dispatch::{GrantOutcome, RequestTicket};
 use micaspool_http::edge::{whole_body, EdgeBody};
 use micaspool_http::pool::PooledBody;
 use micaspool_registry::{EndpointRecord, EndpointStage};
@@ -115,15 +115,15 @@
         let left = self.deadline.saturating_duration_since(BootInstant::now());
         let (cause, fate) = match timeout(left, body.collect()).await {
             Ok(Ok(whole)) => {
-                lease.settle(Cost(1), GrantFate::Done);
+                lease.settle(Cost(1), GrantOutcome::Done);
                 strip_single_hop(&mut head.headers);
                 trail.note_status(head.status.as_u16());
                 trail.note_first_byte();
                 trail.finish();
                 return Ok(Response::from_parts(head, whole_body(whole.to_bytes())));
             }
-            Ok(Err(error)) => (error.to_string(), GrantFate::Severed),
-            Err(_) => ("no whole body before the deadline".to_owned(), GrantFate::Broken),
+            Ok(Err(error)) => (error.to_string(), GrantOutcome::Severed),
+            Err(_) => ("no whole body before the deadline".to_owned(), GrantOutcome::Broken),
         };
         lease.settle(Cost(1), fate);
         Err(cause)
@@ -174,29 +174,29 @@
             let lease = granted?;
             if self.plan_changed(gateway)? {
                 self.target.describe(trail);
-                lease.settle(Cost(0), GrantFate::Unsent);
+                lease.settle(Cost(0), GrantOutcome::Unsent);
                 continue;
             }
             if !lease.is_valid() {
                 record(&events::LEASE_OVER, &[field("request", trail.id())]);
-                lease.settle(Cost(0), GrantFate::Unsent);
+                lease.settle(Cost(0), GrantOutcome::Unsent);
                 continue;
             }
             if let Some(advice) = gateway.shared.parts.advice.record_of(lease.endpoint()) {
                 trail.note_withheld(&advice);
                 gateway.shard(&self.target.service).advise(advice);
-                lease.settle(Cost(0), GrantFate::NotHeld);
+                lease.settle(Cost(0), GrantOutcome::NotHeld);
                 continue;
             }
             match gateway.shared.parts.mirror.endpoint(lease.endpoint()) {
                 Some(record) if gateway.shared.parts.mirror.is_evacuated(&record.hall) => {
                     trail.note_evacuated(&record);
-                    lease.settle(Cost(0), GrantFate::NotHeld);
+                    lease.settle(Cost(0), GrantOutcome::NotHeld);
                 }
                 Some(record) if record.stage == EndpointStage::Serving => return Ok((lease, record)),
                 held => {
                     trail.note_unusable(lease.endpoint(), held.map(|record| record.stage));
-                    lease.settle(Cost(0), GrantFate::NotHeld);
+                    lease.settle(Cost(0), GrantOutcome::NotHeld);
                 }
             }
         }
--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use http_body::{Body, Frame};
 use http_body_util::{BodyExt, StreamBody};
 use micaspool_clock::BootInstant;
-use micaspool_dispatch::GrantFate;
+use micaspool_dispatch::GrantOutcome;
 use micaspool_http::edge::{BodyError, EdgeBody};
 use micaspool_http::pool::PooledBody;
 use micaspool_router::GrantLease;
@@ -48,10 +48,10 @@
 
 impl RelayError {
     /// How the grant of such an answer ended.
-    fn fate(&self) -> GrantFate {
+    fn fate(&self) -> GrantOutcome {
         match self {
-            RelayError::Endpoint(_) => GrantFate::Severed,
-            RelayError::Deadline => GrantFate::Broken,
+            RelayError::Endpoint(_) => GrantOutcome::Severed,
+            RelayError::Deadline => GrantOutcome::Broken,
         }
     }
 }
@@ -184,7 +184,7 @@
 
     fn finish(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         self.ended = true;
-        self.settle(GrantFate::Done);
+        self.settle(GrantOutcome::Done);
         self.trail.finish();
         let rest = self.splitter.as_mut().map(EventSplitter::take_partial).unwrap_or_default();
         (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
@@ -197,7 +197,7 @@
         Box::new(error)
     }
 
-    fn settle(&mut self, fate: GrantFate) {
+    fn settle(&mut self, fate: GrantOutcome) {
         if let Some(lease) = self.lease.take() {
             lease.settle(self.meter.cost(), fate);
         }
--- a/crates/micaspool-replay/src/run/mod.rs
+++ b/crates/micaspool-replay/src/run/mod.rs
@@ -18,7 +18,7 @@
 use crate::trace::RecordedTrace;
 use endpoints::FakeEndpoints;
 use measure::Measures;
-use micaspool_dispatch::{GrantFate, LoadReport, ShardAction, ShardCore, ShardEvent};
+use micaspool_dispatch::{GrantOutcome, LoadReport, ShardAction, ShardCore, ShardEvent};
 use micaspool_types::{Cost, EndpointName, HallMask, Moment, RequestId};
 use queue::{QueuedEvent, ReplayEvent};
 use rand::{Rng, SeedableRng};
@@ -230,12 +230,12 @@
         self.measures.granted(self.now);
         let number = endpoint_number(endpoint);
         if !self.endpoints.is_up(number) {
-            self.retry(request, GrantFate::Unreachable);
+            self.retry(request, GrantOutcome::Unreachable);
             return;
         }
         self.measures.sent += 1;
         if self.endpoints.is_full(number) {
-            self.retry(request, GrantFate::Refused);
+            self.retry(request, GrantOutcome::Refused);
             return;
         }
         let prefixes = self.routers.prefixes_of(self.trace, index);
@@ -265,7 +265,7 @@
         if self.endpoints.left(request) == 0 {
             let cost = self.endpoints.end(request);
             self.routers.ended(request);
-            self.post_to_shard(ShardEvent::Settle(session, request, Cost(cost), GrantFate::Done));
+            self.post_to_shard(ShardEvent::Settle(session, request, Cost(cost), GrantOutcome::Done));
             self.measures.done += 1;
             self.open -= 1;
             return;
@@ -278,7 +278,7 @@
     }
 
     /// A request that did not end well waits again, or is given up after its last attempt.
-    fn retry(&mut self, request: RequestId, fate: GrantFate) {
+    fn retry(&mut self, request: RequestId, fate: GrantOutcome) {
         let session = self.routers.session_of(request);
         self.post_to_shard(ShardEvent::Settle(session, request, Cost(0), fate));
         let attempt = self.attempts.entry(request).or_insert(0);
@@ -327,7 +327,7 @@
             FaultKind::EndpointsLost { from, count } => {
                 for number in from..(from + count).min(self.trace.header.endpoints) {
                     for request in self.endpoints.lose(number) {
-                        self.retry(request, GrantFate::Broken);
+                        self.retry(request, GrantOutcome::Broken);
                     }
                 }
             }
--- a/crates/micaspool-router/src/relay.rs
+++ b/crates/micaspool-router/src/relay.rs
@@ -5,7 +5,7 @@
 use crate::shard_client::GrantLease;
 use async_std::io::{BufRead, Read};
 use http_types::Body;
-use micaspool_dispatch::GrantFate;
+use micaspool_dispatch::GrantOutcome;
 use micaspool_telemetry::spans::HopSpan;
 use std::io;
 use std::pin::Pin;
@@ -50,7 +50,7 @@
         }
     }
 
-    fn end(&mut self, fate: GrantFate) {
+    fn end(&mut self, fate: GrantOutcome) {
         let cost = self.meter.cost();
         if let Some(lease) = self.lease.take() {
             lease.settle(cost, fate);
@@ -63,7 +63,7 @@
 
     fn note(&mut self, count: usize) {
         if count == 0 {
-            self.end(GrantFate::Done);
+            self.end(GrantOutcome::Done);
             return;
         }
         self.meter.observe(&self.buffer[..count]);
@@ -87,7 +87,7 @@
                 Poll::Ready(Ok(()))
             }
             Poll::Ready(Err(error)) => {
-                self.end(GrantFate::Severed);
+                self.end(GrantOutcome::Severed);
                 Poll::Ready(Err(error))
             }
         }
@@ -96,7 +96,7 @@
 
 impl Drop for AnswerRelay {
     fn drop(&mut self) {
-        self.end(GrantFate::Abandoned);
+        self.end(GrantOutcome::Abandoned);
     }
 }
 
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -15,7 +15,7 @@
 use http_types::{Body, Response};
 use micaspool_backpressure::AdviceSource;
 use micaspool_clock::BootInstant;
-use micaspool_dispatch::GrantFate;
+use micaspool_dispatch::GrantOutcome;
 use micaspool_http::server::CallerWatch;
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_telemetry::spans::HopSpan;
@@ -106,7 +106,7 @@
             drop(span);
             if !lease.is_valid() {
                 record(&events::LEASE_OVER, &[field("request", plan.request)]);
-                lease.settle(Cost(0), GrantFate::Unsent);
+                lease.settle(Cost(0), GrantOutcome::Unsent);
                 continue;
             }
             if let Some(advice) = self.parts.shards.advice.record_of(lease.endpoint()) {
@@ -118,7 +118,7 @@
                 ];
                 record(&events::GRANT_UNUSABLE, &fields);
                 self.shard(&plan.service).advise(advice);
-                lease.settle(Cost(0), GrantFate::NotHeld);
+                lease.settle(Cost(0), GrantOutcome::NotHeld);
                 continue;
             }
             match self.allowed_address(plan, lease.endpoint()) {
@@ -126,7 +126,7 @@
                 None => {
                     let fields = [field("request", plan.request), field("endpoint", lease.endpoint())];
                     record(&events::PLACEMENT_CHANGED, &fields);
-                    lease.settle(Cost(0), GrantFate::Unsent);
+                    lease.settle(Cost(0), GrantOutcome::Unsent);
                     task::sleep(Duration::from_millis(50)).await;
                 }
             }
@@ -182,11 +182,11 @@
         record(kind, &fields);
         self.heed(plan, &endpoint, error);
         let fate = match error {
-            EndpointError::Unreachable => GrantFate::Unreachable,
-            EndpointError::Refused { .. } => GrantFate::Refused,
-            EndpointError::Draining { .. } => GrantFate::Draining,
-            EndpointError::Severed => GrantFate::Severed,
-            EndpointError::Silent | EndpointError::Mismatch => GrantFate::Broken,
+            EndpointError::Unreachable => GrantOutcome::Unreachable,
+            EndpointError::Refused { .. } => GrantOutcome::Refused,
+            EndpointError::Draining { .. } => GrantOutcome::Draining,
+            EndpointError::Severed => GrantOutcome::Severed,
+            EndpointError::Silent | EndpointError::Mismatch => GrantOutcome::Broken,
         };
         grant.lease.settle(Cost(0), fate);
         if error.is_not_run() || plan.repeatable {
--- a/crates/micaspool-router/src/shard_client/held.rs
+++ b/crates/micaspool-router/src/shard_client/held.rs
@@ -7,7 +7,7 @@
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    AskThrottle, GrantFate, HeldGrant, HeldTotal, RefusalReason, RequestTicket, RouterHello,
+    AskThrottle, GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RequestTicket, RouterHello,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_quarantine::{CrashTable, QuarantineOptions};
@@ -214,7 +214,7 @@
         if self.waiting.remove(&request).is_some() {
             self.send(Body::Cancel(v1::Cancel { request: request_bytes(request) }));
         } else if self.running.remove(&request).is_some() {
-            self.send_settle(request, Cost(0), GrantFate::Unsent);
+            self.send_settle(request, Cost(0), GrantOutcome::Unsent);
         }
     }
 
@@ -230,7 +230,7 @@
     }
 
     /// Ends a grant.
-    pub fn settle(&mut self, request: RequestId, cost: Cost, fate: GrantFate) {
+    pub fn settle(&mut self, request: RequestId, cost: Cost, fate: GrantOutcome) {
         if let Some(grant) = self.running.remove(&request) {
             self.learn(&grant, fate);
             self.send_settle(request, cost, fate);
@@ -238,14 +238,14 @@
     }
 
     /// Remembers under which requests endpoints seem to have ended, so that the next dispatcher hears of it.
-    fn learn(&mut self, grant: &HeldGrant, fate: GrantFate) {
+    fn learn(&mut self, grant: &HeldGrant, fate: GrantOutcome) {
         let Some(digest) = grant.digest else { return };
         let now = self.moment();
         match fate {
-            GrantFate::Severed => {
+            GrantOutcome::Severed => {
                 self.crashes.note_crash(now, digest, &grant.customer, &grant.endpoint);
             }
-            GrantFate::Done => {
+            GrantOutcome::Done => {
                 self.crashes.clear(now, digest);
             }
             _ => {}
@@ -260,7 +260,7 @@
         }
     }
 
-    fn send_settle(&mut self, request: RequestId, cost: Cost, fate: GrantFate) {
+    fn send_settle(&mut self, request: RequestId, cost: Cost, fate: GrantOutcome) {
         self.send(Body::Settle(settle_message(request, cost, fate)));
     }
 
@@ -294,7 +294,7 @@
         };
         let Some(entry) = self.waiting.remove(&request) else {
             if !self.running.contains_key(&request) {
-                self.send_settle(request, Cost(0), GrantFate::Unsent);
+                self.send_settle(request, Cost(0), GrantOutcome::Unsent);
             }
             return;
         };
@@ -319,7 +319,7 @@
             expires: self.heartbeat_sent(grant.heartbeat).map(|at| at + lease),
         };
         if entry.waiter.try_send(Ok(terms)).is_err() {
-            self.settle(request, Cost(0), GrantFate::Unsent);
+            self.settle(request, Cost(0), GrantOutcome::Unsent);
         }
     }
 
--- a/crates/micaspool-router/src/shard_client/lease.rs
+++ b/crates/micaspool-router/src/shard_client/lease.rs
@@ -2,7 +2,7 @@
 
 use super::ShardClient;
 use micaspool_clock::BootInstant;
-use micaspool_dispatch::GrantFate;
+use micaspool_dispatch::GrantOutcome;
 use micaspool_types::{Cost, EndpointName, OrderNumber, RequestId};
 use std::sync::Arc;
 use std::time::Duration;
@@ -84,11 +84,11 @@
     }
 
     /// Ends the grant.
-    pub fn settle(mut self, cost: Cost, fate: GrantFate) {
+    pub fn settle(mut self, cost: Cost, fate: GrantOutcome) {
         self.end(cost, fate);
     }
 
-    fn end(&mut self, cost: Cost, fate: GrantFate) {
+    fn end(&mut self, cost: Cost, fate: GrantOutcome) {
         if !self.ended {
             self.ended = true;
             self.client.held().settle(self.request, cost, fate);
@@ -98,7 +98,7 @@
 
 impl Drop for GrantLease {
     fn drop(&mut self) {
-        let fate = if self.sent { GrantFate::Abandoned } else { GrantFate::Unsent };
+        let fate = if self.sent { GrantOutcome::Abandoned } else { GrantOutcome::Unsent };
         self.end(self.delivered, fate);
     }
 }
--- a/crates/micaspool-router/tests/link.rs
+++ b/crates/micaspool-router/tests/link.rs
@@ -4,7 +4,7 @@
 use async_std::task;
 use futures::Stream;
 use micaspool_backpressure::{AdviceBoard, AdviceSource};
-use micaspool_dispatch::{rank_candidates, GrantFate, RequestTicket};
+use micaspool_dispatch::{rank_candidates, GrantOutcome, RequestTicket};
 use micaspool_router::{ListedDispatchers, ShardClient, ShardClientOptions};
 use micaspool_settings::process::PeerAddress;
 use micaspool_telemetry::traffic::TrafficCounter;
@@ -248,11 +248,11 @@
     });
 }
 
-#[test_case(Behaviour::MovesOn, GrantFate::Severed => 1; "a connection that ended")]
-#[test_case(Behaviour::MovesOn, GrantFate::Done => 0; "an answer that came whole")]
-#[test_case(Behaviour::MovesOn, GrantFate::Broken => 0; "a deadline")]
-#[test_case(Behaviour::ClearsAndMovesOn, GrantFate::Severed => 0; "one that the dispatcher knows to be harmless")]
-fn a_router_brings_what_it_saw_to_the_next_dispatcher(behaviour: Behaviour, fate: GrantFate) -> usize {
+#[test_case(Behaviour::MovesOn, GrantOutcome::Severed => 1; "a connection that ended")]
+#[test_case(Behaviour::MovesOn, GrantOutcome::Done => 0; "an answer that came whole")]
+#[test_case(Behaviour::MovesOn, GrantOutcome::Broken => 0; "a deadline")]
+#[test_case(Behaviour::ClearsAndMovesOn, GrantOutcome::Severed => 0; "one that the dispatcher knows to be harmless")]
+fn a_router_brings_what_it_saw_to_the_next_dispatcher(behaviour: Behaviour, fate: GrantOutcome) -> usize {
     task::block_on(async {
         let heard = SharedWords::default();
         let address = start_hearing(behaviour, heard.clone()).await;
@@ -291,7 +291,7 @@
         let source = AdviceSource { endpoint: &endpoint, service: &service, request: "r" };
         client.advise(advice.hear(source, asked).expect("a rest begins"));
         wait_for(&heard, |heard| !heard.advice.is_empty()).await;
-        lease.settle(Cost(0), GrantFate::Refused);
+        lease.settle(Cost(0), GrantOutcome::Refused);
         wait_for(&heard, |heard| heard.hellos.len() > 1).await;
         let heard = heard.lock().expect("nobody panics");
         let told = heard.hellos[1].advice.first().expect("the next one hears of it");
--- a/crates/micaspool-wire/src/convert.rs
+++ b/crates/micaspool-wire/src/convert.rs
@@ -13,8 +13,8 @@
 use crate::v1;
 use advice::advice_record;
 use micaspool_dispatch::{
-    CustomerTotal, GrantFate, HeldGrant, HeldTotal, RefusalReason, RegionTotals, RequestTicket, RouterHello,
-    SessionId, ShardAction, ShardEvent,
+    CustomerTotal, GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RegionTotals, RequestTicket,
+    RouterHello, SessionId, ShardAction, ShardEvent,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_types::{
@@ -249,39 +249,39 @@
 }
 
 /// The end of a grant, as a message. What older processes don't tell apart is said beside the fate that they know.
-pub fn settle_message(request: RequestId, cost: Cost, fate: GrantFate) -> v1::Settle {
+pub fn settle_message(request: RequestId, cost: Cost, fate: GrantOutcome) -> v1::Settle {
     v1::Settle {
         request: request_bytes(request),
         cost: cost.0,
         fate: fate_message(fate).into(),
-        connection_ended: fate == GrantFate::Severed,
-        caller_left: fate == GrantFate::Abandoned,
+        connection_ended: fate == GrantOutcome::Severed,
+        caller_left: fate == GrantOutcome::Abandoned,
     }
 }
 
-fn fate_message(fate: GrantFate) -> v1::Fate {
+fn fate_message(fate: GrantOutcome) -> v1::Fate {
     match fate {
-        GrantFate::Done | GrantFate::Abandoned => v1::Fate::Done,
-        GrantFate::Refused => v1::Fate::Refused,
-        GrantFate::Unreachable => v1::Fate::Unreachable,
-        GrantFate::Draining => v1::Fate::Draining,
-        GrantFate::Broken | GrantFate::Severed => v1::Fate::Broken,
-        GrantFate::Unsent => v1::Fate::Unsent,
-        GrantFate::NotHeld => v1::Fate::NotHeld,
+        GrantOutcome::Done | GrantOutcome::Abandoned => v1::Fate::Done,
+        GrantOutcome::Refused => v1::Fate::Refused,
+        GrantOutcome::Unreachable => v1::Fate::Unreachable,
+        GrantOutcome::Draining => v1::Fate::Draining,
+        GrantOutcome::Broken | GrantOutcome::Severed => v1::Fate::Broken,
+        GrantOutcome::Unsent => v1::Fate::Unsent,
+        GrantOutcome::NotHeld => v1::Fate::NotHeld,
     }
 }
 
-fn grant_fate(settle: &v1::Settle) -> GrantFate {
+fn grant_fate(settle: &v1::Settle) -> GrantOutcome {
     match settle.fate() {
-        v1::Fate::Done if settle.caller_left => GrantFate::Abandoned,
-        v1::Fate::Done => GrantFate::Done,
-        v1::Fate::Refused => GrantFate::Refused,
-        v1::Fate::Unreachable => GrantFate::Unreachable,
-        v1::Fate::Draining => GrantFate::Draining,
-        v1::Fate::Broken if settle.connection_ended => GrantFate::Severed,
-        v1::Fate::Broken => GrantFate::Broken,
-        v1::Fate::Unsent => GrantFate::Unsent,
-        v1::Fate::NotHeld => GrantFate::NotHeld,
+        v1::Fate::Done if settle.caller_left => GrantOutcome::Abandoned,
+        v1::Fate::Done => GrantOutcome::Done,
+        v1::Fate::Refused => GrantOutcome::Refused,
+        v1::Fate::Unreachable => GrantOutcome::Unreachable,
+        v1::Fate::Draining => GrantOutcome::Draining,
+        v1::Fate::Broken if settle.connection_ended => GrantOutcome::Severed,
+        v1::Fate::Broken => GrantOutcome::Broken,
+        v1::Fate::Unsent => GrantOutcome::Unsent,
+        v1::Fate::NotHeld => GrantOutcome::NotHeld,
     }
 }
 
--- a/crates/micaspool/benches/decisions.rs
+++ b/crates/micaspool/benches/decisions.rs
@@ -4,7 +4,7 @@
 //! slot goes to the next ticket, and a new ticket begins to wait.
 
 use micaspool::dispatch::{
-    ColdTerms, EndpointSpec, GrantFate, RequestTicket, RouterHello, SessionId, ShardAction, ShardCore,
+    ColdTerms, EndpointSpec, GrantOutcome, RequestTicket, RouterHello, SessionId, ShardAction, ShardCore,
     ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool::ledger::{
@@ -125,7 +125,7 @@
 
     fn decide(&mut self) {
         let request = self.running.pop_front().expect("every slot is busy");
-        self.step(ShardEvent::Settle(SESSION, request, Cost(500), GrantFate::Done));
+        self.step(ShardEvent::Settle(SESSION, request, Cost(500), GrantOutcome::Done));
         self.submit();
     }
 }
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -5,7 +5,7 @@
 //! a request that arrives, at the usual rate of the users' grown site and at five times that.
 
 use micaspool::dispatch::{
-    CacheNews, ColdTerms, EndpointSpec, GrantFate, KeptPart, LoadReport, RequestTicket, RouterHello,
+    CacheNews, ColdTerms, EndpointSpec, GrantOutcome, KeptPart, LoadReport, RequestTicket, RouterHello,
     SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool::types::{
@@ -186,7 +186,10 @@
                 self.step(now, ShardEvent::Progress(SESSION, RequestId(request), Cost(4_000)));
             }
             Happening::End(request) => {
-                self.step(now, ShardEvent::Settle(SESSION, RequestId(request), Cost(4_240), GrantFate::Done));
+                self.step(
+                    now,
+                    ShardEvent::Settle(SESSION, RequestId(request), Cost(4_240), GrantOutcome::Done),
+                );
             }
             Happening::Reports => {
                 for number in 0..self.engines {
