--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -202,7 +202,7 @@
 
 /// What an endpoint says of its prefix cache; such news come late and with gaps.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CacheNews {
+pub struct CacheUpdate {
     /// The endpoint.
     pub endpoint: EndpointName,
     /// Hashes of prefixes that it now holds.
@@ -210,14 +210,14 @@
     /// Hashes of prefixes that it no longer holds.
     pub dropped: Vec<u64>,
     /// Prompt parts that an engine keeps, the ones used longest ago first, if that is known.
-    pub kept: Vec<KeptPart>,
+    pub kept: Vec<CachedPart>,
     /// True when the engine keeps nothing but these.
     pub whole: bool,
 }
 
 /// A prompt part that an engine keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeptPart {
+pub struct CachedPart {
     /// What tickets call the part.
     pub prefix: u64,
     /// Its tokens.
@@ -275,7 +275,7 @@
     /// The platform lists these endpoints as leaving.
     Listed(BTreeSet<EndpointName>),
     /// An endpoint's cache has changed.
-    Cache(CacheNews),
+    Cache(CacheUpdate),
     /// The shard of another region tells what it has delivered.
     Shared(RegionTotals),
     /// Time has passed.
--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -21,7 +21,7 @@
 pub use action::{RefusalReason, ShardAction, StandingCause};
 pub use candidates::{CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep};
 pub use event::{
-    CacheNews, ColdTerms, CustomerTotal, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, KeptPart,
+    CacheUpdate, CachedPart, ColdTerms, CustomerTotal, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal,
     LoadReport, RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent, ShardPolicy,
 };
 pub use micaspool_quarantine::{CrashRecord, EndpointCrash, QuarantineOptions, RequestStanding};
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -6,7 +6,7 @@
 use super::reports::SeenSurplus;
 use super::service_time::ServiceTime;
 use super::status::EndpointClosure;
-use crate::event::{CacheNews, ColdTerms, EndpointSpec, GrantOutcome, ShardPolicy};
+use crate::event::{CacheUpdate, ColdTerms, EndpointSpec, GrantOutcome, ShardPolicy};
 use micaspool_types::{EndpointName, HallMask, Moment, RequestId};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -231,7 +231,7 @@
     }
 
     /// Takes over which prompt parts an engine keeps or dropped.
-    pub fn learn_kept(&mut self, endpoint: EndpointIndex, news: &CacheNews) {
+    pub fn learn_kept(&mut self, endpoint: EndpointIndex, news: &CacheUpdate) {
         let mut changes = std::mem::take(&mut self.part_changes);
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
             engine.learn_kept(news, &mut changes);
--- a/crates/micaspool-dispatch/src/shard/engine.rs
+++ b/crates/micaspool-dispatch/src/shard/engine.rs
@@ -7,7 +7,7 @@
 
 use super::parts::PartCache;
 use super::reading::ReadingPace;
-use crate::event::{CacheNews, RequestTicket};
+use crate::event::{CacheUpdate, RequestTicket};
 use micaspool_types::{Moment, RequestId};
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -282,7 +282,7 @@
     }
 
     /// Takes over what the engine itself says of its cache. From then on it is its word that drops parts.
-    pub fn learn_kept(&mut self, news: &CacheNews, changes: &mut Vec<PartChange>) {
+    pub fn learn_kept(&mut self, news: &CacheUpdate, changes: &mut Vec<PartChange>) {
         self.followed = true;
         if news.whole {
             self.kept.clear(changes);
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -8,7 +8,7 @@
 use super::tickets::{EngineChoice, WaitingTicket};
 use super::ShardCore;
 use crate::action::ShardAction;
-use crate::event::{CacheNews, GrantOutcome, SessionId};
+use crate::event::{CacheUpdate, GrantOutcome, SessionId};
 use micaspool_fair::{CustomerIndex, Rank};
 use micaspool_types::{Cost, Moment, OrderNumber, RequestDigest, RequestId};
 use std::time::Duration;
@@ -318,7 +318,7 @@
         self.reindex(grant.customer);
     }
 
-    pub(super) fn learn_cache(&mut self, news: &CacheNews) {
+    pub(super) fn learn_cache(&mut self, news: &CacheUpdate) {
         let Some(endpoint) = self.endpoints.by_name(&news.endpoint) else { return };
         self.prefixes.remember(&news.stored, endpoint);
         self.prefixes.drop_from(&news.dropped, endpoint);
--- a/crates/micaspool-dispatch/src/shard/parts.rs
+++ b/crates/micaspool-dispatch/src/shard/parts.rs
@@ -6,14 +6,14 @@
 /// Kept parts; the ones unused the longest go first.
 #[derive(Debug, Default)]
 pub(super) struct PartCache {
-    parts: HashMap<u64, CachedPart>,
+    parts: HashMap<u64, PartEntry>,
     ages: BTreeMap<u64, u64>,
     tokens: u64,
     clock: u64,
 }
 
 #[derive(Debug)]
-struct CachedPart {
+struct PartEntry {
     tokens: u64,
     used: u64,
 }
@@ -32,7 +32,7 @@
                 part.used = used;
             }
             None => {
-                self.parts.insert(prefix, CachedPart { tokens, used });
+                self.parts.insert(prefix, PartEntry { tokens, used });
                 self.tokens += tokens;
                 changes.push(PartChange::Kept(prefix));
             }
--- a/crates/micaspool-dispatch/tests/shard/capacity.rs
+++ b/crates/micaspool-dispatch/tests/shard/capacity.rs
@@ -1,7 +1,7 @@
 //! Which endpoints take new work, and where a request may run.
 
 use crate::bench::{customer, endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{CacheNews, GrantOutcome, RequestTicket, ShardEvent, ShardPolicy};
+use micaspool_dispatch::{CacheUpdate, GrantOutcome, RequestTicket, ShardEvent, ShardPolicy};
 use micaspool_types::HallMask;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -208,7 +208,7 @@
 fn a_known_prefix_is_preferred_but_never_at_the_price_of_an_idle_slot() {
     let mut bench = Bench::new(2, 1, &["a"]);
     bench.join(1, hello("r1", 1));
-    bench.step(ShardEvent::Cache(CacheNews {
+    bench.step(ShardEvent::Cache(CacheUpdate {
         endpoint: endpoint(1),
         stored: vec![7, 8],
         dropped: vec![],
@@ -227,14 +227,14 @@
 fn a_dropped_prefix_is_forgotten() {
     let mut bench = Bench::new(2, 1, &["a"]);
     bench.join(1, hello("r1", 1));
-    bench.step(ShardEvent::Cache(CacheNews {
+    bench.step(ShardEvent::Cache(CacheUpdate {
         endpoint: endpoint(1),
         stored: vec![7],
         dropped: vec![],
         kept: vec![],
         whole: false,
     }));
-    bench.step(ShardEvent::Cache(CacheNews {
+    bench.step(ShardEvent::Cache(CacheUpdate {
         endpoint: endpoint(1),
         stored: vec![],
         dropped: vec![7],
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{endpoint, hello, ticket, Bench};
 use micaspool_dispatch::{
-    CacheNews, GrantOutcome, KeptPart, RefusalReason, RequestTicket, SessionId, ShardEvent,
+    CacheUpdate, CachedPart, GrantOutcome, RefusalReason, RequestTicket, SessionId, ShardEvent,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::HashMap;
@@ -211,9 +211,9 @@
 #[test]
 fn what_an_engine_kept_before_is_counted_on() {
     let mut bench = engines(2, &["a"]);
-    let kept = vec![KeptPart { prefix: 7, tokens: 13_000 }];
+    let kept = vec![CachedPart { prefix: 7, tokens: 13_000 }];
     let news =
-        CacheNews { endpoint: endpoint(1), stored: Vec::new(), dropped: Vec::new(), kept, whole: true };
+        CacheUpdate { endpoint: endpoint(1), stored: Vec::new(), dropped: Vec::new(), kept, whole: true };
     bench.step(ShardEvent::Cache(news));
     for number in 0..3 {
         bench.submit(1, prompt(number, "a", (7, 13_000), 1_000));
@@ -224,9 +224,9 @@
 }
 
 /// An engine's own word on what it dropped counts at once, and a whole list replaces what was believed.
-#[test_case::test_case(CacheNews { dropped: vec![7], ..nothing_new() }; "a part is dropped")]
-#[test_case::test_case(CacheNews { whole: true, ..nothing_new() }; "a list without the part")]
-fn what_an_engine_dropped_is_not_counted_on(news: CacheNews) {
+#[test_case::test_case(CacheUpdate { dropped: vec![7], ..nothing_new() }; "a part is dropped")]
+#[test_case::test_case(CacheUpdate { whole: true, ..nothing_new() }; "a list without the part")]
+fn what_an_engine_dropped_is_not_counted_on(news: CacheUpdate) {
     let mut bench = engines(2, &["a"]);
     bench.submit(1, prompt(1, "a", (7, 13_000), 10));
     let first = bench.grants()[0].endpoint.clone();
@@ -234,14 +234,14 @@
     bench.pass_with(1_000, &[1]);
     let busy = RequestTicket { avoid: Some(other(&first)), ..prompt(2, "a", (8, 2_000), 10) };
     bench.submit(1, busy);
-    bench.step(ShardEvent::Cache(CacheNews { endpoint: first.clone(), ..news }));
+    bench.step(ShardEvent::Cache(CacheUpdate { endpoint: first.clone(), ..news }));
     bench.grants();
     bench.submit(1, prompt(3, "a", (7, 13_000), 10));
     assert_ne!(bench.grants()[0].endpoint, first, "both read it anew, and the other one is idle");
 }
 
-fn nothing_new() -> CacheNews {
-    CacheNews {
+fn nothing_new() -> CacheUpdate {
+    CacheUpdate {
         endpoint: endpoint(0),
         stored: Vec::new(),
         dropped: Vec::new(),
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -10,7 +10,7 @@
 
 use crate::bench::{endpoint, hello, ticket, Bench};
 use micaspool_dispatch::{
-    CacheNews, GrantOutcome, KeptPart, RequestTicket, SessionId, ShardAction, ShardEvent,
+    CacheUpdate, CachedPart, GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent,
 };
 use micaspool_types::{Cost, EndpointName, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -146,9 +146,9 @@
     const HOLDERS: usize = 20;
     const BUSY: usize = 17;
     let mut fleet = EngineFleet::new(40);
-    let part = KeptPart { prefix: 7, tokens: 10_000 };
+    let part = CachedPart { prefix: 7, tokens: 10_000 };
     for engine in 0..HOLDERS {
-        let news = CacheNews {
+        let news = CacheUpdate {
             endpoint: endpoint(engine),
             stored: Vec::new(),
             dropped: Vec::new(),
--- a/crates/micaspool-dispatch/tests/shard/returning.rs
+++ b/crates/micaspool-dispatch/tests/shard/returning.rs
@@ -8,7 +8,7 @@
 //! had been. What settled it: a bench with and without such messages, 80 and 17 us a request at 320 engines.
 
 use crate::bench::{endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{CacheNews, KeptPart, ShardEvent};
+use micaspool_dispatch::{CacheUpdate, CachedPart, ShardEvent};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -36,9 +36,14 @@
 }
 
 fn news(number: usize) -> ShardEvent {
-    let kept = vec![KeptPart { prefix: number as u64, tokens: 3_000 }];
-    let news =
-        CacheNews { endpoint: endpoint(number), stored: Vec::new(), dropped: Vec::new(), kept, whole: false };
+    let kept = vec![CachedPart { prefix: number as u64, tokens: 3_000 }];
+    let news = CacheUpdate {
+        endpoint: endpoint(number),
+        stored: Vec::new(),
+        dropped: Vec::new(),
+        kept,
+        whole: false,
+    };
     ShardEvent::Cache(news)
 }
 
--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -7,7 +7,7 @@
 use crate::host::HostOptions;
 use crate::probe::{CacheCursor, EndpointProbe, ProbedEndpoint};
 use async_std::channel::Sender;
-use micaspool_dispatch::{CacheNews, KeptPart, ShardEvent};
+use micaspool_dispatch::{CacheUpdate, CachedPart, ShardEvent};
 use micaspool_telemetry::events::{self, field, record};
 use std::sync::Arc;
 use std::time::Duration;
@@ -94,9 +94,9 @@
         tokio::time::sleep((FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE)).await;
     }
 
-    async fn tell(&self, kept: Vec<KeptPart>, dropped: Vec<u64>, whole: bool) -> Result<(), ShardEnded> {
+    async fn tell(&self, kept: Vec<CachedPart>, dropped: Vec<u64>, whole: bool) -> Result<(), ShardEnded> {
         let endpoint = self.endpoint.name.clone();
-        let news = CacheNews { endpoint, stored: Vec::new(), dropped, kept, whole };
+        let news = CacheUpdate { endpoint, stored: Vec::new(), dropped, kept, whole };
         let sent = self.inputs.send(ShardInput::Event(ShardEvent::Cache(news))).await;
         sent.map_err(|_| ShardEnded)
     }
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -9,7 +9,7 @@
 use async_std::channel::{unbounded, Receiver, Sender};
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    CacheNews, CustomerTotal, LoadReport, SessionId, ShardAction, ShardCore, ShardEvent, ShardStatus,
+    CacheUpdate, CustomerTotal, LoadReport, SessionId, ShardAction, ShardCore, ShardEvent, ShardStatus,
 };
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_telemetry::spans::HopSpan;
@@ -334,7 +334,7 @@
     };
     let _ = inputs.send(ShardInput::Event(ShardEvent::Load(report))).await;
     if !answer.stored.is_empty() || !answer.dropped.is_empty() {
-        let news = CacheNews {
+        let news = CacheUpdate {
             endpoint,
             stored: answer.stored,
             dropped: answer.dropped,
--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -3,7 +3,7 @@
 use async_std::io::ReadExt;
 use async_trait::async_trait;
 use http_types::{Method, Request, Url};
-use micaspool_dispatch::KeptPart;
+use micaspool_dispatch::CachedPart;
 use micaspool_http::client::{call, CallLimits};
 use micaspool_types::{EndpointName, Incarnation, ServiceName};
 use serde::Deserialize;
@@ -76,7 +76,7 @@
     /// Where the changes after this list begin.
     pub cursor: CacheCursor,
     /// The parts, the ones used longest ago first where that is known.
-    pub parts: Vec<KeptPart>,
+    pub parts: Vec<CachedPart>,
 }
 
 /// What changed in an engine's cache since a cursor.
@@ -87,7 +87,7 @@
     /// True when changes in between are lost, so that only a new list tells what is kept.
     pub gap: bool,
     /// Parts that it keeps now.
-    pub kept: Vec<KeptPart>,
+    pub kept: Vec<CachedPart>,
     /// Parts that it dropped, whole or in part.
     pub gone: Vec<u64>,
 }
--- a/crates/micaspool-replay/src/run/endpoints.rs
+++ b/crates/micaspool-replay/src/run/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::setup::endpoint_name;
 use crate::trace::TraceHeader;
-use micaspool_dispatch::CacheNews;
+use micaspool_dispatch::CacheUpdate;
 use micaspool_types::RequestId;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -73,7 +73,7 @@
         request: RequestId,
         cost: u64,
         prefixes: &[u64],
-    ) -> (bool, CacheNews) {
+    ) -> (bool, CacheUpdate) {
         let run = self.next_run;
         self.next_run += 1;
         self.requests.insert(request, RunningRequest { endpoint, cost, delivered: 0, run });
@@ -85,7 +85,7 @@
         let surplus = target.cache.len().saturating_sub(CACHE);
         let dropped = target.cache.drain(..surplus).collect();
         let (endpoint, stored) = (endpoint_name(endpoint), prefixes.to_vec());
-        (hit, CacheNews { endpoint, stored, dropped, kept: Vec::new(), whole: false })
+        (hit, CacheUpdate { endpoint, stored, dropped, kept: Vec::new(), whole: false })
     }
 
     /// The number of the present run of a request; zero when it does not run.
--- a/crates/micaspool-replay/src/run/queue.rs
+++ b/crates/micaspool-replay/src/run/queue.rs
@@ -1,7 +1,7 @@
 //! The events of a replay in time order.
 
 use super::faults::FaultKind;
-use micaspool_dispatch::{CacheNews, ShardAction, ShardEvent};
+use micaspool_dispatch::{CacheUpdate, ShardAction, ShardEvent};
 use micaspool_types::{Moment, RequestId};
 
 /// What happens next in a replay.
@@ -11,7 +11,7 @@
     ToShard(ShardEvent),
     ToRouter(ShardAction),
     Deliver { request: RequestId, run: u64 },
-    Cache(CacheNews),
+    Cache(CacheUpdate),
     Tick,
     Probe,
     Beat,
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -5,7 +5,7 @@
 //! a request that arrives, at the usual rate of the users' grown site and at five times that.
 
 use micaspool::dispatch::{
-    CacheNews, ColdTerms, EndpointSpec, GrantOutcome, KeptPart, LoadReport, RequestTicket, RouterHello,
+    CacheUpdate, CachedPart, ColdTerms, EndpointSpec, GrantOutcome, LoadReport, RequestTicket, RouterHello,
     SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool::types::{
@@ -205,11 +205,11 @@
                 self.agenda.push(Reverse((now + REPORT_INTERVAL, Happening::Reports)));
             }
             Happening::News(number) => {
-                let part = |place| KeptPart {
+                let part = |place| CachedPart {
                     prefix: 2_000_000 + scatter(u128::from(now + place), number as u64),
                     tokens: 3_000,
                 };
-                let news = CacheNews {
+                let news = CacheUpdate {
                     endpoint: engine(number),
                     stored: Vec::new(),
                     dropped: Vec::new(),
