--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -143,7 +143,7 @@
 
 /// What endpoints of a service bear while they are cold; they bear anything where both are zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ColdTerms {
+pub struct ColdStartLimits {
     /// For how long after its start an endpoint is cold.
     pub start: Duration,
     /// The time that a cold endpoint needs for each request, one after the other, whoever sends it.
@@ -182,7 +182,7 @@
     /// pace is learnt, and starts here.
     pub planned_pace: f64,
     /// What the endpoints bear while they are cold.
-    pub cold: ColdTerms,
+    pub cold: ColdStartLimits,
 }
 
 /// What an endpoint says of itself, some time after it was true.
--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -21,8 +21,9 @@
 pub use action::{RefusalReason, ShardAction, StandingCause};
 pub use candidates::{CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep};
 pub use event::{
-    CacheUpdate, CachedPart, ColdTerms, CustomerTotal, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal,
-    LoadReport, RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent, ShardPolicy,
+    CacheUpdate, CachedPart, ColdStartLimits, CustomerTotal, EndpointSpec, GrantOutcome, HeldGrant,
+    HeldTotal, LoadReport, RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent,
+    ShardPolicy,
 };
 pub use micaspool_quarantine::{CrashRecord, EndpointCrash, QuarantineOptions, RequestStanding};
 pub use options::{ShardOptions, ShardOptionsBuilder};
--- a/crates/micaspool-dispatch/src/shard/cold.rs
+++ b/crates/micaspool-dispatch/src/shard/cold.rs
@@ -8,7 +8,7 @@
 //! that does not hear of this one.
 
 use super::endpoints::{EndpointIndex, EndpointTable};
-use crate::event::ColdTerms;
+use crate::event::ColdStartLimits;
 use micaspool_types::Moment;
 use std::time::Duration;
 
@@ -75,7 +75,7 @@
     /// The time between two grants to a cold endpoint; zero where cold endpoints bear anything. A dispatcher that uses
     /// endpoints beside others leaves them their part.
     pub fn cold_spacing(&self) -> Duration {
-        let ColdTerms { request_time, .. } = self.cold_terms;
+        let ColdStartLimits { request_time, .. } = self.cold_terms;
         let share = u32::try_from(self.first_share.clamp(1, 100)).unwrap_or(100);
         request_time * 100 / USED_PERCENT * 100 / share
     }
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -6,7 +6,7 @@
 use super::reports::SeenSurplus;
 use super::service_time::ServiceTime;
 use super::status::EndpointClosure;
-use crate::event::{CacheUpdate, ColdTerms, EndpointSpec, GrantOutcome, ShardPolicy};
+use crate::event::{CacheUpdate, ColdStartLimits, EndpointSpec, GrantOutcome, ShardPolicy};
 use micaspool_types::{EndpointName, HallMask, Moment, RequestId};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -58,7 +58,7 @@
     /// When endpoints may get more: engines that will have read enough, and cold ones whose next request is due.
     pub(super) wakes: BTreeSet<(Moment, EndpointIndex)>,
     /// What endpoints bear while they are cold.
-    pub(super) cold_terms: ColdTerms,
+    pub(super) cold_terms: ColdStartLimits,
     pub(super) holders: PartHolders,
     /// Reused to carry what changed about an engine's kept parts.
     part_changes: Vec<PartChange>,
--- a/crates/micaspool-dispatch/tests/shard/bench.rs
+++ b/crates/micaspool-dispatch/tests/shard/bench.rs
@@ -1,8 +1,9 @@
 //! A shard with hand-made routers, endpoints and customers.
 
 use micaspool_dispatch::{
-    ColdTerms, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, LoadReport, RefusalReason, RequestTicket,
-    RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
+    ColdStartLimits, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, LoadReport, RefusalReason,
+    RequestTicket, RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions,
+    ShardPolicy,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_types::{
@@ -122,7 +123,7 @@
             revision: Revision(1),
             idle_credit: Cost(0),
             planned_pace: 0.0,
-            cold: ColdTerms::default(),
+            cold: ColdStartLimits::default(),
             halls: (0..3).map(|number| HallName::parse(&format!("h{number}")).expect("a name")).collect(),
             endpoints: specs.collect(),
             customers: named.collect(),
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -5,7 +5,7 @@
 
 use crate::bench::{customer, endpoint, hello, id, ticket, Bench};
 use micaspool_dispatch::{
-    ColdTerms, GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
+    ColdStartLimits, GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
 };
 use micaspool_types::{Cost, EndpointName, Moment};
 use rand::{Rng, SeedableRng};
@@ -28,8 +28,8 @@
 const FIRST_EVENT: Duration = Duration::from_millis(10);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn terms() -> ColdTerms {
-    ColdTerms { start: Duration::from_millis(COLD), request_time: Duration::from_secs_f64(1.0 / BORNE) }
+fn terms() -> ColdStartLimits {
+    ColdStartLimits { start: Duration::from_millis(COLD), request_time: Duration::from_secs_f64(1.0 / BORNE) }
 }
 
 /// A shard whose engines are all cold, and callers that always want more of them.
@@ -200,7 +200,7 @@
 #[test]
 fn without_a_bound_nothing_is_spread() {
     let mut hall = ColdHall::new(2, ShardOptions::default());
-    hall.bench.change(|policy| policy.cold = ColdTerms::default());
+    hall.bench.change(|policy| policy.cold = ColdStartLimits::default());
     hall.turn_cold();
     hall.press(1_000, 4, || 1, 300, || GrantOutcome::Done);
     assert!(hall.worst_second() > 20, "{}", hall.worst_second());
--- a/crates/micaspool-dispatcher/src/fleet_source.rs
+++ b/crates/micaspool-dispatcher/src/fleet_source.rs
@@ -5,7 +5,7 @@
 use crate::subset::EngineSubset;
 use async_std::channel::Receiver;
 use micaspool_client::FleetMirror;
-use micaspool_dispatch::{ColdTerms, EndpointSpec, ShardCustomer, ShardPolicy};
+use micaspool_dispatch::{ColdStartLimits, EndpointSpec, ShardCustomer, ShardPolicy};
 use micaspool_registry::{EndpointRecord, EndpointStage};
 use micaspool_routes::{ColdProfile, RoutePlan};
 use micaspool_types::{Cost, CustomerName, HallMask, Incarnation, Revision, ServiceName, Weight};
@@ -84,7 +84,7 @@
         let endpoints = endpoints.collect();
         let planned_pace = planned_pace(plan.parts().capacity, self.mirror.endpoints_of(service).len());
         let idle_credit = Cost(plan.parts().capacity * IDLE_CREDIT_MILLIS / 1_000);
-        let cold = cold.map_or(ColdTerms::default(), |cold| ColdTerms {
+        let cold = cold.map_or(ColdStartLimits::default(), |cold| ColdStartLimits {
             start: cold.start(),
             request_time: cold.request_time(),
         });
--- a/crates/micaspool-dispatcher/src/shard_policy.rs
+++ b/crates/micaspool-dispatcher/src/shard_policy.rs
@@ -1,6 +1,6 @@
 //! The part of the settings that one shard needs.
 
-use micaspool_dispatch::{ColdTerms, EndpointSpec, ShardCustomer, ShardPolicy};
+use micaspool_dispatch::{ColdStartLimits, EndpointSpec, ShardCustomer, ShardPolicy};
 use micaspool_settings::policy::FleetPolicy;
 use micaspool_types::{Cost, ServiceName};
 use std::time::Duration;
@@ -36,6 +36,6 @@
         customers: customers.collect(),
         idle_credit: Cost(0),
         planned_pace: 0.0,
-        cold: ColdTerms::default(),
+        cold: ColdStartLimits::default(),
     }
 }
--- a/crates/micaspool-replay/src/run/setup.rs
+++ b/crates/micaspool-replay/src/run/setup.rs
@@ -3,7 +3,7 @@
 use super::queue::ReplayEvent;
 use super::{ReplayRun, HEARTBEAT, PROBE, TICK};
 use micaspool_dispatch::{
-    ColdTerms, EndpointSpec, SessionId, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
+    ColdStartLimits, EndpointSpec, SessionId, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool_fair::policy_named;
 use micaspool_types::{Cost, CustomerName, EndpointName, HallMask, HallName, Moment, Revision, Weight};
@@ -67,7 +67,7 @@
             revision: Revision(1),
             idle_credit: Cost(0),
             planned_pace: 0.0,
-            cold: ColdTerms::default(),
+            cold: ColdStartLimits::default(),
             halls: (0..header.halls).map(hall).collect(),
             endpoints: endpoints.collect(),
             customers: customers.collect(),
--- a/crates/micaspool/benches/decisions.rs
+++ b/crates/micaspool/benches/decisions.rs
@@ -4,8 +4,8 @@
 //! slot goes to the next ticket, and a new ticket begins to wait.
 
 use micaspool::dispatch::{
-    ColdTerms, EndpointSpec, GrantOutcome, RequestTicket, RouterHello, SessionId, ShardAction, ShardCore,
-    ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
+    ColdStartLimits, EndpointSpec, GrantOutcome, RequestTicket, RouterHello, SessionId, ShardAction,
+    ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool::ledger::{
     BodyDigest, ClaimCommand, ClaimKey, ClaimToken, FinishCommand, FinishKind, LedgerOptions, LedgerState,
@@ -56,7 +56,7 @@
         revision: Revision(1),
         idle_credit: Cost(0),
         planned_pace: 0.0,
-        cold: ColdTerms::default(),
+        cold: ColdStartLimits::default(),
         halls: halls.collect(),
         endpoints: specs.collect(),
         customers: named.collect(),
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -5,8 +5,8 @@
 //! a request that arrives, at the usual rate of the users' grown site and at five times that.
 
 use micaspool::dispatch::{
-    CacheUpdate, CachedPart, ColdTerms, EndpointSpec, GrantOutcome, LoadReport, RequestTicket, RouterHello,
-    SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
+    CacheUpdate, CachedPart, ColdStartLimits, EndpointSpec, GrantOutcome, LoadReport, RequestTicket,
+    RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool::types::{
     Cost, CustomerName, EndpointName, HallMask, HallName, Incarnation, InstanceName, Moment, RequestDigest,
@@ -83,7 +83,7 @@
         revision: Revision(1),
         idle_credit: Cost(100_000),
         planned_pace: 0.0,
-        cold: ColdTerms::default(),
+        cold: ColdStartLimits::default(),
         halls: (0..3).map(|number| HallName::parse(&format!("hall-{number}")).expect("a name")).collect(),
         endpoints: specs.collect(),
         customers: named.collect(),
