--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -4,7 +4,7 @@
 //!   adds [`ShardAction`]s to the caller's buffer,
 //! * [`ShardOptions`] has its limits and times,
 //! * [`CandidateChoice`] decides to which dispatcher a router speaks,
-//!   and [`AskThrottle`] which requests it keeps from it.
+//!   and [`RequestThrottle`] which requests it keeps from it.
 //!
 //! Everything here is free of I/O, clocks and randomness.
 #![deny(missing_docs, rust_2018_idioms)]
@@ -32,4 +32,4 @@
     CustomerFlow, CustomerStatus, EndpointClosure, EndpointStatus, PaceStatus, ShardCore, ShardStatus,
     SuspectStatus,
 };
-pub use throttle::AskThrottle;
+pub use throttle::RequestThrottle;
--- a/crates/micaspool-dispatch/src/throttle.rs
+++ b/crates/micaspool-dispatch/src/throttle.rs
@@ -66,11 +66,11 @@
 
 /// Keeps from a dispatcher what it would refuse.
 #[derive(Clone, Debug, Default)]
-pub struct AskThrottle {
+pub struct RequestThrottle {
     customers: HashMap<CustomerName, AskRecord>,
 }
 
-impl AskThrottle {
+impl RequestThrottle {
     /// Notes a request and says whether it is taken to the dispatcher; else when it may come back. `draw` is
     /// uniform from 0 to 1.
     pub fn admit(&mut self, now: Moment, customer: &CustomerName, draw: f64) -> Result<(), Duration> {
@@ -87,7 +87,7 @@
     }
 
     /// The dispatcher granted a request.
-    pub fn note_taken(&mut self, now: Moment, customer: &CustomerName) {
+    pub fn note_granted(&mut self, now: Moment, customer: &CustomerName) {
         if let Some(record) = self.customers.get_mut(customer) {
             record.fade(now);
             record.taken += 1.0;
--- a/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
@@ -3,7 +3,7 @@
 use super::load::{LoadPlan, LossKind, RetryHabit, LOSS_AT, PACE_PER_SECOND};
 use super::share::ShareRecord;
 use crate::bench::{customer, endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{AskThrottle, GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent};
+use micaspool_dispatch::{GrantOutcome, RequestThrottle, RequestTicket, SessionId, ShardAction, ShardEvent};
 use micaspool_types::{Cost, EndpointName, Moment, RequestId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -73,7 +73,7 @@
     bench: Bench,
     start: Moment,
     now: Duration,
-    throttles: Vec<AskThrottle>,
+    throttles: Vec<RequestThrottle>,
     engines: Vec<RealEngine>,
     numbers: HashMap<EndpointName, usize>,
     open: HashMap<u128, OpenRequest>,
@@ -101,7 +101,7 @@
             start: bench.now,
             bench,
             now: Duration::ZERO,
-            throttles: vec![AskThrottle::default(); ROUTERS as usize],
+            throttles: vec![RequestThrottle::default(); ROUTERS as usize],
             engines: (0..plan.engines).map(|_| RealEngine::default()).collect(),
             numbers: (0..plan.engines).map(|number| (endpoint(number), number)).collect(),
             open: HashMap::new(),
@@ -248,7 +248,7 @@
         open.engine = Some(engine);
         let OpenRequest { caller, router, .. } = *open;
         let name = customer(&format!("c{}", caller.customer));
-        self.throttles[router as usize - 1].note_taken(self.bench.now, &name);
+        self.throttles[router as usize - 1].note_granted(self.bench.now, &name);
         let real = &mut self.engines[engine];
         let slowness = match real.loss {
             Some(LossKind::Gone) => {
--- a/crates/micaspool-dispatch/tests/shard/throttling.rs
+++ b/crates/micaspool-dispatch/tests/shard/throttling.rs
@@ -3,7 +3,7 @@
 //! A stand-in for the shard takes a customer's requests at a rate and refuses the rest at once; the figures are
 //! what reaches it, and what it could have taken and did not get.
 
-use micaspool_dispatch::AskThrottle;
+use micaspool_dispatch::RequestThrottle;
 use micaspool_types::{CustomerName, Moment};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,7 +16,7 @@
 
 /// Routers before one shard that takes so much a second of one customer.
 struct CrowdedFleet {
-    routers: Vec<AskThrottle>,
+    routers: Vec<RequestThrottle>,
     customer: CustomerName,
     taken_a_second: f64,
     queue: f64,
@@ -37,7 +37,7 @@
 impl CrowdedFleet {
     fn new(routers: usize, taken_a_second: f64) -> CrowdedFleet {
         CrowdedFleet {
-            routers: vec![AskThrottle::default(); routers],
+            routers: vec![RequestThrottle::default(); routers],
             customer: CustomerName::parse("coop-01").expect("a name"),
             taken_a_second,
             queue: 0.0,
@@ -73,7 +73,7 @@
         if has_room {
             self.queue += 1.0;
             outcome.taken += 1;
-            router.note_taken(now, &self.customer);
+            router.note_granted(now, &self.customer);
         } else {
             router.note_refused(now, &self.customer, RETRY_AFTER);
         }
--- a/crates/micaspool-router/src/shard_client/held.rs
+++ b/crates/micaspool-router/src/shard_client/held.rs
@@ -7,7 +7,7 @@
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    AskThrottle, GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RequestTicket, RouterHello,
+    GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RequestThrottle, RequestTicket, RouterHello,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_quarantine::{CrashTable, QuarantineOptions};
@@ -68,7 +68,7 @@
     next_heartbeat: u64,
     last_pulse: BootInstant,
     /// Decides which requests are not taken to the dispatcher.
-    throttle: AskThrottle,
+    throttle: RequestThrottle,
     start: BootInstant,
     /// The requests of this router under which endpoints ended, and what dispatchers told of others'.
     crashes: CrashTable,
@@ -87,7 +87,7 @@
             heartbeats: VecDeque::new(),
             next_heartbeat: 1,
             last_pulse: now,
-            throttle: AskThrottle::default(),
+            throttle: RequestThrottle::default(),
             start: now,
             crashes: CrashTable::new(crash_options()),
             unanswered_since: None,
@@ -300,7 +300,7 @@
         };
         let order = OrderNumber(grant.order);
         let now = self.moment();
-        self.throttle.note_taken(now, &entry.ticket.customer);
+        self.throttle.note_granted(now, &entry.ticket.customer);
         self.note_total(&entry.ticket.customer, ServiceLevel(grant.level), order);
         let held = HeldGrant {
             request,
