--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -27,7 +27,7 @@
 };
 pub use micaspool_quarantine::{CrashRecord, EndpointCrash, QuarantineOptions, RequestStanding};
 pub use options::{ShardOptions, ShardOptionsBuilder};
-pub use ranking::{rank_apart, rank_candidates};
+pub use ranking::{rank_candidates, rank_distinct};
 pub use shard::{
     CustomerFlow, CustomerStatus, EndpointClosure, EndpointStatus, PaceStatus, ShardCore, ShardStatus,
     SuspectStatus,
--- a/crates/micaspool-dispatch/src/ranking.rs
+++ b/crates/micaspool-dispatch/src/ranking.rs
@@ -20,7 +20,7 @@
 /// choices while there are enough dispatchers: with two services and five dispatchers both would be at the same one
 /// on every fifth deployment, and the heartbeats and requests of the smaller one take a fifth of a dispatcher's
 /// processor share from the larger (0.06 of 0.3 of a core with 295 routers and 600 requests a second).
-pub fn rank_apart(
+pub fn rank_distinct(
     service: &ServiceName,
     services: &[ServiceName],
     dispatchers: &[InstanceName],
--- a/crates/micaspool-dispatch/tests/shard/choice.rs
+++ b/crates/micaspool-dispatch/tests/shard/choice.rs
@@ -1,7 +1,7 @@
 //! Which dispatcher a router uses.
 
 use micaspool_dispatch::{
-    rank_apart, rank_candidates, CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep,
+    rank_candidates, rank_distinct, CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep,
 };
 use micaspool_types::{InstanceName, Moment, ServiceName};
 
@@ -37,12 +37,12 @@
         let services = [service(number), service(number + 50), service(number + 100)];
         for count in 3..6 {
             let first: std::collections::BTreeSet<_> =
-                services.iter().map(|own| rank_apart(own, &services, &names(count))[0].clone()).collect();
+                services.iter().map(|own| rank_distinct(own, &services, &names(count))[0].clone()).collect();
             assert_eq!(first.len(), 3, "{services:?} at {count} dispatchers");
         }
-        let alone = rank_apart(&services[0], &services, &names(1));
+        let alone = rank_distinct(&services[0], &services, &names(1));
         assert_eq!(alone, names(1), "one serves all when it is the only one");
-        let ranked = rank_apart(&services[1], &services, &names(5));
+        let ranked = rank_distinct(&services[1], &services, &names(5));
         assert_eq!(ranked.len(), 5, "none is listed twice or left out: {ranked:?}");
     }
 }
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -3,7 +3,7 @@
 use async_std::channel::Receiver;
 use async_trait::async_trait;
 use micaspool_client::{FleetMirror, KeeperReach, KeeperSight, PeerDirectory};
-use micaspool_dispatch::{rank_apart, CandidateKind, CandidateReach};
+use micaspool_dispatch::{rank_distinct, CandidateKind, CandidateReach};
 use micaspool_dispatcher::FleetDispatcher;
 use micaspool_router::{
     DispatcherAddress, DispatcherCandidate, DispatcherList, LocalDispatcher, MessageStream,
@@ -70,7 +70,7 @@
         let is_cut_off = |sight: &KeeperSight| sight.is_reached() && !sight.confirmed_lately;
         let chosen = sights.iter().filter(|sight| sight.wanted && is_cut_off(sight) == lacks_majority);
         let names: Vec<InstanceName> = chosen.map(|sight| sight.peer.name.clone()).collect();
-        rank_apart(service, services, &names)
+        rank_distinct(service, services, &names)
     };
     let names = ranked(false).into_iter().chain(ranked(true));
     names.filter_map(|name| sights.iter().find(|sight| sight.peer.name == name)).collect()
