--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -1,6 +1,6 @@
 //! The customers of a shard: accounts, queues and limits.
 
-use super::flow::CustomerFlow;
+use super::flow::CustomerCounters;
 use super::rate::FadingRate;
 use super::tickets::WaitingTicket;
 use super::tolerance::SharedTolerance;
@@ -37,7 +37,7 @@
     /// The same of its grants, a second.
     pub grant_rate: FadingRate,
     /// What became of its tickets.
-    pub flow: CustomerFlow,
+    pub flow: CustomerCounters,
     /// What its tickets bear.
     pub tolerance: SharedTolerance,
     pub running: u32,
@@ -98,7 +98,7 @@
             queued_load: 0,
             ask_rate: FadingRate::default(),
             grant_rate: FadingRate::default(),
-            flow: CustomerFlow::default(),
+            flow: CustomerCounters::default(),
             tolerance: SharedTolerance::default(),
             running: 0,
             served: Cost(0),
--- a/crates/micaspool-dispatch/src/shard/flow.rs
+++ b/crates/micaspool-dispatch/src/shard/flow.rs
@@ -4,7 +4,7 @@
 
 /// What became of a customer's tickets since the shard began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CustomerFlow {
+pub struct CustomerCounters {
     /// Tickets that were granted.
     pub granted: u64,
     /// Their prompt tokens; requests where they have none.
@@ -15,15 +15,15 @@
     pub refused_after_wait: u64,
 }
 
-impl CustomerFlow {
+impl CustomerCounters {
     /// All refused tickets.
     pub fn refused(&self) -> u64 {
         self.refused_on_arrival + self.refused_after_wait
     }
 
     /// What came since an earlier look.
-    pub fn since(&self, before: &CustomerFlow) -> CustomerFlow {
-        CustomerFlow {
+    pub fn since(&self, before: &CustomerCounters) -> CustomerCounters {
+        CustomerCounters {
             granted: self.granted - before.granted,
             granted_load: self.granted_load - before.granted_load,
             refused_on_arrival: self.refused_on_arrival - before.refused_on_arrival,
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -39,7 +39,7 @@
 mod tries;
 mod waits;
 
-pub use flow::CustomerFlow;
+pub use flow::CustomerCounters;
 pub use status::{CustomerStatus, EndpointClosure, EndpointStatus, PaceStatus, ShardStatus, SuspectStatus};
 
 use crate::action::ShardAction;
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -2,7 +2,7 @@
 
 use super::customers::CustomerState;
 use super::endpoints::EndpointIndex;
-use super::flow::CustomerFlow;
+use super::flow::CustomerCounters;
 use super::reading::ReadingPace;
 use super::ShardCore;
 use micaspool_fair::ServiceLevel;
@@ -25,7 +25,7 @@
     /// How far that is below the highest level that was served in its halls.
     pub behind: ServiceLevel,
     /// What became of its tickets.
-    pub flow: CustomerFlow,
+    pub flow: CustomerCounters,
 }
 
 /// One endpoint in a shard.
@@ -198,7 +198,7 @@
 
     /// The state of a customer that has, or had, a ticket here.
     fn customer_status(&self, state: &CustomerState) -> Option<CustomerStatus> {
-        if state.queue.is_empty() && state.running == 0 && state.flow == CustomerFlow::default() {
+        if state.queue.is_empty() && state.running == 0 && state.flow == CustomerCounters::default() {
             return None;
         }
         let level = state.level(self.options.policy.as_ref());
--- a/crates/micaspool-dispatcher/src/customer_log.rs
+++ b/crates/micaspool-dispatcher/src/customer_log.rs
@@ -1,7 +1,7 @@
 //! What a shard granted and refused its customers lately: a line each for those that were refused most and for the one
 //! that was served most, from which an unfair share can be told and explained.
 
-use micaspool_dispatch::{CustomerFlow, CustomerStatus};
+use micaspool_dispatch::{CustomerCounters, CustomerStatus};
 use micaspool_fair::LEVEL_SCALE;
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_types::{CustomerName, ServiceName};
@@ -14,13 +14,13 @@
 #[derive(Debug)]
 pub(crate) struct CustomerLog {
     service: ServiceName,
-    told: HashMap<CustomerName, CustomerFlow>,
+    told: HashMap<CustomerName, CustomerCounters>,
 }
 
 /// A customer and what became of its tickets since the last lines.
 struct RecentFlow<'a> {
     status: &'a CustomerStatus,
-    flow: CustomerFlow,
+    flow: CustomerCounters,
 }
 
 impl CustomerLog {
