--- a/crates/micaspool-dispatch/src/options.rs
+++ b/crates/micaspool-dispatch/src/options.rs
@@ -20,7 +20,7 @@
     pub(crate) use_held_state: bool,
     pub(crate) use_prefixes: bool,
     pub(crate) tolerated_breaks: u32,
-    pub(crate) first_share: u64,
+    pub(crate) initial_share: u64,
     pub(crate) quarantine: QuarantineOptions,
 }
 
@@ -43,7 +43,7 @@
             use_held_state: true,
             use_prefixes: true,
             tolerated_breaks: 0,
-            first_share: 100,
+            initial_share: 100,
             quarantine: QuarantineOptions::default(),
         }
     }
@@ -111,8 +111,8 @@
     }
 
     /// The part of an engine's pace that is used before its reports tell who else uses it, in percent.
-    pub fn first_share(mut self, percent: u64) -> Self {
-        self.options.first_share = percent.clamp(1, 100);
+    pub fn initial_share(mut self, percent: u64) -> Self {
+        self.options.initial_share = percent.clamp(1, 100);
         self
     }
 
--- a/crates/micaspool-dispatch/src/shard/cold.rs
+++ b/crates/micaspool-dispatch/src/shard/cold.rs
@@ -76,7 +76,7 @@
     /// endpoints beside others leaves them their part.
     pub fn cold_spacing(&self) -> Duration {
         let ColdStartLimits { request_time, .. } = self.cold_terms;
-        let share = u32::try_from(self.first_share.clamp(1, 100)).unwrap_or(100);
+        let share = u32::try_from(self.initial_share.clamp(1, 100)).unwrap_or(100);
         request_time * 100 / USED_PERCENT * 100 / share
     }
 
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -50,7 +50,7 @@
     /// How many requests in a row may break before an endpoint is paused.
     tolerated_breaks: u32,
     /// The part of an engine's pace that is used before reports came, in percent.
-    pub(super) first_share: u64,
+    pub(super) initial_share: u64,
     pub(super) states: Vec<EndpointState>,
     names: HashMap<EndpointName, EndpointIndex>,
     pub(super) free: Vec<BTreeSet<(u32, EndpointIndex)>>,
@@ -95,13 +95,13 @@
         self.doors.cold.tell(now, spec.cold);
     }
 
-    fn size_engine(&mut self, memory: u64, first_share: u64, per_token: Option<f64>) {
+    fn size_engine(&mut self, memory: u64, initial_share: u64, per_token: Option<f64>) {
         match &mut self.engine {
             Some(engine) => {
                 engine.resize(memory);
                 engine.assume_pace(per_token);
             }
-            None if memory > 0 => self.engine = Some(EngineState::new(memory, first_share, per_token)),
+            None if memory > 0 => self.engine = Some(EngineState::new(memory, initial_share, per_token)),
             None => {}
         }
     }
@@ -131,8 +131,8 @@
 }
 
 impl EndpointTable {
-    pub fn new(tolerated_breaks: u32, first_share: u64) -> EndpointTable {
-        EndpointTable { tolerated_breaks, first_share, ..EndpointTable::default() }
+    pub fn new(tolerated_breaks: u32, initial_share: u64) -> EndpointTable {
+        EndpointTable { tolerated_breaks, initial_share, ..EndpointTable::default() }
     }
 
     pub fn by_name(&self, name: &EndpointName) -> Option<EndpointIndex> {
@@ -183,7 +183,7 @@
 
     /// Takes over the endpoints of new settings; others get nothing new and finish what runs.
     pub fn adopt(&mut self, now: Moment, policy: &ShardPolicy) {
-        let first_share = self.first_share;
+        let initial_share = self.initial_share;
         let per_token = self.usual_per_token(now, policy.planned_pace);
         self.cold_terms = policy.cold;
         for index in self.indices() {
@@ -193,7 +193,7 @@
         for spec in &policy.endpoints {
             let index = self.ensure(&spec.name);
             self.state_mut(index).follow(now, spec);
-            self.state_mut(index).size_engine(spec.memory_tokens, first_share, per_token);
+            self.state_mut(index).size_engine(spec.memory_tokens, initial_share, per_token);
         }
         let halls = self.states.iter().map(|state| state.hall + 1).max().unwrap_or(0);
         self.free.resize_with(halls.max(self.free.len()), BTreeSet::new);
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -113,7 +113,7 @@
             halls: Vec::new(),
             floors: Vec::new(),
             customers: CustomerTable::new(options.cost_ceiling),
-            endpoints: EndpointTable::new(options.tolerated_breaks, options.first_share),
+            endpoints: EndpointTable::new(options.tolerated_breaks, options.initial_share),
             routers: RouterTable::default(),
             waiting: HashMap::new(),
             waits: EngineWaits::default(),
--- a/crates/micaspool-dispatch/src/shard/reports.rs
+++ b/crates/micaspool-dispatch/src/shard/reports.rs
@@ -65,7 +65,7 @@
     /// Forgets what reports said of others' requests where no report followed: an endpoint that is not heard any
     /// more would stay full for ever.
     pub fn forget_old_reports(&mut self, now: Moment) {
-        let first_share = self.first_share;
+        let initial_share = self.initial_share;
         for endpoint in self.indices() {
             let state = self.state_mut(endpoint);
             if state.last_surplus.is_none_or(|seen| seen.counts(now)) {
@@ -74,7 +74,7 @@
             state.last_surplus = None;
             state.foreign = 0;
             if let Some(engine) = &mut state.engine {
-                engine.assume_share(first_share);
+                engine.assume_share(initial_share);
             }
             self.reindex(endpoint);
         }
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -274,7 +274,7 @@
 fn routers_on_their_own_share_what_a_cold_endpoint_bears() {
     let mut arrivals = Vec::new();
     for _ in 0..7 {
-        let mut hall = ColdHall::new(1, ShardOptions::builder().first_share(20).build());
+        let mut hall = ColdHall::new(1, ShardOptions::builder().initial_share(20).build());
         hall.turn_cold();
         let began = hall.bench.now;
         hall.press(STILL_COLD, 2, || 1, 100, || GrantOutcome::Done);
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -214,7 +214,7 @@
 /// Two shards on one engine: neither starves, and together they leave it little more to read.
 #[test]
 fn two_shards_share_an_engine() {
-    let late = ShardOptions::builder().first_share(20).build();
+    let late = ShardOptions::builder().initial_share(20).build();
     let mut shards = [BusyShard::new(0, ShardOptions::default(), 48.0), BusyShard::new(1, late, 48.0)];
     let mut engine = EngineModel::new(80.0);
     play(&mut shards, &mut engine, &[], 15_000);
--- a/crates/micaspool-dispatcher/src/fleet.rs
+++ b/crates/micaspool-dispatcher/src/fleet.rs
@@ -114,7 +114,7 @@
             .cost_ceiling(COST_CEILING)
             .recovery_window(RECOVERY_WINDOW)
             .tolerated_breaks(TOLERATED_BREAKS)
-            .first_share(if options.subset.is_some() { SHARE_BESIDE_OTHERS } else { 100 })
+            .initial_share(if options.subset.is_some() { SHARE_BESIDE_OTHERS } else { 100 })
             .build();
         let host = HostOptions {
             shard,
