--- a/crates/micaspool-dispatch/src/candidates.rs
+++ b/crates/micaspool-dispatch/src/candidates.rs
@@ -69,15 +69,15 @@
 
 /// What another stream to the same process tells of a candidate.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum CandidateReach {
+pub enum CandidateHealth {
     /// No try has come to an end yet.
     Pending,
     /// The process speaks to this router.
-    Answers,
+    Answering,
     /// It should have spoken and has not; it is used on, and no router moves to it. When all dispatchers lose
     /// power, a router finds out that its own is gone before the others count as lost; tried one after the
     /// other until they were back, they took in 182, 66, 30 and 14 of 295 routers.
-    Quiet,
+    Unresponsive,
     /// The process is not reached, or no more.
     Lost,
 }
@@ -86,9 +86,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CandidateKind {
     /// It asks.
-    Asked,
+    Probed,
     /// Another stream to the same process tells.
-    Followed(CandidateReach),
+    Observed(CandidateHealth),
     /// It is inside the router's own process and always answers; it comes last.
     LastResort,
 }
@@ -119,7 +119,7 @@
 impl CandidateState {
     fn new(now: Moment, kind: CandidateKind) -> CandidateState {
         let mut state = CandidateState {
-            kind: CandidateKind::Asked,
+            kind: CandidateKind::Probed,
             failures: 0,
             not_before: Moment(0),
             answering_since: None,
@@ -135,11 +135,11 @@
     fn hear(&mut self, now: Moment, kind: CandidateKind) {
         self.kind = kind;
         match kind {
-            CandidateKind::Followed(CandidateReach::Answers) => {
+            CandidateKind::Observed(CandidateHealth::Answering) => {
                 self.answering_since.get_or_insert(now);
                 self.lost_since = None;
             }
-            CandidateKind::Followed(CandidateReach::Lost) => {
+            CandidateKind::Observed(CandidateHealth::Lost) => {
                 self.answering_since = None;
                 self.lost_since.get_or_insert(now);
                 self.returned = true;
@@ -150,7 +150,7 @@
 
     /// True when it answers as far as is known at this moment.
     fn is_answering(&self) -> bool {
-        self.answering_since.is_some() && self.kind != CandidateKind::Followed(CandidateReach::Quiet)
+        self.answering_since.is_some() && self.kind != CandidateKind::Observed(CandidateHealth::Unresponsive)
     }
 
     fn has_answered_for(&self, now: Moment, time: Duration) -> bool {
@@ -160,12 +160,12 @@
     /// When a router without a stream may use it; `None` while that can't be said.
     fn usable_at(&self, options: &ChoiceOptions) -> Option<Moment> {
         match self.kind {
-            CandidateKind::Followed(CandidateReach::Answers) if self.returned => {
+            CandidateKind::Observed(CandidateHealth::Answering) if self.returned => {
                 let settled = self.answering_since? + options.return_hold_down;
                 Some(settled.max(self.not_before))
             }
-            CandidateKind::Followed(
-                CandidateReach::Pending | CandidateReach::Quiet | CandidateReach::Lost,
+            CandidateKind::Observed(
+                CandidateHealth::Pending | CandidateHealth::Unresponsive | CandidateHealth::Lost,
             ) => None,
             _ => Some(self.not_before),
         }
@@ -184,7 +184,7 @@
 impl CandidateChoice {
     /// A choice among this many candidates, all of which have to be asked.
     pub fn new(count: usize, options: ChoiceOptions) -> CandidateChoice {
-        CandidateChoice::of(Moment(0), vec![CandidateKind::Asked; count], options)
+        CandidateChoice::of(Moment(0), vec![CandidateKind::Probed; count], options)
     }
 
     /// A choice among candidates of these kinds, in the order of their rank.
@@ -269,7 +269,7 @@
         let patient_until = self.began + self.options.patience;
         let mut next = None;
         for (rank, state) in self.candidates.iter().enumerate() {
-            let pending = state.kind == CandidateKind::Followed(CandidateReach::Pending);
+            let pending = state.kind == CandidateKind::Observed(CandidateHealth::Pending);
             if pending && now < patient_until {
                 return ChoiceStep::Wait(patient_until);
             }
@@ -287,7 +287,7 @@
         if let Some(target) = self.better_candidate(now, rank) {
             return ChoiceStep::Connect(target);
         }
-        let asked = |state: &&CandidateState| state.kind == CandidateKind::Asked;
+        let asked = |state: &&CandidateState| state.kind == CandidateKind::Probed;
         let due = |state: &CandidateState| asked(&state) && state.probe_at <= now;
         if let Some(target) = better.iter().position(due) {
             return ChoiceStep::Probe(target);
--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -19,7 +19,7 @@
 mod throttle;
 
 pub use action::{RefusalReason, ShardAction, StandingCause};
-pub use candidates::{CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep};
+pub use candidates::{CandidateChoice, CandidateHealth, CandidateKind, ChoiceOptions, ChoiceStep};
 pub use event::{
     CacheUpdate, CachedPart, ColdStartLimits, CustomerTotal, EndpointSpec, GrantOutcome, HeldGrant,
     HeldTotal, LoadReport, RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent,
--- a/crates/micaspool-dispatch/tests/shard/choice.rs
+++ b/crates/micaspool-dispatch/tests/shard/choice.rs
@@ -1,7 +1,8 @@
 //! Which dispatcher a router uses.
 
 use micaspool_dispatch::{
-    rank_candidates, rank_distinct, CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep,
+    rank_candidates, rank_distinct, CandidateChoice, CandidateHealth, CandidateKind, ChoiceOptions,
+    ChoiceStep,
 };
 use micaspool_types::{InstanceName, Moment, ServiceName};
 
@@ -107,10 +108,10 @@
     assert_eq!(choice.next(at(0)), ChoiceStep::Connect(1));
 }
 
-const ANSWERS: CandidateKind = CandidateKind::Followed(CandidateReach::Answers);
-const LOST: CandidateKind = CandidateKind::Followed(CandidateReach::Lost);
-const QUIET: CandidateKind = CandidateKind::Followed(CandidateReach::Quiet);
-const PENDING: CandidateKind = CandidateKind::Followed(CandidateReach::Pending);
+const ANSWERS: CandidateKind = CandidateKind::Observed(CandidateHealth::Answering);
+const LOST: CandidateKind = CandidateKind::Observed(CandidateHealth::Lost);
+const QUIET: CandidateKind = CandidateKind::Observed(CandidateHealth::Unresponsive);
+const PENDING: CandidateKind = CandidateKind::Observed(CandidateHealth::Pending);
 
 /// Four dispatchers that another stream tells of, and one inside the router.
 fn followed(kinds: [CandidateKind; 4]) -> Vec<CandidateKind> {
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -3,7 +3,7 @@
 use async_std::channel::Receiver;
 use async_trait::async_trait;
 use micaspool_client::{FleetMirror, KeeperReach, KeeperSight, PeerDirectory};
-use micaspool_dispatch::{rank_distinct, CandidateKind, CandidateReach};
+use micaspool_dispatch::{rank_distinct, CandidateHealth, CandidateKind};
 use micaspool_dispatcher::FleetDispatcher;
 use micaspool_router::{
     DispatcherAddress, DispatcherCandidate, DispatcherList, LocalDispatcher, MessageStream,
@@ -48,14 +48,14 @@
     fn candidate(&self, sight: &KeeperSight) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
         let reach = match sight.reach {
-            KeeperReach::Pending => CandidateReach::Pending,
-            KeeperReach::Reached if sight.quiet => CandidateReach::Quiet,
-            KeeperReach::Reached => CandidateReach::Answers,
-            KeeperReach::Lost => CandidateReach::Lost,
+            KeeperReach::Pending => CandidateHealth::Pending,
+            KeeperReach::Reached if sight.quiet => CandidateHealth::Unresponsive,
+            KeeperReach::Reached => CandidateHealth::Answering,
+            KeeperReach::Lost => CandidateHealth::Lost,
         };
         Some(DispatcherCandidate {
             address: DispatcherAddress::Remote(address),
-            kind: CandidateKind::Followed(reach),
+            kind: CandidateKind::Observed(reach),
         })
     }
 }
--- a/crates/micaspool-router/src/shard_client/dispatchers.rs
+++ b/crates/micaspool-router/src/shard_client/dispatchers.rs
@@ -77,7 +77,7 @@
         let ranked = rank_candidates(service, &names);
         let candidate = |peer: &PeerAddress| DispatcherCandidate {
             address: DispatcherAddress::Remote(peer.address),
-            kind: CandidateKind::Asked,
+            kind: CandidateKind::Probed,
         };
         ranked.iter().filter_map(address).map(candidate).collect()
     }
