--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -29,7 +29,7 @@
 pub use options::{ShardOptions, ShardOptionsBuilder};
 pub use ranking::{rank_candidates, rank_distinct};
 pub use shard::{
-    CustomerCounters, CustomerStatus, EndpointClosure, EndpointStatus, PaceStatus, ShardCore, ShardStatus,
+    CustomerCounters, CustomerStatus, EndpointClosure, EndpointStatus, PrefillStatus, ShardCore, ShardStatus,
     SuspectStatus,
 };
 pub use throttle::RequestThrottle;
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -40,7 +40,9 @@
 mod waits;
 
 pub use flow::CustomerCounters;
-pub use status::{CustomerStatus, EndpointClosure, EndpointStatus, PaceStatus, ShardStatus, SuspectStatus};
+pub use status::{
+    CustomerStatus, EndpointClosure, EndpointStatus, PrefillStatus, ShardStatus, SuspectStatus,
+};
 
 use crate::action::ShardAction;
 use crate::event::{GrantOutcome, SessionId, ShardEvent, ShardPolicy};
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -54,7 +54,7 @@
     /// How many routers it asked for rest.
     pub rests_for: usize,
     /// How fast its engine reads; `None` for other endpoints.
-    pub pace: Option<PaceStatus>,
+    pub pace: Option<PrefillStatus>,
 }
 
 /// Why an endpoint takes nothing new, whatever its slots.
@@ -87,7 +87,7 @@
 
 /// What a shard has learnt of how fast an engine reads.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PaceStatus {
+pub struct PrefillStatus {
     /// Tokens a millisecond, with what runs beside.
     pub tokens_per_milli: f64,
     /// From a grant to the first event, apart from reading.
@@ -143,9 +143,9 @@
     }
 }
 
-impl PaceStatus {
-    fn of(now: Moment, pace: &ReadingPace) -> PaceStatus {
-        PaceStatus {
+impl PrefillStatus {
+    fn of(now: Moment, pace: &ReadingPace) -> PrefillStatus {
+        PrefillStatus {
             tokens_per_milli: pace.tokens_per_milli(),
             latency: pace.latency(),
             age: pace.newest().map(|newest| now.since(newest)),
@@ -177,7 +177,7 @@
                 Duration::ZERO
             },
             rests_for: rests.get(&index).copied().unwrap_or_default(),
-            pace: state.engine.as_ref().map(|engine| PaceStatus::of(now, engine.pace())),
+            pace: state.engine.as_ref().map(|engine| PrefillStatus::of(now, engine.pace())),
         });
         let awaited = || self.waiting.values().filter_map(|ticket| ticket.waits_for.get());
         let engines: HashSet<EndpointIndex> = awaited().map(|choice| choice.engine).collect();
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{endpoint, hello, ticket, Bench};
 use micaspool_dispatch::{
-    GrantOutcome, LoadReport, PaceStatus, RequestTicket, SessionId, ShardEvent, ShardOptions,
+    GrantOutcome, LoadReport, PrefillStatus, RequestTicket, SessionId, ShardEvent, ShardOptions,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::{BTreeMap, HashMap};
@@ -131,7 +131,7 @@
         self.bench.step(ShardEvent::Load(report));
     }
 
-    fn pace(&self) -> PaceStatus {
+    fn pace(&self) -> PrefillStatus {
         self.bench.core.status(self.bench.now).endpoints[0].pace.expect("it is an engine")
     }
 }
--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -1,7 +1,7 @@
 //! The shards of a dispatcher as operators see them.
 
 use crate::host::ShardHost;
-use micaspool_dispatch::{EndpointClosure, PaceStatus, RequestStanding, ShardStatus, SuspectStatus};
+use micaspool_dispatch::{EndpointClosure, PrefillStatus, RequestStanding, ShardStatus, SuspectStatus};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
@@ -64,7 +64,7 @@
 }
 
 /// What was learnt of an engine's pace as JSON; no age means that the pace is assumed.
-fn pace_json(pace: PaceStatus) -> serde_json::Value {
+fn pace_json(pace: PrefillStatus) -> serde_json::Value {
     json!({
         "tokens_per_ms": pace.tokens_per_milli,
         "latency_ms": pace.latency.as_secs_f64() * 1_000.0,
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -6,7 +6,7 @@
 use crate::objectives::ObjectiveTally;
 use crate::standings::StandingLog;
 use micaspool_clock::BootInstant;
-use micaspool_dispatch::{EndpointClosure, EndpointStatus, PaceStatus, ShardAction, ShardStatus};
+use micaspool_dispatch::{EndpointClosure, EndpointStatus, PrefillStatus, ShardAction, ShardStatus};
 use micaspool_telemetry::events::{self, field, record, EventField};
 use micaspool_types::ServiceName;
 use micaspool_wire::convert::reason_text;
@@ -186,7 +186,7 @@
 /// What is known of the paces of engines.
 fn pace_fields(status: &ShardStatus) -> Vec<EventField> {
     let paces = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
-    let observed: Vec<PaceStatus> = paces.filter(|pace| pace.age.is_some()).collect();
+    let observed: Vec<PrefillStatus> = paces.filter(|pace| pace.age.is_some()).collect();
     let speeds = || observed.iter().map(|pace| pace.tokens_per_milli);
     let latencies: Duration = observed.iter().map(|pace| pace.latency).sum();
     let engines = u32::try_from(observed.len()).unwrap_or(u32::MAX).max(1);
