--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -197,7 +197,7 @@
     /// True when it takes no new work.
     pub draining: bool,
     /// When the report was asked for.
-    pub asked_at: Moment,
+    pub requested_at: Moment,
 }
 
 /// What an endpoint says of its prefix cache; such news come late and with gaps.
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -179,8 +179,8 @@
             return;
         }
         let Some(endpoint) = self.endpoints.by_name(&report.endpoint) else { return };
-        let from = Moment(report.asked_at.0.saturating_sub(micros(REPORT_WINDOW)));
-        self.note_alive(now, endpoint, from, report.asked_at, actions);
+        let from = Moment(report.requested_at.0.saturating_sub(micros(REPORT_WINDOW)));
+        self.note_alive(now, endpoint, from, report.requested_at, actions);
     }
 
     fn note_alive(
--- a/crates/micaspool-dispatch/src/shard/reports.rs
+++ b/crates/micaspool-dispatch/src/shard/reports.rs
@@ -55,7 +55,7 @@
         }
         if report.draining {
             state.doors.draining_since = Some(now);
-        } else if state.doors.draining_since.is_some_and(|since| report.asked_at > since) {
+        } else if state.doors.draining_since.is_some_and(|since| report.requested_at > since) {
             state.doors.draining_since = None;
         }
         self.watch_reading(now, endpoint);
--- a/crates/micaspool-dispatch/tests/shard/bench.rs
+++ b/crates/micaspool-dispatch/tests/shard/bench.rs
@@ -160,7 +160,8 @@
     }
 
     pub fn load(&mut self, on: usize, running: u32, draining: bool) {
-        let report = LoadReport { endpoint: endpoint(on), running, waiting: 0, draining, asked_at: self.now };
+        let report =
+            LoadReport { endpoint: endpoint(on), running, waiting: 0, draining, requested_at: self.now };
         self.step(ShardEvent::Load(report));
     }
 
--- a/crates/micaspool-dispatch/tests/shard/capacity.rs
+++ b/crates/micaspool-dispatch/tests/shard/capacity.rs
@@ -104,7 +104,7 @@
 #[test]
 fn an_older_report_does_not_undo_a_newer_answer() {
     let mut bench = bench(1);
-    let asked_at = bench.now;
+    let requested_at = bench.now;
     bench.pass_with(500, &[1]);
     bench.submit(1, ticket(1, "a", 10));
     bench.settle(1, 1, 0, GrantOutcome::Draining);
@@ -114,7 +114,7 @@
         running: 0,
         waiting: 0,
         draining: false,
-        asked_at,
+        requested_at,
     };
     bench.step(ShardEvent::Load(report));
     bench.submit(1, ticket(2, "a", 10));
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -126,8 +126,8 @@
     }
 
     fn report(&mut self, running: u32) {
-        let asked_at = self.bench.now;
-        let report = LoadReport { endpoint: endpoint(0), running, waiting: 0, draining: false, asked_at };
+        let requested_at = self.bench.now;
+        let report = LoadReport { endpoint: endpoint(0), running, waiting: 0, draining: false, requested_at };
         self.bench.step(ShardEvent::Load(report));
     }
 
--- a/crates/micaspool-dispatch/tests/shard/reports.rs
+++ b/crates/micaspool-dispatch/tests/shard/reports.rs
@@ -14,7 +14,7 @@
         running: FOREIGN,
         waiting: 0,
         draining: false,
-        asked_at: bench.now,
+        requested_at: bench.now,
     };
     bench.step(ShardEvent::Load(report));
 }
--- a/crates/micaspool-dispatch/tests/shard/suspects.rs
+++ b/crates/micaspool-dispatch/tests/shard/suspects.rs
@@ -236,13 +236,13 @@
     assert!(asks, "it is asked at once");
     bench.pass_with(after, &[1, 2]);
     bench.seen.clear();
-    let asked_at = micaspool_types::Moment(bench.now.0 - asked_before * 1_000);
+    let requested_at = micaspool_types::Moment(bench.now.0 - asked_before * 1_000);
     bench.step(ShardEvent::Load(LoadReport {
         endpoint: at,
         running: 0,
         waiting: 0,
         draining: false,
-        asked_at,
+        requested_at,
     }));
     assert_eq!(told(&bench, LETTER) == [(1, 0)], is_alive);
 }
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -312,7 +312,7 @@
     probed: ProbedEndpoint,
     inputs: Sender<ShardInput>,
 ) {
-    let asked_at = clock.now();
+    let requested_at = clock.now();
     let endpoint = probed.name.clone();
     let Some(answer) = options.probe.ask(&probed).await else {
         if !options.silence_counts {
@@ -330,7 +330,7 @@
         running: answer.running,
         waiting: answer.waiting,
         draining: answer.draining,
-        asked_at,
+        requested_at,
     };
     let _ = inputs.send(ShardInput::Event(ShardEvent::Load(report))).await;
     if !answer.stored.is_empty() || !answer.dropped.is_empty() {
--- a/crates/micaspool-replay/src/run/mod.rs
+++ b/crates/micaspool-replay/src/run/mod.rs
@@ -307,7 +307,7 @@
                     running,
                     waiting: 0,
                     draining: false,
-                    asked_at: self.now,
+                    requested_at: self.now,
                 })
             } else {
                 ShardEvent::Unreachable(endpoint)
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -198,7 +198,7 @@
                         running: 4,
                         waiting: 0,
                         draining: false,
-                        asked_at: Moment(now),
+                        requested_at: Moment(now),
                     };
                     self.step(now, ShardEvent::Load(report));
                 }
