--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -52,7 +52,7 @@
     /// How much longer it is taken for cold; zero for one that is warm.
     pub cold: Duration,
     /// How many routers it asked for rest.
-    pub rests_for: usize,
+    pub resting_routers: usize,
     /// How fast its engine reads; `None` for other endpoints.
     pub pace: Option<PrefillStatus>,
 }
@@ -176,7 +176,7 @@
             } else {
                 Duration::ZERO
             },
-            rests_for: rests.get(&index).copied().unwrap_or_default(),
+            resting_routers: rests.get(&index).copied().unwrap_or_default(),
             pace: state.engine.as_ref().map(|engine| PrefillStatus::of(now, engine.pace())),
         });
         let awaited = || self.waiting.values().filter_map(|ticket| ticket.waits_for.get());
--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -129,7 +129,7 @@
                 "closed_by": endpoint.closure.map(EndpointClosure::as_str),
                 "failures": endpoint.failures,
                 "cold_ms": endpoint.cold.as_millis() as u64,
-                "rests_for_routers": endpoint.rests_for,
+                "rests_for_routers": endpoint.resting_routers,
                 "pace": endpoint.pace.map(pace_json),
             })
         });
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -175,7 +175,7 @@
         field("endpoints_draining", count(|endpoint| endpoint.closure == Some(EndpointClosure::Draining))),
         field("endpoints_evacuated", count(|endpoint| endpoint.closure == Some(EndpointClosure::Evacuated))),
         field("endpoints_cold", count(|endpoint| !endpoint.cold.is_zero())),
-        field("endpoints_resting", count(|endpoint| endpoint.rests_for > 0)),
+        field("endpoints_resting", count(|endpoint| endpoint.resting_routers > 0)),
         field("endpoints_free", count(|endpoint| endpoint.free)),
         field("endpoints_reading", count(|endpoint| endpoint.reading)),
         field("endpoints_failing", count(|endpoint| endpoint.failures > 0)),
