--- a/crates/micaspool-dispatch/src/shard/advice.rs
+++ b/crates/micaspool-dispatch/src/shard/advice.rs
@@ -14,7 +14,7 @@
 
 impl ShardCore {
     /// Takes in what endpoints asked of a router, and refuses its tickets that can't be served in time by that.
-    pub(super) fn heed(
+    pub(super) fn apply_advice(
         &mut self,
         now: Moment,
         session: SessionId,
@@ -22,13 +22,13 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let Some(router) = self.routers.by_session(session) else { return };
-        self.take_advice(now, router, advice);
-        self.refuse_unwanted(now, router, actions);
+        self.record_advice(now, router, advice);
+        self.refuse_resting(now, router, actions);
     }
 
     /// Takes in what endpoints asked of a router. One that leaves says so to whoever asks, and is closed for all routers;
     /// a rest was asked of this one alone.
-    pub(super) fn take_advice(&mut self, now: Moment, router: RouterIndex, advice: &[AdviceRecord]) {
+    pub(super) fn record_advice(&mut self, now: Moment, router: RouterIndex, advice: &[AdviceRecord]) {
         for record in advice {
             let endpoint = self.endpoints.ensure(&record.endpoint);
             if record.advice.leaving {
@@ -41,7 +41,7 @@
     }
 
     /// Refuses the waiting tickets of a router whose time is over before the first endpoint wants them again.
-    pub(super) fn refuse_unwanted(
+    pub(super) fn refuse_resting(
         &mut self,
         now: Moment,
         router: RouterIndex,
@@ -51,12 +51,12 @@
             return;
         }
         for request in self.routers.held(router) {
-            self.refuse_unwanted_ticket(now, request, actions);
+            self.refuse_resting_ticket(now, request, actions);
         }
     }
 
     /// Refuses a waiting ticket whose time is over before the first endpoint wants it again.
-    pub(super) fn refuse_unwanted_ticket(
+    pub(super) fn refuse_resting_ticket(
         &mut self,
         now: Moment,
         request: RequestId,
@@ -64,12 +64,12 @@
     ) {
         let Some(ticket) = self.waiting.get(&request) else { return };
         let halls = self.customers.get(ticket.customer).halls;
-        let Some(wanted_again) = self.unwanted_until(now, ticket.router, halls) else { return };
-        if ticket.latest().is_some_and(|latest| latest < wanted_again) {
+        let Some(rest_end_at) = self.rest_end(now, ticket.router, halls) else { return };
+        if ticket.latest().is_some_and(|latest| latest < rest_end_at) {
             self.refuse_for(
                 now,
                 request,
-                RefusalCause::not_before(RefusalReason::EndpointsRest, wanted_again),
+                RefusalCause::not_before(RefusalReason::EndpointsRest, rest_end_at),
                 actions,
             );
         }
@@ -77,7 +77,7 @@
 
     /// The soonest moment at which any endpoint in these halls wants something from a router again; `None` while one of
     /// them wants it now.
-    pub(super) fn unwanted_until(&self, now: Moment, router: RouterIndex, halls: HallMask) -> Option<Moment> {
+    pub(super) fn rest_end(&self, now: Moment, router: RouterIndex, halls: HallMask) -> Option<Moment> {
         if !self.routers.has_rests(router) {
             return None;
         }
@@ -94,13 +94,14 @@
     }
 
     /// True when a router may send nothing to an endpoint now: it does not hold it, or was asked for rest.
-    pub(super) fn may_not_use(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> bool {
-        self.routers.lacks(now, router, endpoint) || self.routers.rests_until(now, router, endpoint).is_some()
+    pub(super) fn is_blocked_for(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> bool {
+        self.routers.lacks_endpoint(now, router, endpoint)
+            || self.routers.rests_until(now, router, endpoint).is_some()
     }
 
     /// True while no endpoint that a ticket may use wants anything from its router.
-    pub(super) fn is_unwanted(&self, now: Moment, ticket: &WaitingTicket) -> bool {
+    pub(super) fn is_resting(&self, now: Moment, ticket: &WaitingTicket) -> bool {
         let halls = self.customers.get(ticket.customer).halls;
-        self.unwanted_until(now, ticket.router, halls).is_some()
+        self.rest_end(now, ticket.router, halls).is_some()
     }
 }
--- a/crates/micaspool-dispatch/src/shard/doors.rs
+++ b/crates/micaspool-dispatch/src/shard/availability.rs
@@ -1,12 +1,12 @@
 //! Whether an endpoint may get a request now, and if not, until when and why.
 
-use super::cold::ColdGate;
+use super::cold::ColdStartLimiter;
 use super::status::EndpointClosure;
 use micaspool_types::Moment;
 
 /// Why an endpoint takes nothing new, apart from full slots and what it has to read.
 #[derive(Debug, Default)]
-pub(super) struct EndpointDoors {
+pub(super) struct EndpointAvailability {
     /// Settings no longer have it, or say that it leaves.
     pub settings: bool,
     /// The platform lists it as leaving.
@@ -22,10 +22,10 @@
     /// True when it is paused since a router was told that it leaves.
     pub paused_as_leaving: bool,
     /// How seldom it may get a request while it is cold.
-    pub cold: ColdGate,
+    pub cold: ColdStartLimiter,
 }
 
-impl EndpointDoors {
+impl EndpointAvailability {
     /// True when the endpoint is known to be leaving, or gone for a reason of its own.
     pub fn is_leaving(&self) -> bool {
         self.settings || self.listed || self.draining_since.is_some() || self.said_leaving
--- a/crates/micaspool-dispatch/src/shard/choice.rs
+++ b/crates/micaspool-dispatch/src/shard/choice.rs
@@ -2,7 +2,7 @@
 
 use super::endpoints::{EndpointIndex, EndpointState, EndpointTable};
 use super::engine::PromptShape;
-use super::waits::QueuedBefore;
+use super::engine_queues::WorkAhead;
 use micaspool_types::{HallMask, Moment};
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
         &self,
         now: Moment,
         query: &EngineQuery<'_>,
-        queued: impl Fn(EndpointIndex) -> QueuedBefore,
+        queued: impl Fn(EndpointIndex) -> WorkAhead,
     ) -> Option<EndpointIndex> {
         let holders = self.holders_of(query);
         let candidates = holders.chain(self.least_loaded_few(query));
@@ -60,7 +60,7 @@
             let engine = state.engine.as_ref()?;
             let before = queued(index);
             let held_up = self.cold_wait(now, index, before.tickets);
-            let begins = now + held_up + engine.time_to_begin(now, query.prompt, before.tokens);
+            let begins = now + held_up + engine.time_to_first_event(now, query.prompt, before.tokens);
             Some(EngineFitness {
                 late: query.wanted_by.is_some_and(|wanted| begins > wanted),
                 delay: engine.delay(now, query.prompt, state.busy, before.tokens)
@@ -72,14 +72,14 @@
     }
 
     /// The tokens that an engine would have to read for a prompt.
-    pub fn missing(&self, engine: EndpointIndex, prompt: &PromptShape) -> u64 {
-        self.state(engine).engine.as_ref().map_or(0, |engine| engine.missing(prompt))
+    pub fn uncached_tokens(&self, engine: EndpointIndex, prompt: &PromptShape) -> u64 {
+        self.state(engine).engine.as_ref().map_or(0, |engine| engine.uncached_tokens(prompt))
     }
 
     /// Where an engine that nothing is known of starts, in microseconds a token: the mean of the warm
     /// engines that were observed, else what settings plan.
-    pub fn usual_per_token(&self, now: Moment, planned_pace: f64) -> Option<f64> {
-        let warm = self.states.iter().filter(|state| !state.doors.cold.is_cold(now));
+    pub fn default_per_token(&self, now: Moment, planned_pace: f64) -> Option<f64> {
+        let warm = self.states.iter().filter(|state| !state.availability.cold.is_cold(now));
         let engines = warm.filter_map(|state| state.engine.as_ref());
         let known: Vec<f64> = engines.filter_map(|engine| engine.pace().settled_per_token()).collect();
         if known.is_empty() {
@@ -99,8 +99,8 @@
         let load = |state: &EndpointState| {
             let pace = state.engine.as_ref()?.pace();
             let warm = pace.tokens_per_milli() * 1_000.0;
-            let usual = pace.usual_reading();
-            let is_bounded = state.doors.cold.is_cold(now) && !spacing.is_zero() && !usual.is_zero();
+            let usual = pace.mean_prefill_time();
+            let is_bounded = state.availability.cold.is_cold(now) && !spacing.is_zero() && !usual.is_zero();
             let used = if is_bounded { usual.div_duration_f64(spacing).min(1.0) } else { 1.0 };
             Some(warm * used)
         };
@@ -114,12 +114,12 @@
 
     /// From a grant to the first event at the engine that would begin soonest without a queue; where there are no
     /// engines, until an answer usually begins.
-    pub fn shortest_begin(&self, now: Moment, prompt: &PromptShape) -> Duration {
+    pub fn min_time_to_first_event(&self, now: Moment, prompt: &PromptShape) -> Duration {
         let anywhere =
             EngineQuery { prompt, halls: HallMask(u32::MAX), is_excluded: &|_| false, wanted_by: None };
-        let best = self.soonest_engine(now, &anywhere, |_| QueuedBefore::default());
+        let best = self.soonest_engine(now, &anywhere, |_| WorkAhead::default());
         let engine = best.and_then(|index| self.state(index).engine.as_ref());
-        engine.map_or(self.answer_time.mean(), |engine| engine.begin_time(prompt))
+        engine.map_or(self.answer_time.mean(), |engine| engine.unqueued_time_to_first_event(prompt))
     }
 
     /// Engines with a slot that keep the longest leading part of a prompt that any of them keeps, free ones first: the
--- a/crates/micaspool-dispatch/src/shard/copies.rs
+++ b/crates/micaspool-dispatch/src/shard/copies.rs
@@ -45,16 +45,16 @@
         }
     }
 
-    pub fn waits(&self, digest: RequestDigest) -> bool {
+    pub fn is_waiting(&self, digest: RequestDigest) -> bool {
         self.waiting.contains_key(&digest)
     }
 
-    pub fn runs(&self, digest: RequestDigest) -> bool {
+    pub fn is_running(&self, digest: RequestDigest) -> bool {
         self.running.contains_key(&digest)
     }
 
     /// Where copies of a request run.
-    pub fn places(&self, digest: RequestDigest) -> &[EndpointIndex] {
+    pub fn running_on(&self, digest: RequestDigest) -> &[EndpointIndex] {
         self.running.get(&digest).map(Vec::as_slice).unwrap_or_default()
     }
 }
--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -1,9 +1,9 @@
 //! The customers of a shard: accounts, queues and limits.
 
 use super::flow::CustomerCounters;
-use super::rate::FadingRate;
+use super::rate::DecayingRate;
 use super::tickets::WaitingTicket;
-use super::tolerance::SharedTolerance;
+use super::tolerance::WaitTolerance;
 use crate::event::ShardCustomer;
 use micaspool_fair::{CostEstimator, CustomerIndex, OrderPolicy, Rank, ServiceAccount, ServiceLevel};
 use micaspool_types::{Cost, CustomerName, HallMask, Moment, OrderNumber, RequestId, Weight};
@@ -33,13 +33,13 @@
     /// The prompt tokens of the queue; requests where they have none.
     pub queued_load: u64,
     /// The same of all its tickets that came, a second.
-    pub ask_rate: FadingRate,
+    pub ask_rate: DecayingRate,
     /// The same of its grants, a second.
-    pub grant_rate: FadingRate,
+    pub grant_rate: DecayingRate,
     /// What became of its tickets.
     pub flow: CustomerCounters,
     /// What its tickets bear.
-    pub tolerance: SharedTolerance,
+    pub tolerance: WaitTolerance,
     pub running: u32,
     /// What this shard has delivered to the customer since it began.
     pub served: Cost,
@@ -96,10 +96,10 @@
             estimator: CostEstimator::new(self.ceiling),
             queue: BTreeMap::new(),
             queued_load: 0,
-            ask_rate: FadingRate::default(),
-            grant_rate: FadingRate::default(),
+            ask_rate: DecayingRate::default(),
+            grant_rate: DecayingRate::default(),
             flow: CustomerCounters::default(),
-            tolerance: SharedTolerance::default(),
+            tolerance: WaitTolerance::default(),
             running: 0,
             served: Cost(0),
             indexed: None,
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -1,9 +1,9 @@
 //! The endpoints of a shard: slots, and whether they may take new work.
 
-use super::doors::EndpointDoors;
+use super::availability::EndpointAvailability;
 use super::engine::{EngineState, PartChange, PromptShape};
 use super::holders::PartHolders;
-use super::reports::SeenSurplus;
+use super::reports::ReportedSurplus;
 use super::service_time::ServiceTime;
 use super::status::EndpointClosure;
 use crate::event::{CacheUpdate, ColdStartLimits, EndpointSpec, GrantOutcome, ShardPolicy};
@@ -27,7 +27,7 @@
     pub busy: u32,
     /// Slots that something else uses, as two reports in a row agree.
     pub foreign: u32,
-    pub(super) doors: EndpointDoors,
+    pub(super) availability: EndpointAvailability,
     /// Set for a language model whose memory size is known.
     pub(super) engine: Option<EngineState>,
     /// True while its engine has too much to read to get more.
@@ -37,9 +37,9 @@
     /// Requests in a row that broke and were tolerated.
     breaks: u32,
     /// How often in a row it could not be reached.
-    pub(super) absences: u32,
+    pub(super) connect_failures: u32,
     /// The surplus of the last report over our own grants, and when it came.
-    pub(super) last_surplus: Option<SeenSurplus>,
+    pub(super) last_surplus: Option<ReportedSurplus>,
     /// The load under which the endpoint stands in its hall's set of free endpoints.
     indexed: Option<u32>,
 }
@@ -58,7 +58,7 @@
     /// When endpoints may get more: engines that will have read enough, and cold ones whose next request is due.
     pub(super) wakes: BTreeSet<(Moment, EndpointIndex)>,
     /// What endpoints bear while they are cold.
-    pub(super) cold_terms: ColdStartLimits,
+    pub(super) cold_limits: ColdStartLimits,
     pub(super) holders: PartHolders,
     /// Reused to carry what changed about an engine's kept parts.
     part_changes: Vec<PartChange>,
@@ -73,12 +73,12 @@
 impl EndpointState {
     /// True when the endpoint may take new work once it has a slot.
     pub fn is_open(&self) -> bool {
-        self.doors.is_open()
+        self.availability.is_open()
     }
 
     /// Why the endpoint takes nothing new; the most lasting cause if there are several.
     pub fn closure(&self) -> Option<EndpointClosure> {
-        self.doors.closure()
+        self.availability.closure()
     }
 
     /// True when it has a free slot and little enough to read.
@@ -87,15 +87,15 @@
     }
 
     /// Takes over what settings and the endpoint itself say.
-    fn follow(&mut self, now: Moment, spec: &EndpointSpec) {
+    fn apply_spec(&mut self, now: Moment, spec: &EndpointSpec) {
         self.hall = spec.hall;
         self.slots = spec.slots;
-        self.doors.settings = spec.leaving;
-        self.doors.evacuated = spec.evacuated;
-        self.doors.cold.tell(now, spec.cold);
+        self.availability.settings = spec.leaving;
+        self.availability.evacuated = spec.evacuated;
+        self.availability.cold.set_reported(now, spec.cold);
     }
 
-    fn size_engine(&mut self, memory: u64, initial_share: u64, per_token: Option<f64>) {
+    fn configure_engine(&mut self, memory: u64, initial_share: u64, per_token: Option<f64>) {
         match &mut self.engine {
             Some(engine) => {
                 engine.resize(memory);
@@ -125,7 +125,7 @@
     /// read.
     fn free_load(&self) -> Option<u32> {
         let taken = self.busy + self.foreign;
-        let free = self.has_slot() && !self.reading && !self.doors.cold.spaced;
+        let free = self.has_slot() && !self.reading && !self.availability.cold.spaced;
         free.then(|| taken * LOAD_PARTS / self.slots.max(1))
     }
 }
@@ -169,12 +169,12 @@
             slots: 0,
             busy: 0,
             foreign: 0,
-            doors: EndpointDoors { settings: true, ..EndpointDoors::default() },
+            availability: EndpointAvailability { settings: true, ..EndpointAvailability::default() },
             engine: None,
             reading: false,
             failures: 0,
             breaks: 0,
-            absences: 0,
+            connect_failures: 0,
             last_surplus: None,
             indexed: None,
         });
@@ -184,21 +184,21 @@
     /// Takes over the endpoints of new settings; others get nothing new and finish what runs.
     pub fn adopt(&mut self, now: Moment, policy: &ShardPolicy) {
         let initial_share = self.initial_share;
-        let per_token = self.usual_per_token(now, policy.planned_pace);
-        self.cold_terms = policy.cold;
+        let per_token = self.default_per_token(now, policy.planned_pace);
+        self.cold_limits = policy.cold;
         for index in self.indices() {
             self.unindex(index);
-            self.state_mut(index).doors.settings = true;
+            self.state_mut(index).availability.settings = true;
         }
         for spec in &policy.endpoints {
             let index = self.ensure(&spec.name);
-            self.state_mut(index).follow(now, spec);
-            self.state_mut(index).size_engine(spec.memory_tokens, initial_share, per_token);
+            self.state_mut(index).apply_spec(now, spec);
+            self.state_mut(index).configure_engine(spec.memory_tokens, initial_share, per_token);
         }
         let halls = self.states.iter().map(|state| state.hall + 1).max().unwrap_or(0);
         self.free.resize_with(halls.max(self.free.len()), BTreeSet::new);
         for index in self.indices() {
-            self.watch_cold(now, index);
+            self.update_cold_limit(now, index);
         }
     }
 
@@ -222,7 +222,7 @@
 
     /// True when an endpoint is known to be leaving, or gone for a reason of its own.
     pub fn is_leaving(&self, endpoint: EndpointIndex) -> bool {
-        self.state(endpoint).doors.is_leaving()
+        self.state(endpoint).availability.is_leaving()
     }
 
     /// True when an endpoint has become free since the last call.
@@ -248,15 +248,15 @@
         }
         self.holders.take(endpoint, &mut changes);
         self.part_changes = changes;
-        self.watch_reading(now, endpoint);
-        self.space_out(now, endpoint);
+        self.update_prefill_limit(now, endpoint);
+        self.delay_next_grant(now, endpoint);
     }
 
     /// Notes that a request has begun at its engine.
     pub fn begin(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId) {
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
             engine.begin(now, request);
-            self.watch_reading(now, endpoint);
+            self.update_prefill_limit(now, endpoint);
         }
     }
 
@@ -264,16 +264,16 @@
     pub fn withdraw(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId) {
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
             engine.withdraw(request);
-            self.watch_reading(now, endpoint);
+            self.update_prefill_limit(now, endpoint);
         }
     }
 
     /// Closes an engine while it has too much to read.
-    pub(super) fn watch_reading(&mut self, now: Moment, endpoint: EndpointIndex) {
+    pub(super) fn update_prefill_limit(&mut self, now: Moment, endpoint: EndpointIndex) {
         let state = self.state_mut(endpoint);
         let Some(engine) = &state.engine else { return };
-        state.reading = !engine.has_time(now);
-        let wake = engine.has_time_at(now);
+        state.reading = !engine.has_prefill_budget(now);
+        let wake = engine.prefill_budget_at(now);
         if state.reading && wake > now {
             self.wakes.insert((wake, endpoint));
         }
@@ -301,7 +301,7 @@
             GrantOutcome::Done | GrantOutcome::Abandoned => {
                 state.failures = 0;
                 state.breaks = 0;
-                self.presume_cold(now, endpoint);
+                self.infer_cold_start(now, endpoint);
             }
             GrantOutcome::Broken | GrantOutcome::Severed if state.breaks < self.tolerated_breaks => {
                 state.breaks += 1
@@ -313,8 +313,8 @@
             | GrantOutcome::Draining
             | GrantOutcome::Broken
             | GrantOutcome::Severed => {
-                state.doors.paused_as_leaving = fate == GrantOutcome::Draining;
-                state.absences += u32::from(fate == GrantOutcome::Unreachable);
+                state.availability.paused_as_leaving = fate == GrantOutcome::Draining;
+                state.connect_failures += u32::from(fate == GrantOutcome::Unreachable);
                 self.pause(now, endpoint)
             }
             GrantOutcome::Unsent | GrantOutcome::NotHeld => {}
@@ -337,17 +337,17 @@
     }
 
     /// Takes the platform's list in.
-    pub fn list_leaving(&mut self, leaving: &BTreeSet<EndpointName>) {
+    pub fn set_listed(&mut self, leaving: &BTreeSet<EndpointName>) {
         for index in self.indices() {
             let state = self.state_mut(index);
-            state.doors.listed = leaving.contains(&state.name);
+            state.availability.listed = leaving.contains(&state.name);
             self.reindex(index);
         }
     }
 
     /// Closes an endpoint that told a router that it leaves. Its next start has another name.
     pub fn note_leaving(&mut self, endpoint: EndpointIndex) {
-        self.state_mut(endpoint).doors.said_leaving = true;
+        self.state_mut(endpoint).availability.said_leaving = true;
         self.reindex(endpoint);
     }
 
@@ -355,8 +355,8 @@
     pub fn wake(&mut self, now: Moment) {
         while let Some((at, endpoint)) = self.wakes.first().copied().filter(|(at, _)| *at <= now) {
             self.wakes.remove(&(at, endpoint));
-            self.watch_reading(now, endpoint);
-            self.watch_cold(now, endpoint);
+            self.update_prefill_limit(now, endpoint);
+            self.update_cold_limit(now, endpoint);
         }
         self.end_pauses(now);
     }
--- a/crates/micaspool-dispatch/src/shard/waits.rs
+++ b/crates/micaspool-dispatch/src/shard/engine_queues.rs
@@ -10,7 +10,7 @@
 
 /// What chose an engine before a ticket did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct QueuedBefore {
+pub(super) struct WorkAhead {
     /// How many tickets.
     pub tickets: u32,
     /// What the engine has to read for them.
@@ -28,19 +28,19 @@
 /// For each engine the tickets that wait for it, in the order in which they chose it. Choices are made while the
 /// shard is searched for the next grant, so a queue changes behind a shared reference.
 #[derive(Debug, Default)]
-pub(super) struct EngineWaits {
+pub(super) struct EngineQueues {
     queues: RefCell<HashMap<EndpointIndex, Vec<AwaitingTicket>>>,
 }
 
-impl EngineWaits {
+impl EngineQueues {
     /// The tickets that chose an engine before this one.
-    pub fn before(&self, engine: EndpointIndex, request: RequestId) -> QueuedBefore {
+    pub fn ahead_of(&self, engine: EndpointIndex, request: RequestId) -> WorkAhead {
         let queues = self.queues.borrow();
-        let Some(queue) = queues.get(&engine) else { return QueuedBefore::default() };
+        let Some(queue) = queues.get(&engine) else { return WorkAhead::default() };
         let earlier = queue.iter().take_while(|ticket| ticket.request != request);
-        earlier.fold(QueuedBefore::default(), |before, ticket| QueuedBefore {
-            tickets: before.tickets + 1,
-            tokens: before.tokens + ticket.tokens,
+        earlier.fold(WorkAhead::default(), |ahead, ticket| WorkAhead {
+            tickets: ahead.tickets + 1,
+            tokens: ahead.tokens + ticket.tokens,
         })
     }
 
--- a/crates/micaspool-dispatch/src/shard/evacuation.rs
+++ b/crates/micaspool-dispatch/src/shard/evacuation.rs
@@ -15,8 +15,8 @@
     pub fn all_evacuated(&self, halls: HallMask) -> bool {
         let mut some = false;
         for state in self.iter() {
-            let in_use = state.slots > 0 && halls.contains(state.hall) && !state.doors.is_leaving();
-            if in_use && !state.doors.evacuated {
+            let in_use = state.slots > 0 && halls.contains(state.hall) && !state.availability.is_leaving();
+            if in_use && !state.availability.evacuated {
                 return false;
             }
             some |= in_use;
@@ -28,7 +28,7 @@
 impl ShardCore {
     /// Refuses the waiting tickets that only endpoints in evacuated halls could run.
     pub(super) fn refuse_evacuated(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
-        if !self.endpoints.iter().any(|state| state.doors.evacuated) {
+        if !self.endpoints.iter().any(|state| state.availability.evacuated) {
             return;
         }
         let closed = |request: &RequestId| {
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -12,7 +12,7 @@
 
 /// How long after the end of an endpoint news of its runs may still come: routers told of breaks up to 0.7 s after the
 /// first. What comes later shows that it is alive.
-const STRAGGLING: Duration = Duration::from_secs(1);
+const STRAGGLER_WINDOW: Duration = Duration::from_secs(1);
 /// For how long a load report tells whether an endpoint ended before it was asked for. Its address may be another's
 /// some two seconds after its end.
 pub(super) const REPORT_WINDOW: Duration = Duration::from_millis(1_500);
@@ -21,7 +21,7 @@
 
 impl ShardCore {
     /// Learns from how a run ended, as its router says.
-    pub(super) fn judge(
+    pub(super) fn record_outcome(
         &mut self,
         now: Moment,
         ended: &EndedRun,
@@ -35,8 +35,8 @@
         match fate {
             GrantOutcome::Severed => self.note_severed(now, ended, actions),
             GrantOutcome::Done => {
-                self.hear_endpoint(now, ended.endpoint, actions);
-                self.acquit(now, ended.digest, StandingCause::Answered, actions);
+                self.note_endpoint_response(now, ended.endpoint, actions);
+                self.clear_suspicion(now, ended.digest, StandingCause::Answered, actions);
             }
             _ => {}
         }
@@ -58,11 +58,11 @@
         }
         let change = self.suspects.table.note_crash(now, digest, &customer, &endpoint);
         self.suspects.note_witness(digest, ended.router);
-        self.note_worse(now, change, StandingCause::EndpointEnded, actions);
+        self.worsen_standing(now, change, StandingCause::EndpointEnded, actions);
     }
 
     /// A router joins with what it knows of requests under which endpoints ended.
-    pub(super) fn join_suspects(
+    pub(super) fn merge_suspects(
         &mut self,
         now: Moment,
         router: RouterIndex,
@@ -73,14 +73,14 @@
             let change = self.suspects.table.merge(now, record);
             self.suspects.note_witness(record.digest, router);
             if change.before != change.after {
-                self.note_worse(now, change, StandingCause::RouterJoined, actions);
+                self.worsen_standing(now, change, StandingCause::RouterJoined, actions);
             }
         }
-        self.tell_shut_out(now, router, actions);
+        self.send_quarantined(now, router, actions);
     }
 
     /// A router that joins hears of all that is shut out.
-    fn tell_shut_out(&self, now: Moment, router: RouterIndex, actions: &mut Vec<ShardAction>) {
+    fn send_quarantined(&self, now: Moment, router: RouterIndex, actions: &mut Vec<ShardAction>) {
         if self.suspects.table.is_empty() {
             return;
         }
@@ -93,38 +93,38 @@
     }
 
     /// More is held against a request than before.
-    fn note_worse(
+    fn worsen_standing(
         &mut self,
         now: Moment,
         change: TableChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.note_standing(now, &change, cause, actions);
+        self.report_standing(now, &change, cause, actions);
         if matches!(change.after, RequestStanding::Quarantined { .. }) {
             self.suspects.holders.insert(change.digest, RecordHolders::All);
-            self.tell_holders(now, &change, actions);
+            self.notify_holders(now, &change, actions);
         }
         self.refuse_copies(now, &change, actions);
     }
 
     /// Less is held against a request than before.
-    fn note_better(
+    fn improve_standing(
         &mut self,
         now: Moment,
         change: TableChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.note_standing(now, &change, cause, actions);
-        self.tell_holders(now, &change, actions);
+        self.report_standing(now, &change, cause, actions);
+        self.notify_holders(now, &change, actions);
         if change.after == RequestStanding::Clear {
             self.suspects.holders.remove(&change.digest);
         }
         self.fill_due = now;
     }
 
-    fn note_standing(
+    fn report_standing(
         &self,
         now: Moment,
         change: &TableChange,
@@ -136,7 +136,7 @@
         actions.push(ShardAction::ReportStanding { record, before, after, cause });
     }
 
-    fn acquit(
+    fn clear_suspicion(
         &mut self,
         now: Moment,
         digest: Option<RequestDigest>,
@@ -145,7 +145,7 @@
     ) {
         let Some(digest) = digest.filter(|_| !self.suspects.table.is_empty()) else { return };
         if let Some(change) = self.suspects.table.clear(now, digest) {
-            self.note_better(now, change, cause, actions);
+            self.improve_standing(now, change, cause, actions);
         }
     }
 
@@ -156,11 +156,11 @@
         digest: RequestDigest,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.acquit(now, Some(digest), StandingCause::Lifted, actions);
+        self.clear_suspicion(now, Some(digest), StandingCause::Lifted, actions);
     }
 
     /// News of a run come from an endpoint: it is alive, if they come too late to be stragglers.
-    pub(super) fn hear_endpoint(
+    pub(super) fn note_endpoint_response(
         &mut self,
         now: Moment,
         endpoint: EndpointIndex,
@@ -169,12 +169,17 @@
         if self.suspects.table.is_empty() {
             return;
         }
-        let until = Moment(now.0.saturating_sub(micros(STRAGGLING)));
+        let until = Moment(now.0.saturating_sub(micros(STRAGGLER_WINDOW)));
         self.note_alive(now, endpoint, Moment(0), until, actions);
     }
 
     /// An endpoint answered when it was asked for its load.
-    pub(super) fn hear_report(&mut self, now: Moment, report: &LoadReport, actions: &mut Vec<ShardAction>) {
+    pub(super) fn note_load_response(
+        &mut self,
+        now: Moment,
+        report: &LoadReport,
+        actions: &mut Vec<ShardAction>,
+    ) {
         if self.suspects.table.is_empty() {
             return;
         }
@@ -193,7 +198,7 @@
     ) {
         let name = self.endpoints.name(endpoint).clone();
         for change in self.suspects.table.note_alive(now, &name, &(from..=until)) {
-            self.note_better(now, change, StandingCause::EndpointAlive, actions);
+            self.improve_standing(now, change, StandingCause::EndpointAlive, actions);
         }
     }
 
@@ -204,7 +209,7 @@
         }
         self.suspects.next_expiry = now + EXPIRY_INTERVAL;
         for change in self.suspects.table.expire(now) {
-            self.note_better(now, change, StandingCause::Expired, actions);
+            self.improve_standing(now, change, StandingCause::Expired, actions);
         }
         self.suspects.forget_holders();
     }
--- a/crates/micaspool-dispatch/src/shard/pace.rs
+++ b/crates/micaspool-dispatch/src/shard/grant_throughput.rs
@@ -4,25 +4,25 @@
 use std::time::Duration;
 
 /// The span over which grants are counted.
-const SPAN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 /// The share of the newest span in the average, as a divisor.
 const SMOOTHING: u64 = 4;
 /// Rates are kept in thousandths of a grant a second.
-const RATE_PARTS: u64 = 1_000;
-const SHORTEST_WAIT: Duration = Duration::from_secs(1);
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const RATE_SCALE: u64 = 1_000;
+const MIN_WAIT: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// A moving average of grants a second.
 #[derive(Debug)]
-pub(super) struct GrantPace {
-    started: Moment,
+pub(super) struct GrantThroughput {
+    window_start: Moment,
     counted: u64,
     rate: u64,
 }
 
-impl GrantPace {
-    pub fn new(now: Moment) -> GrantPace {
-        GrantPace { started: now, counted: 0, rate: 0 }
+impl GrantThroughput {
+    pub fn new(now: Moment) -> GrantThroughput {
+        GrantThroughput { window_start: now, counted: 0, rate: 0 }
     }
 
     /// Counts a grant.
@@ -31,24 +31,24 @@
     }
 
     /// Moves the average on when a span has passed.
-    pub fn pass(&mut self, now: Moment) {
-        let passed = now.since(self.started);
-        if passed < SPAN {
+    pub fn advance(&mut self, now: Moment) {
+        let elapsed = now.since(self.window_start);
+        if elapsed < WINDOW {
             return;
         }
-        let newest = self.counted * RATE_PARTS * 1_000 / passed.as_millis().max(1) as u64;
+        let newest = self.counted * RATE_SCALE * 1_000 / elapsed.as_millis().max(1) as u64;
         self.rate =
             if self.rate == 0 { newest } else { self.rate - self.rate / SMOOTHING + newest / SMOOTHING };
-        self.started = now;
+        self.window_start = now;
         self.counted = 0;
     }
 
     /// How long this many grants take at the present pace.
     pub fn wait_for(&self, grants: usize) -> Duration {
         if self.rate == 0 {
-            return SHORTEST_WAIT;
+            return MIN_WAIT;
         }
-        let millis = grants as u64 * RATE_PARTS * 1_000 / self.rate;
-        Duration::from_millis(millis).clamp(SHORTEST_WAIT, LONGEST_WAIT)
+        let millis = grants as u64 * RATE_SCALE * 1_000 / self.rate;
+        Duration::from_millis(millis).clamp(MIN_WAIT, MAX_WAIT)
     }
 }
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -35,7 +35,7 @@
     pub priority: u8,
     pub prompt: PromptShape,
     /// True until its first event has come.
-    pub unread: bool,
+    pub awaits_first_event: bool,
     /// When it was granted here; `None` for one that another dispatcher granted.
     pub since: Option<Moment>,
 }
@@ -96,7 +96,7 @@
         let queue = self.customers.get(customer).queue.values();
         let usable = queue.filter(move |request| {
             let ticket = &self.waiting[*request];
-            self.routers.session(ticket.router).is_some() && !self.is_unwanted(now, ticket)
+            self.routers.session(ticket.router).is_some() && !self.is_resting(now, ticket)
         });
         usable.take(LOOK_AHEAD)
     }
@@ -123,14 +123,14 @@
     /// The engine that would begin first, once it is free; for others the free endpoint with the longest known
     /// prefix of the prompt, else the least loaded.
     fn choose_endpoint(&self, now: Moment, ticket: &WaitingTicket) -> Option<EndpointIndex> {
-        let apart = self.kept_apart(now, ticket)?;
+        let excluded = self.isolation_exclusions(now, ticket)?;
         let halls = self.customers.get(ticket.customer).halls;
         let is_excluded = |endpoint| {
             ticket.avoided(now) == Some(endpoint)
-                || apart.contains(&endpoint)
-                || self.may_not_use(now, ticket.router, endpoint)
+                || excluded.contains(&endpoint)
+                || self.is_blocked_for(now, ticket.router, endpoint)
         };
-        let before = |engine| self.waits.before(engine, ticket.place.request);
+        let before = |engine| self.engine_queues.ahead_of(engine, ticket.place.request);
         let query = EngineQuery {
             prompt: &ticket.prompt,
             halls,
@@ -156,17 +156,17 @@
         let choice = engine.map(|engine| EngineChoice { engine, round: self.choice_round });
         let before = ticket.waits_for.replace(choice);
         if let Some(left) = before.filter(|before| Some(before.engine) != engine) {
-            self.waits.leave(left.engine, request);
+            self.engine_queues.leave(left.engine, request);
         }
         if let Some(engine) = engine {
-            self.waits.join(engine, request, self.endpoints.missing(engine, &ticket.prompt));
+            self.engine_queues.join(engine, request, self.endpoints.uncached_tokens(engine, &ticket.prompt));
         }
     }
 
     /// A ticket waits for no engine any more.
     pub(super) fn forget_choice(&self, ticket: &WaitingTicket) {
         if let Some(choice) = ticket.waits_for.get() {
-            self.waits.leave(choice.engine, ticket.place.request);
+            self.engine_queues.leave(choice.engine, ticket.place.request);
         }
     }
 
@@ -197,7 +197,7 @@
         self.endpoints.admit(now, endpoint, request, &ticket.prompt);
         self.endpoints.occupy(endpoint);
         self.prefixes.remember(&ticket.prompt.prefixes, endpoint);
-        self.pace.count();
+        self.throughput.count();
         if let Some(session) = self.routers.session(ticket.router) {
             actions.push(ShardAction::Grant {
                 session,
@@ -240,7 +240,7 @@
         let (customer, estimate, before) = (grant.customer, grant.estimate, grant.delivered);
         grant.delivered = delivered;
         let (endpoint, since) = (grant.endpoint, grant.since);
-        let begins = std::mem::take(&mut grant.unread);
+        let begins = std::mem::take(&mut grant.awaits_first_event);
         if begins {
             self.endpoints.begin(now, endpoint, request);
             since.into_iter().for_each(|since| self.endpoints.note_answer(endpoint, now.since(since)));
@@ -248,7 +248,7 @@
         self.delivered.add(now, delivered.minus(before).0);
         self.customers.get_mut(customer).note_delivered(estimate, before, delivered);
         self.reindex(customer);
-        self.hear_endpoint(now, endpoint, actions);
+        self.note_endpoint_response(now, endpoint, actions);
     }
 
     /// Ends a grant as its router says.
@@ -265,7 +265,7 @@
         let own = self.running.get(&request).filter(|grant| Some(grant.router) == owner);
         let Some(ended) = own.map(EndedRun::of) else { return };
         self.end_grant(now, request, Some(cost), fate);
-        self.judge(now, &ended, fate, actions);
+        self.record_outcome(now, &ended, fate, actions);
     }
 
     /// Ends a grant, if the request has one; without a cost, what was delivered counts.
@@ -279,7 +279,7 @@
         let Some(grant) = self.running.remove(&request) else { return };
         self.copies.end_running(grant.digest, grant.endpoint);
         self.routers.release(grant.router, request);
-        if grant.unread {
+        if grant.awaits_first_event {
             self.endpoints.withdraw(now, grant.endpoint, request);
         }
         self.endpoints.vacate(now, grant.endpoint, fate);
@@ -288,12 +288,12 @@
         {
             let took = now.since(since);
             self.endpoints.note_service(grant.endpoint, took);
-            if grant.unread {
+            if grant.awaits_first_event {
                 self.endpoints.note_answer(grant.endpoint, took);
             }
         }
         if fate == GrantOutcome::NotHeld {
-            self.routers.note_lacking(now, grant.router, grant.endpoint);
+            self.routers.note_not_held(now, grant.router, grant.endpoint);
         }
         let state = self.customers.get_mut(grant.customer);
         state.running -= 1;
@@ -339,7 +339,7 @@
             order: ticket.place.order,
             priority: ticket.place.priority,
             prompt: ticket.prompt,
-            unread: true,
+            awaits_first_event: true,
             since: Some(now),
         }
     }
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -30,8 +30,8 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let router = self.routers.attach(now, session, &hello);
-        self.join_suspects(now, router, &hello.crashes, actions);
-        self.take_advice(now, router, &hello.advice);
+        self.merge_suspects(now, router, &hello.crashes, actions);
+        self.record_advice(now, router, &hello.advice);
         if self.options.use_held_state {
             for total in &hello.totals {
                 self.recover_level(total);
@@ -47,7 +47,7 @@
         for ticket in tickets {
             self.take_ticket(now, session, router, ticket, actions);
         }
-        self.refuse_unwanted(now, router, actions);
+        self.refuse_resting(now, router, actions);
         if self.options.use_held_state {
             let mut grants: Vec<HeldGrant> = running.into_values().collect();
             grants.sort_by_key(|grant| grant.order);
@@ -124,7 +124,7 @@
         if self.waiting.contains_key(&request) || self.running.contains_key(&request) {
             return;
         }
-        if let Some(refusal) = self.reason_to_keep_out(now, &ticket) {
+        if let Some(refusal) = self.quarantine_refusal(now, &ticket) {
             actions.push(refusal.action(session, &ticket));
             return;
         }
@@ -164,7 +164,7 @@
             order: held.order,
             priority: 0,
             prompt: PromptShape::default(),
-            unread: false,
+            awaits_first_event: false,
             since: None,
         };
         self.running.insert(held.request, grant);
--- a/crates/micaspool-dispatch/src/shard/lag.rs
+++ b/crates/micaspool-dispatch/src/shard/level_floor.rs
@@ -20,14 +20,14 @@
 impl ShardCore {
     /// Raises the level of a customer that waits, so that it is not too far behind. One whose tickets were refused
     /// lately never ceased to wait, in effect, and may be further behind than one that was idle.
-    pub(super) fn lift(&mut self, now: Moment, customer: CustomerIndex) {
+    pub(super) fn raise_to_floor(&mut self, now: Moment, customer: CustomerIndex) {
         if !self.options.policy.lifts() || self.recovering_until.is_some() {
             return;
         }
         let state = self.customers.get(customer);
-        let never_ceased = state.refused_at.is_some_and(|at| now.since(at) < REFUSAL_MEMORY);
+        let refused_recently = state.refused_at.is_some_and(|at| now.since(at) < REFUSAL_MEMORY);
         let level = self.options.policy.level(&state.account);
-        if let Some(floor) = self.lift_target(now, customer, never_ceased) {
+        if let Some(floor) = self.minimum_level(now, customer, refused_recently) {
             self.customers.get_mut(customer).account.lift(level, floor);
         }
     }
@@ -35,15 +35,20 @@
     /// The level that a customer which waits has at least. With an idle credit it counts from the highest level
     /// that was served: counted from the lowest that waits, each customer that comes back would stand a credit below
     /// the one before.
-    fn lift_target(&self, now: Moment, customer: CustomerIndex, never_ceased: bool) -> Option<ServiceLevel> {
+    fn minimum_level(
+        &self,
+        now: Moment,
+        customer: CustomerIndex,
+        refused_recently: bool,
+    ) -> Option<ServiceLevel> {
         let state = self.customers.get(customer);
         if self.idle_credit == Cost(0) {
-            let begins = state.queue.is_empty() && !never_ceased;
+            let begins = state.queue.is_empty() && !refused_recently;
             return begins.then(|| self.floor_for(state.halls)).flatten().map(|floor| ServiceLevel(floor.0));
         }
-        let credits = if never_ceased { REFUSED_CREDITS } else { 1 };
+        let credits = if refused_recently { REFUSED_CREDITS } else { 1 };
         let credit = ServiceLevel::of(Cost(self.idle_credit.0 * credits), state.account.weight());
-        let lag = credit.min(self.even_share(now));
+        let lag = credit.min(self.catch_up_limit(now));
         let served = self.highest_served(state.halls)?;
         Some(ServiceLevel(served.0.saturating_sub(lag.0)))
     }
@@ -55,7 +60,7 @@
     }
 
     /// What the shard delivers to each customer that waits while all catch up, shared evenly.
-    fn even_share(&self, now: Moment) -> ServiceLevel {
+    fn catch_up_limit(&self, now: Moment) -> ServiceLevel {
         let waiting = self.customers.iter().filter(|state| !state.queue.is_empty());
         let weights: f64 = waiting.map(|state| f64::from(state.account.weight().get())).sum();
         let delivered = self.delivered.per_second(now) * CATCH_UP.as_secs_f64();
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -5,30 +5,32 @@
 //! that a waiting ticket may use.
 
 mod advice;
+mod availability;
+mod caller_attempts;
 mod choice;
 mod cold;
-mod come_back;
 mod copies;
 mod customers;
-mod doors;
 mod endpoints;
 mod engine;
+mod engine_queues;
 mod evacuation;
 mod evidence;
 mod flow;
+mod grant_throughput;
 mod grants;
 mod holders;
 mod joining;
-mod lag;
+mod level_floor;
 mod overdue;
-mod pace;
 mod parts;
 mod pauses;
+mod prefill;
 mod prefixes;
 mod rate;
-mod reading;
 mod reports;
 mod retries;
+mod retry_after;
 mod routers;
 mod service_time;
 mod sharing;
@@ -36,8 +38,6 @@
 mod suspects;
 mod tickets;
 mod tolerance;
-mod tries;
-mod waits;
 
 pub use flow::CustomerCounters;
 pub use status::{
@@ -47,23 +47,23 @@
 use crate::action::ShardAction;
 use crate::event::{GrantOutcome, SessionId, ShardEvent, ShardPolicy};
 use crate::options::ShardOptions;
+use caller_attempts::FirstAttempts;
 use copies::CopyCounts;
 use customers::CustomerTable;
 use endpoints::EndpointTable;
+use engine_queues::EngineQueues;
+use grant_throughput::GrantThroughput;
 use grants::RunningGrant;
 use micaspool_fair::{Rank, RankIndex};
 use micaspool_types::{Cost, HallMask, HallName, Moment, OrderNumber, RequestId, Revision};
-use pace::GrantPace;
 use prefixes::PrefixMemory;
-use rate::FadingRate;
+use rate::DecayingRate;
 use retries::RetryBudgets;
 use routers::RouterTable;
 use sharing::RemoteTotals;
 use std::collections::{BTreeSet, HashMap};
-use suspects::SuspectWatch;
+use suspects::SuspectTracker;
 use tickets::WaitingTicket;
-use tries::FirstTries;
-use waits::EngineWaits;
 
 /// One shard: every waiting ticket and every slot of one service in one region.
 #[derive(Debug)]
@@ -79,20 +79,20 @@
     routers: RouterTable,
     waiting: HashMap<RequestId, WaitingTicket>,
     /// Which of them wait for an engine that is not free.
-    waits: EngineWaits,
+    engine_queues: EngineQueues,
     /// The waiting tickets that may not wait for ever, by the moment at which they are refused.
     overdue: BTreeSet<(Moment, RequestId)>,
     running: HashMap<RequestId, RunningGrant>,
     index: RankIndex,
     prefixes: PrefixMemory,
     retries: RetryBudgets,
-    first_tries: FirstTries,
+    first_attempts: FirstAttempts,
     remote: RemoteTotals,
-    suspects: SuspectWatch,
+    suspects: SuspectTracker,
     copies: CopyCounts,
-    pace: GrantPace,
+    throughput: GrantThroughput,
     /// The cost that is delivered to all customers.
-    delivered: FadingRate,
+    delivered: DecayingRate,
     next_order: OrderNumber,
     /// When all tickets are looked at again in any case.
     fill_due: Moment,
@@ -118,18 +118,18 @@
             endpoints: EndpointTable::new(options.tolerated_breaks, options.initial_share),
             routers: RouterTable::default(),
             waiting: HashMap::new(),
-            waits: EngineWaits::default(),
+            engine_queues: EngineQueues::default(),
             overdue: BTreeSet::new(),
             running: HashMap::new(),
             index: RankIndex::default(),
             prefixes: PrefixMemory::new(options.prefix_capacity),
             retries: RetryBudgets::default(),
-            first_tries: FirstTries::default(),
+            first_attempts: FirstAttempts::default(),
             remote: RemoteTotals::default(),
-            suspects: SuspectWatch::new(options.quarantine),
+            suspects: SuspectTracker::new(options.quarantine),
             copies: CopyCounts::default(),
-            pace: GrantPace::new(now),
-            delivered: FadingRate::default(),
+            throughput: GrantThroughput::new(now),
+            delivered: DecayingRate::default(),
             next_order: OrderNumber(1),
             fill_due: now,
             moved_up: false,
@@ -143,7 +143,7 @@
     /// Takes one event in and adds what follows from it to `actions`.
     pub fn step(&mut self, now: Moment, event: ShardEvent, actions: &mut Vec<ShardAction>) {
         if let Some(session) = session_of(&event) {
-            if !self.routers.hear(session, now) {
+            if !self.routers.note_contact(session, now) {
                 actions.push(ShardAction::Rejoin { session });
                 return;
             }
@@ -180,16 +180,16 @@
                 self.settle(now, session, request, cost, fate, actions)
             }
             ShardEvent::Heartbeat(session, number) => {
-                self.routers.beat(session, number);
+                self.routers.note_heartbeat(session, number);
                 actions.push(ShardAction::Pulse { session, heartbeat: number });
             }
-            ShardEvent::Advised(session, advice) => self.heed(now, session, &advice, actions),
+            ShardEvent::Advised(session, advice) => self.apply_advice(now, session, &advice, actions),
             ShardEvent::Load(report) => {
                 self.endpoints.report(now, &report);
-                self.hear_report(now, &report, actions);
+                self.note_load_response(now, &report, actions);
             }
             ShardEvent::Unreachable(endpoint) => self.endpoints.fail_probe(now, &endpoint),
-            ShardEvent::Listed(leaving) => self.endpoints.list_leaving(&leaving),
+            ShardEvent::Listed(leaving) => self.endpoints.set_listed(&leaving),
             ShardEvent::Cache(news) => self.learn_cache(&news),
             ShardEvent::Shared(totals) => self.take_shared(&totals),
             ShardEvent::Tick => {
@@ -240,8 +240,8 @@
                 self.end_grant(now, request, None, GrantOutcome::Abandoned);
             }
         }
-        self.endpoints.forget_old_reports(now);
-        self.pace.pass(now);
+        self.endpoints.expire_reports(now);
+        self.throughput.advance(now);
     }
 
     fn end_recovery(&mut self, now: Moment) {
--- a/crates/micaspool-dispatch/src/shard/overdue.rs
+++ b/crates/micaspool-dispatch/src/shard/overdue.rs
@@ -55,9 +55,9 @@
         now: Moment,
         customer: CustomerIndex,
         ticket: &RequestTicket,
-        is_first_try: bool,
+        is_first_attempt: bool,
     ) -> WaitEstimate {
-        let begins = self.endpoints.shortest_begin(now, &PromptShape::of(ticket));
+        let begins = self.endpoints.min_time_to_first_event(now, &PromptShape::of(ticket));
         let expected = self.queue_time(now, self.customers.get(customer));
         let Some(objective) = ticket.objective else {
             return WaitEstimate { longest: None, bound: None, expected };
@@ -66,7 +66,7 @@
         if !self.endpoints.has_no_engine() {
             return WaitEstimate { longest: Some(longest), bound: Some(longest), expected };
         }
-        if is_first_try {
+        if is_first_attempt {
             self.note_tolerance(now, customer, objective, begins);
         }
         let shared = self.customers.get_mut(customer).tolerance.shortest(now);
@@ -151,7 +151,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let Some(ticket) = self.drop_waiting(request) else { return };
-        self.first_tries.note_refused(now);
+        self.first_attempts.note_refused(now);
         self.customers.get_mut(ticket.customer).flow.note_refusal(now.since(ticket.since));
         if let Some(session) = self.routers.session(ticket.router) {
             let earliest = cause.earliest.map_or(Duration::ZERO, |earliest| earliest.since(now));
--- a/crates/micaspool-dispatch/src/shard/pauses.rs
+++ b/crates/micaspool-dispatch/src/shard/pauses.rs
@@ -16,13 +16,13 @@
     /// Leaves an endpoint alone for a while, longer after each failure in a row.
     pub(super) fn pause(&mut self, now: Moment, endpoint: EndpointIndex) {
         let state = self.state_mut(endpoint);
-        if state.doors.paused_until.is_some() {
+        if state.availability.paused_until.is_some() {
             return;
         }
         let doublings = state.failures.min(8);
         let until = now + (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
         state.failures += 1;
-        state.doors.paused_until = Some(until);
+        state.availability.paused_until = Some(until);
         self.pauses.insert((until, endpoint));
         self.shorten_pauses(now);
     }
@@ -30,7 +30,7 @@
     /// Shortens the pauses after failures while most of the service is paused: what is left can't bear the load, so one
     /// that is back has to be found soon.
     fn shorten_pauses(&mut self, now: Moment) {
-        let in_use = |state: &&EndpointState| state.slots > 0 && !state.doors.is_leaving();
+        let in_use = |state: &&EndpointState| state.slots > 0 && !state.availability.is_leaving();
         let open = self.states.iter().filter(in_use).filter(|state| state.is_open()).count();
         let all = self.states.iter().filter(in_use).count();
         if open * 2 >= all {
@@ -40,11 +40,11 @@
         let longest = (Duration::from_secs(1) * paused / TRIES_PER_SECOND).clamp(FIRST_PAUSE, LONGEST_PAUSE);
         let latest = now + longest;
         let later = self.pauses.iter().rev().take_while(|(until, _)| *until > latest).copied();
-        let failed = later.filter(|(_, endpoint)| !self.state(*endpoint).doors.paused_as_leaving);
+        let failed = later.filter(|(_, endpoint)| !self.state(*endpoint).availability.paused_as_leaving);
         for (until, endpoint) in failed.collect::<Vec<_>>() {
             self.pauses.remove(&(until, endpoint));
             self.pauses.insert((latest, endpoint));
-            self.state_mut(endpoint).doors.paused_until = Some(latest);
+            self.state_mut(endpoint).availability.paused_until = Some(latest);
         }
     }
 
@@ -52,7 +52,7 @@
     pub(super) fn end_pauses(&mut self, now: Moment) {
         while let Some((until, endpoint)) = self.pauses.first().copied().filter(|(until, _)| *until <= now) {
             self.pauses.remove(&(until, endpoint));
-            self.state_mut(endpoint).doors.paused_until = None;
+            self.state_mut(endpoint).availability.paused_until = None;
             self.reindex(endpoint);
         }
     }
--- a/crates/micaspool-dispatch/src/shard/reading.rs
+++ b/crates/micaspool-dispatch/src/shard/prefill.rs
@@ -17,19 +17,19 @@
 use std::time::Duration;
 
 /// The latency that is assumed before any was observed. It is learnt from the first prompts on.
-const FIRST_LATENCY: Duration = Duration::from_millis(30);
+const INITIAL_LATENCY: Duration = Duration::from_millis(30);
 /// The pace of an engine of which neither settings nor other engines tell anything, in tokens a
 /// millisecond: slow enough for one prompt at a time until the first ones have begun.
-const CAREFUL_PACE: f64 = 8.0;
+const DEFAULT_PACE: f64 = 8.0;
 /// How many tokens the assumed pace counts for: about two prompts.
 const PRIOR_TOKENS: f64 = 4_000.0;
 /// What is left of older observations with each new one: the last 24 decide, a second of a busy engine.
-const FADING: f64 = 1.0 - 1.0 / 24.0;
+const DECAY: f64 = 1.0 - 1.0 / 24.0;
 /// What is left of them once an engine has changed its pace.
-const QUICK_FADING: f64 = 0.5;
+const FAST_DECAY: f64 = 0.5;
 /// What is left of older observations, with each new one, in the sums that tell a change of pace: the last
 /// three decide.
-const NEWEST_FADING: f64 = 0.7;
+const RECENT_DECAY: f64 = 0.7;
 /// When the newest observations took this many times as long as expected, or as short, the pace has changed.
 /// A single one is a wrong belief about kept parts or a pause of a router.
 const CHANGE_FACTOR: f64 = 1.6;
@@ -38,19 +38,19 @@
 /// What a clipped observation may say in any case, in microseconds.
 const CLIP_MICROS: f64 = 20_000.0;
 /// Observations of shorter prompts weigh no more than one of this many tokens.
-const LEAST_TOKENS: f64 = 256.0;
+const MIN_TOKENS: f64 = 256.0;
 /// Which part of the observed latencies lies below the one that is believed.
 const QUARTILE: f64 = 0.25;
 /// How far one observation moves the latency, as a part of it.
 const LATENCY_STEP: f64 = 0.1;
 /// What keeps a latency near zero moving, in microseconds.
-const LEAST_LATENCY: f64 = 1_000.0;
+const LATENCY_STEP_OFFSET: f64 = 1_000.0;
 /// The range of the time a token, in microseconds: 2,000 tokens a millisecond to one.
 const PER_TOKEN_RANGE: (f64, f64) = (0.5, 1_000.0);
 /// The longest latency that is believed, in microseconds.
-const LONGEST_LATENCY: f64 = 1_000_000.0;
+const MAX_LATENCY: f64 = 1_000_000.0;
 /// How many observations make an engine's pace one that others may start from.
-const SETTLED: u64 = 8;
+const SETTLED_OBSERVATIONS: u64 = 8;
 
 /// Weighted sums of the fit. A weight is one over the tokens: the noise of an observation grows with them.
 #[derive(Debug, Clone, Copy, Default)]
@@ -64,7 +64,7 @@
 
 /// What is known of an engine's pace.
 #[derive(Debug, Clone)]
-pub(super) struct ReadingPace {
+pub(super) struct PrefillRate {
     /// The lower quartile of the time from a grant to the first event apart from reading, in microseconds.
     latency: f64,
     /// The mean of the same.
@@ -72,7 +72,7 @@
     /// Microseconds a token, with all the time above the latency.
     per_token: f64,
     /// Microseconds a token by the fit, which gives that time to the mean latency instead.
-    fitted: f64,
+    fitted_per_token: f64,
     /// The tokens of observations that have not faded, and how long they took above the latency.
     read_tokens: f64,
     read_micros: f64,
@@ -84,13 +84,13 @@
     /// Mean tokens of a prompt that had to be read.
     mean_tokens: f64,
     /// Reading time of the newest few observations, in microseconds: what was expected, what was seen.
-    newest_expected: f64,
-    newest_micros: f64,
+    recent_expected: f64,
+    recent_micros: f64,
 }
 
 impl FitSums {
     fn add(&mut self, idle: bool, tokens: f64, micros: f64) {
-        let weight = 1.0 / tokens.max(LEAST_TOKENS);
+        let weight = 1.0 / tokens.max(MIN_TOKENS);
         if idle {
             self.latency_square += weight;
             self.latency_tokens += weight * tokens;
@@ -100,23 +100,23 @@
         self.tokens_time += weight * tokens * micros;
     }
 
-    fn fade(&mut self, rest: f64) {
-        self.latency_square *= rest;
-        self.latency_tokens *= rest;
-        self.tokens_square *= rest;
-        self.latency_time *= rest;
-        self.tokens_time *= rest;
+    fn decay(&mut self, factor: f64) {
+        self.latency_square *= factor;
+        self.latency_tokens *= factor;
+        self.tokens_square *= factor;
+        self.latency_time *= factor;
+        self.tokens_time *= factor;
     }
 }
 
-impl ReadingPace {
+impl PrefillRate {
     /// A pace that nothing was observed of yet; `per_token` in microseconds, if others tell.
-    pub fn new(per_token: Option<f64>) -> ReadingPace {
-        let mut pace = ReadingPace {
-            latency: FIRST_LATENCY.as_micros() as f64,
-            mean_latency: FIRST_LATENCY.as_micros() as f64,
+    pub fn new(per_token: Option<f64>) -> PrefillRate {
+        let mut pace = PrefillRate {
+            latency: INITIAL_LATENCY.as_micros() as f64,
+            mean_latency: INITIAL_LATENCY.as_micros() as f64,
             per_token: 0.0,
-            fitted: 0.0,
+            fitted_per_token: 0.0,
             read_tokens: 0.0,
             read_micros: 0.0,
             sums: FitSums::default(),
@@ -124,8 +124,8 @@
             newest: Moment(0),
             spread: 0.0,
             mean_tokens: 0.0,
-            newest_expected: 0.0,
-            newest_micros: 0.0,
+            recent_expected: 0.0,
+            recent_micros: 0.0,
         };
         pace.assume(per_token);
         pace
@@ -137,21 +137,21 @@
             return;
         }
         let (least, most) = PER_TOKEN_RANGE;
-        self.per_token = per_token.unwrap_or(1_000.0 / CAREFUL_PACE).clamp(least, most);
+        self.per_token = per_token.unwrap_or(1_000.0 / DEFAULT_PACE).clamp(least, most);
         self.sums = FitSums::default();
         self.sums.add(false, PRIOR_TOKENS, PRIOR_TOKENS * self.per_token);
-        self.fitted = self.per_token;
+        self.fitted_per_token = self.per_token;
         self.read_tokens = PRIOR_TOKENS;
         self.read_micros = PRIOR_TOKENS * self.per_token;
     }
 
     /// The time a token, once enough was observed for others to start from it.
     pub fn settled_per_token(&self) -> Option<f64> {
-        (self.observed >= SETTLED).then_some(self.per_token)
+        (self.observed >= SETTLED_OBSERVATIONS).then_some(self.per_token)
     }
 
     /// How long the engine reads this many tokens.
-    pub fn reading(&self, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, tokens: u64) -> Duration {
         Duration::from_micros((tokens as f64 * self.per_token) as u64)
     }
 
@@ -161,8 +161,8 @@
     }
 
     /// How long it reads a usual prompt; zero before any began.
-    pub fn usual_reading(&self) -> Duration {
-        self.reading(self.mean_tokens as u64)
+    pub fn mean_prefill_time(&self) -> Duration {
+        self.prefill_time(self.mean_tokens as u64)
     }
 
     /// Tokens a millisecond.
@@ -189,40 +189,40 @@
         let most = expected * CLIP_FACTOR + CLIP_MICROS;
         let micros = (took.as_micros() as f64).min(most);
         let changed = self.has_changed(tokens * self.per_token, (micros - fixed).max(0.0));
-        let rest = if changed { QUICK_FADING } else { FADING };
-        self.sums.fade(rest);
+        let factor = if changed { FAST_DECAY } else { DECAY };
+        self.sums.decay(factor);
         self.sums.add(idle, tokens, micros);
         self.fit();
         if idle {
-            self.note_latency(micros - tokens * self.fitted);
+            self.note_latency(micros - tokens * self.fitted_per_token);
         }
-        let reading = if idle { (micros - self.latency).max(0.0) } else { micros };
-        self.read_tokens = self.read_tokens * rest + tokens;
-        self.read_micros = self.read_micros * rest + reading;
+        let prefill_time = if idle { (micros - self.latency).max(0.0) } else { micros };
+        self.read_tokens = self.read_tokens * factor + tokens;
+        self.read_micros = self.read_micros * factor + prefill_time;
         let (least, most) = PER_TOKEN_RANGE;
         self.per_token = (self.read_micros / self.read_tokens).clamp(least, most);
-        self.note_size(tokens, expected, micros);
+        self.update_statistics(tokens, expected, micros);
         self.observed += 1;
         self.newest = now;
     }
 
     /// Moves the latency towards the lower quartile of what is observed.
     fn note_latency(&mut self, micros: f64) {
-        let step = LATENCY_STEP * (self.latency + LEAST_LATENCY);
+        let step = LATENCY_STEP * (self.latency + LATENCY_STEP_OFFSET);
         let change = if micros > self.latency { step * QUARTILE } else { -step * (1.0 - QUARTILE) };
-        self.latency = (self.latency + change).clamp(0.0, LONGEST_LATENCY);
+        self.latency = (self.latency + change).clamp(0.0, MAX_LATENCY);
     }
 
     /// Compares the newest few observations with the fit; true when the engine has changed its pace.
     fn has_changed(&mut self, expected: f64, micros: f64) -> bool {
-        self.newest_expected = self.newest_expected * NEWEST_FADING + expected;
-        self.newest_micros = self.newest_micros * NEWEST_FADING + micros;
-        let ratio = self.newest_micros / self.newest_expected.max(1.0);
+        self.recent_expected = self.recent_expected * RECENT_DECAY + expected;
+        self.recent_micros = self.recent_micros * RECENT_DECAY + micros;
+        let ratio = self.recent_micros / self.recent_expected.max(1.0);
         !(1.0 / CHANGE_FACTOR..=CHANGE_FACTOR).contains(&ratio)
     }
 
-    fn note_size(&mut self, tokens: f64, expected: f64, micros: f64) {
-        let part = if self.observed == 0 { 1.0 } else { 1.0 - FADING };
+    fn update_statistics(&mut self, tokens: f64, expected: f64, micros: f64) {
+        let part = if self.observed == 0 { 1.0 } else { 1.0 - DECAY };
         self.mean_tokens += (tokens - self.mean_tokens) * part;
         let distance = (micros - expected).abs() / expected.max(1.0);
         self.spread += (distance - self.spread) * part;
@@ -232,16 +232,16 @@
     /// only, which can't tell the two apart, leave them where they are.
     fn fit(&mut self) {
         let sums = &self.sums;
-        let pull_latency = 1.0 / PRIOR_TOKENS;
-        let latencies = sums.latency_square + pull_latency;
-        let tokens = sums.tokens_square + LEAST_TOKENS;
+        let latency_prior = 1.0 / PRIOR_TOKENS;
+        let latencies = sums.latency_square + latency_prior;
+        let tokens = sums.tokens_square + MIN_TOKENS;
         let both = sums.latency_tokens;
-        let latency_time = sums.latency_time + pull_latency * self.mean_latency;
-        let tokens_time = sums.tokens_time + LEAST_TOKENS * self.fitted;
+        let latency_time = sums.latency_time + latency_prior * self.mean_latency;
+        let tokens_time = sums.tokens_time + MIN_TOKENS * self.fitted_per_token;
         let determinant = latencies * tokens - both * both;
         let latency = (latency_time * tokens - tokens_time * both) / determinant;
-        self.mean_latency = latency.clamp(0.0, LONGEST_LATENCY);
+        self.mean_latency = latency.clamp(0.0, MAX_LATENCY);
         let (least, most) = PER_TOKEN_RANGE;
-        self.fitted = ((tokens_time - both * self.mean_latency) / tokens).clamp(least, most);
+        self.fitted_per_token = ((tokens_time - both * self.mean_latency) / tokens).clamp(least, most);
     }
 }
--- a/crates/micaspool-dispatch/src/shard/reports.rs
+++ b/crates/micaspool-dispatch/src/shard/reports.rs
@@ -6,33 +6,34 @@
 use std::time::Duration;
 
 /// How long a load report counts at least.
-const REPORT_LIFE: Duration = Duration::from_secs(3);
+const MIN_LIFETIME: Duration = Duration::from_secs(3);
 /// How many intervals between two reports the later one counts, so that one may be missing. The more engines
 /// there are, the more seldom each is asked: 320 every 3.2 s, 600 every 6 s.
-const LIFE_INTERVALS: u32 = 2;
+const LIFETIME_INTERVALS: u32 = 2;
 /// An interval longer than this says that the endpoint was not heard for a while, not how often it is asked.
-const LONGEST_INTERVAL: Duration = Duration::from_secs(8);
+const MAX_INTERVAL: Duration = Duration::from_secs(8);
 
 /// What the newest load report of an endpoint said of others' requests.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SeenSurplus {
+pub(super) struct ReportedSurplus {
     /// The requests there beyond those of this shard.
     requests: u32,
     at: Moment,
     /// How long it counts.
-    life: Duration,
+    lifetime: Duration,
 }
 
-impl SeenSurplus {
+impl ReportedSurplus {
     /// What a report says, after the one before it.
-    fn new(now: Moment, requests: u32, before: Option<SeenSurplus>) -> SeenSurplus {
-        let interval = before.map(|before| now.since(before.at)).filter(|gap| *gap <= LONGEST_INTERVAL);
-        let life = interval.map_or(LONGEST_INTERVAL, |interval| REPORT_LIFE.max(interval * LIFE_INTERVALS));
-        SeenSurplus { requests, at: now, life }
+    fn new(now: Moment, requests: u32, before: Option<ReportedSurplus>) -> ReportedSurplus {
+        let interval = before.map(|before| now.since(before.at)).filter(|gap| *gap <= MAX_INTERVAL);
+        let lifetime =
+            interval.map_or(MAX_INTERVAL, |interval| MIN_LIFETIME.max(interval * LIFETIME_INTERVALS));
+        ReportedSurplus { requests, at: now, lifetime }
     }
 
-    fn counts(&self, now: Moment) -> bool {
-        now.since(self.at) < self.life
+    fn is_current(&self, now: Moment) -> bool {
+        now.since(self.at) < self.lifetime
     }
 }
 
@@ -43,38 +44,38 @@
         let Some(endpoint) = self.by_name(&report.endpoint) else { return };
         let state = self.state_mut(endpoint);
         let surplus = report.running.saturating_sub(state.busy);
-        let before = state.last_surplus.filter(|seen| seen.counts(now));
+        let before = state.last_surplus.filter(|seen| seen.is_current(now));
         state.foreign = before.map_or(0, |seen| seen.requests.min(surplus));
         let (busy, foreign) = (state.busy, state.foreign);
-        state.last_surplus = Some(SeenSurplus::new(now, surplus, before));
+        state.last_surplus = Some(ReportedSurplus::new(now, surplus, before));
         if let Some(engine) = &mut state.engine {
             engine.note_waiting(now, report.waiting);
             if before.is_some() {
-                engine.share_with(busy, foreign);
+                engine.update_share(busy, foreign);
             }
         }
         if report.draining {
-            state.doors.draining_since = Some(now);
-        } else if state.doors.draining_since.is_some_and(|since| report.requested_at > since) {
-            state.doors.draining_since = None;
+            state.availability.draining_since = Some(now);
+        } else if state.availability.draining_since.is_some_and(|since| report.requested_at > since) {
+            state.availability.draining_since = None;
         }
-        self.watch_reading(now, endpoint);
+        self.update_prefill_limit(now, endpoint);
         self.reindex(endpoint);
     }
 
     /// Forgets what reports said of others' requests where no report followed: an endpoint that is not heard any
     /// more would stay full for ever.
-    pub fn forget_old_reports(&mut self, now: Moment) {
+    pub fn expire_reports(&mut self, now: Moment) {
         let initial_share = self.initial_share;
         for endpoint in self.indices() {
             let state = self.state_mut(endpoint);
-            if state.last_surplus.is_none_or(|seen| seen.counts(now)) {
+            if state.last_surplus.is_none_or(|seen| seen.is_current(now)) {
                 continue;
             }
             state.last_surplus = None;
             state.foreign = 0;
             if let Some(engine) = &mut state.engine {
-                engine.assume_share(initial_share);
+                engine.reset_share(initial_share);
             }
             self.reindex(endpoint);
         }
--- a/crates/micaspool-dispatch/src/shard/come_back.rs
+++ b/crates/micaspool-dispatch/src/shard/retry_after.rs
@@ -18,7 +18,7 @@
     pub(super) fn retry_after(&self, now: Moment, customer: CustomerIndex) -> Duration {
         let state = self.customers.get(customer);
         let ahead = state.queue.len() + 1;
-        let queue = self.pace.wait_for(ahead * self.backlogged().max(1));
+        let queue = self.throughput.wait_for(ahead * self.backlogged().max(1));
         queue.max(self.time_for_a_span(now, state))
     }
 
--- a/crates/micaspool-dispatch/src/shard/routers.rs
+++ b/crates/micaspool-dispatch/src/shard/routers.rs
@@ -8,7 +8,7 @@
 
 /// How long a router is given no grant for an endpoint that it does not hold. One that has just started hears of
 /// all within some 100 ms; one that is cut off from a keeper may go on without.
-const LACKING_LIFE: Duration = Duration::from_millis(100);
+const NOT_HELD_PERIOD: Duration = Duration::from_millis(100);
 
 /// The position of a router in its shard's list.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
@@ -23,7 +23,7 @@
     heartbeat: u64,
     requests: HashSet<RequestId>,
     /// Endpoints that it does not hold as serving, and until when that is believed.
-    lacking: HashMap<EndpointIndex, Moment>,
+    not_held: HashMap<EndpointIndex, Moment>,
     /// Endpoints that asked it for rest, and until when.
     rests: HashMap<EndpointIndex, Moment>,
 }
@@ -40,7 +40,7 @@
 
 impl RouterTable {
     /// Notes a sign of life; false when the stream belongs to no router.
-    pub fn hear(&mut self, session: SessionId, now: Moment) -> bool {
+    pub fn note_contact(&mut self, session: SessionId, now: Moment) -> bool {
         let Some(router) = self.sessions.get(&session) else { return false };
         if let Some(state) = self.states.get_mut(router) {
             state.last_heard = now;
@@ -49,7 +49,7 @@
     }
 
     /// Notes a heartbeat number.
-    pub fn beat(&mut self, session: SessionId, number: u64) {
+    pub fn note_heartbeat(&mut self, session: SessionId, number: u64) {
         if let Some(state) = self.sessions.get(&session).and_then(|router| self.states.get_mut(router)) {
             state.heartbeat = state.heartbeat.max(number);
         }
@@ -58,7 +58,7 @@
     /// Binds a stream to a router. The same life of a router keeps what it held; an earlier life
     /// loses its stream and ends with its lease.
     pub fn attach(&mut self, now: Moment, session: SessionId, hello: &RouterHello) -> RouterIndex {
-        self.detach_earlier_lives(hello);
+        self.detach_earlier_incarnations(hello);
         let router = self.find(hello).unwrap_or_else(|| self.add(hello, now));
         let state = self.states.get_mut(&router).expect("the router was found or added above");
         if let Some(old) = state.session.replace(session) {
@@ -75,7 +75,7 @@
         self.states.iter().find(|(_, state)| same(state)).map(|(router, _)| *router)
     }
 
-    fn detach_earlier_lives(&mut self, hello: &RouterHello) {
+    fn detach_earlier_incarnations(&mut self, hello: &RouterHello) {
         for state in self.states.values_mut() {
             if state.name == hello.router && state.incarnation != hello.incarnation {
                 if let Some(old) = state.session.take() {
@@ -95,7 +95,7 @@
             last_heard: now,
             heartbeat: 0,
             requests: HashSet::new(),
-            lacking: HashMap::new(),
+            not_held: HashMap::new(),
             rests: HashMap::new(),
         };
         self.states.insert(router, state);
@@ -138,16 +138,16 @@
     }
 
     /// Notes that a router does not hold an endpoint. It is the only one that this keeps from the endpoint.
-    pub fn note_lacking(&mut self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) {
+    pub fn note_not_held(&mut self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) {
         if let Some(state) = self.states.get_mut(&router) {
-            state.lacking.retain(|_, until| now < *until);
-            state.lacking.insert(endpoint, now + LACKING_LIFE);
+            state.not_held.retain(|_, until| now < *until);
+            state.not_held.insert(endpoint, now + NOT_HELD_PERIOD);
         }
     }
 
     /// True while a router is believed not to hold an endpoint.
-    pub fn lacks(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> bool {
-        let until = self.states.get(&router).and_then(|state| state.lacking.get(&endpoint));
+    pub fn lacks_endpoint(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> bool {
+        let until = self.states.get(&router).and_then(|state| state.not_held.get(&endpoint));
         until.is_some_and(|until| now < *until)
     }
 
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -3,7 +3,7 @@
 use super::customers::CustomerState;
 use super::endpoints::EndpointIndex;
 use super::flow::CustomerCounters;
-use super::reading::ReadingPace;
+use super::prefill::PrefillRate;
 use super::ShardCore;
 use micaspool_fair::ServiceLevel;
 use micaspool_quarantine::{CrashRecord, RequestStanding};
@@ -144,7 +144,7 @@
 }
 
 impl PrefillStatus {
-    fn of(now: Moment, pace: &ReadingPace) -> PrefillStatus {
+    fn of(now: Moment, pace: &PrefillRate) -> PrefillStatus {
         PrefillStatus {
             tokens_per_milli: pace.tokens_per_milli(),
             latency: pace.latency(),
@@ -170,9 +170,9 @@
             free: state.is_free(),
             reading: state.reading,
             failures: state.failures,
-            spaced: state.doors.cold.spaced,
-            cold: if state.doors.cold.is_cold(now) {
-                state.doors.cold.until().since(now)
+            spaced: state.availability.cold.spaced,
+            cold: if state.availability.cold.is_cold(now) {
+                state.availability.cold.until().since(now)
             } else {
                 Duration::ZERO
             },
--- a/crates/micaspool-dispatch/src/shard/suspects.rs
+++ b/crates/micaspool-dispatch/src/shard/suspects.rs
@@ -22,7 +22,7 @@
 /// When a copy of a request in doubt may come back; a run takes a second or two.
 const COPY_WAIT: Duration = Duration::from_secs(1);
 /// When one may come back that was just shut out: it may turn out that an endpoint is alive.
-const UNPROVEN_WAIT: Duration = Duration::from_secs(2);
+const FRESH_QUARANTINE_WAIT: Duration = Duration::from_secs(2);
 
 /// The routers that hold a record of a request.
 #[derive(Debug)]
@@ -35,15 +35,15 @@
 
 /// The requests in doubt, and who has to hear of changes.
 #[derive(Debug)]
-pub(super) struct SuspectWatch {
+pub(super) struct SuspectTracker {
     pub(super) table: CrashTable,
     pub(super) holders: HashMap<RequestDigest, RecordHolders>,
     pub(super) next_expiry: Moment,
 }
 
-impl SuspectWatch {
-    pub fn new(options: QuarantineOptions) -> SuspectWatch {
-        SuspectWatch { table: CrashTable::new(options), holders: HashMap::new(), next_expiry: Moment(0) }
+impl SuspectTracker {
+    pub fn new(options: QuarantineOptions) -> SuspectTracker {
+        SuspectTracker { table: CrashTable::new(options), holders: HashMap::new(), next_expiry: Moment(0) }
     }
 
     /// How a request stands; clear when its router does not tell what it asks for.
@@ -104,12 +104,12 @@
 
 /// Why a ticket is not taken, and when its caller may come back.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct KeepOut {
+pub(super) struct TicketRefusal {
     reason: RefusalReason,
     retry_after: Duration,
 }
 
-impl KeepOut {
+impl TicketRefusal {
     pub fn action(self, session: SessionId, ticket: &RequestTicket) -> ShardAction {
         ShardAction::Refuse {
             session,
@@ -127,31 +127,31 @@
 impl ShardCore {
     /// Why a ticket is not taken for what it asks for. Without this one request ended 34 to 82 endpoints in 40 s,
     /// at most four with it (nine endpoints, one to eight callers that repeat it). With copies side by side up to six.
-    pub(super) fn reason_to_keep_out(&self, now: Moment, ticket: &RequestTicket) -> Option<KeepOut> {
+    pub(super) fn quarantine_refusal(&self, now: Moment, ticket: &RequestTicket) -> Option<TicketRefusal> {
         let digest = ticket.digest?;
         let standing = self.suspects.standing(now, Some(digest));
         match standing {
             RequestStanding::Clear => None,
             RequestStanding::Quarantined { until } => {
-                let retry_after = self.wait_for_end(now, digest, until);
-                Some(KeepOut { reason: RefusalReason::Quarantined, retry_after })
+                let retry_after = self.quarantine_retry_after(now, digest, until);
+                Some(TicketRefusal { reason: RefusalReason::Quarantined, retry_after })
             }
             // Its router would send it on from the endpoint that has just ended.
             RequestStanding::Suspected if ticket.attempt > 0 => {
-                Some(KeepOut { reason: RefusalReason::Quarantined, retry_after: COPY_WAIT })
+                Some(TicketRefusal { reason: RefusalReason::Quarantined, retry_after: COPY_WAIT })
             }
             RequestStanding::Doubted | RequestStanding::Suspected => {
-                let copies = self.copies.runs(digest) || self.copies.waits(digest);
-                copies.then_some(KeepOut { reason: RefusalReason::CopyRunning, retry_after: COPY_WAIT })
+                let copies = self.copies.is_running(digest) || self.copies.is_waiting(digest);
+                copies.then_some(TicketRefusal { reason: RefusalReason::CopyRunning, retry_after: COPY_WAIT })
             }
         }
     }
 
-    fn wait_for_end(&self, now: Moment, digest: RequestDigest, until: Moment) -> Duration {
+    fn quarantine_retry_after(&self, now: Moment, digest: RequestDigest, until: Moment) -> Duration {
         let newest = self.suspects.table.newest_crash(digest);
         let is_fresh = newest.is_some_and(|newest| now.since(newest) < REPORT_WINDOW);
         if is_fresh {
-            return UNPROVEN_WAIT;
+            return FRESH_QUARANTINE_WAIT;
         }
         until.since(now)
     }
@@ -160,16 +160,20 @@
     /// requests never share an endpoint: whoever ran beside the guilty one is told apart by its next end. Sharing
     /// shuts a harmless request out in 12 of 300 draws (nine endpoints with thirty runs each, whose callers
     /// repeat at once), in none so.
-    pub(super) fn kept_apart(&self, now: Moment, ticket: &WaitingTicket) -> Option<BTreeSet<EndpointIndex>> {
+    pub(super) fn isolation_exclusions(
+        &self,
+        now: Moment,
+        ticket: &WaitingTicket,
+    ) -> Option<BTreeSet<EndpointIndex>> {
         let standing = self.suspects.standing(now, ticket.digest);
         match (standing, ticket.digest) {
             (RequestStanding::Clear, _) | (_, None) => Some(BTreeSet::new()),
             (RequestStanding::Quarantined { .. }, _) => None,
-            (_, Some(digest)) if self.copies.runs(digest) => None,
+            (_, Some(digest)) if self.copies.is_running(digest) => None,
             (RequestStanding::Doubted, _) => Some(BTreeSet::new()),
             (RequestStanding::Suspected, _) => {
                 let suspected = self.suspects.table.suspected();
-                Some(suspected.flat_map(|other| self.copies.places(other).iter().copied()).collect())
+                Some(suspected.flat_map(|other| self.copies.running_on(other).iter().copied()).collect())
             }
         }
     }
@@ -182,7 +186,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let digest = change.digest;
-        if !self.copies.waits(digest) {
+        if !self.copies.is_waiting(digest) {
             return;
         }
         let copies = self.waiting.iter().filter(|(_, ticket)| ticket.digest == Some(digest));
@@ -190,8 +194,8 @@
             copies.map(|(request, ticket)| (ticket.place.order, *request)).collect();
         copies.sort_unstable();
         let (reason, kept, retry_after) = match change.after {
-            RequestStanding::Quarantined { .. } => (RefusalReason::Quarantined, 0, UNPROVEN_WAIT),
-            _ => (RefusalReason::CopyRunning, usize::from(!self.copies.runs(digest)), COPY_WAIT),
+            RequestStanding::Quarantined { .. } => (RefusalReason::Quarantined, 0, FRESH_QUARANTINE_WAIT),
+            _ => (RefusalReason::CopyRunning, usize::from(!self.copies.is_running(digest)), COPY_WAIT),
         };
         for (_, request) in copies.into_iter().skip(kept) {
             let Some(ticket) = self.drop_waiting(request) else { continue };
@@ -210,7 +214,7 @@
     }
 
     /// Tells the routers that hold a record of a request what is known now.
-    pub(super) fn tell_holders(&self, now: Moment, change: &TableChange, actions: &mut Vec<ShardAction>) {
+    pub(super) fn notify_holders(&self, now: Moment, change: &TableChange, actions: &mut Vec<ShardAction>) {
         let mut sessions: Vec<SessionId> = match self.suspects.holders.get(&change.digest) {
             Some(RecordHolders::All) => self.routers.sessions().collect(),
             Some(RecordHolders::Witnesses(routers)) => {
--- a/crates/micaspool-dispatch/src/shard/tickets.rs
+++ b/crates/micaspool-dispatch/src/shard/tickets.rs
@@ -86,19 +86,19 @@
         let known = self.waiting.contains_key(&request) || self.running.contains_key(&request);
         let Some(router) = self.routers.by_session(session).filter(|_| !known) else { return };
         let customer = self.customers.ensure(&ticket.customer);
-        if let Some(refusal) = self.reason_to_keep_out(now, &ticket) {
+        if let Some(refusal) = self.quarantine_refusal(now, &ticket) {
             actions.push(refusal.action(session, &ticket));
             return;
         }
         let load = PromptShape::load_of(&ticket);
         self.customers.get_mut(customer).ask_rate.add(now, load);
         let age = self.age_of(now, &ticket);
-        let is_first_try = age.is_zero() && ticket.attempt == 0;
+        let is_first_attempt = age.is_zero() && ticket.attempt == 0;
         let objective = ticket.objective.map(|objective| objective.saturating_sub(age).max(LEAST_OBJECTIVE));
         let ticket = RequestTicket { objective, ..ticket };
-        let wait = self.wait_estimate(now, customer, &ticket, is_first_try);
+        let wait = self.wait_estimate(now, customer, &ticket, is_first_attempt);
         if let Some(reason) = self.reason_to_refuse(now, customer, &ticket, wait) {
-            self.first_tries.note_refused(now);
+            self.first_attempts.note_refused(now);
             self.customers.get_mut(customer).flow.note_refusal(Duration::ZERO);
             actions.push(ShardAction::Refuse {
                 session,
@@ -113,7 +113,7 @@
             return;
         }
         self.enqueue(now, router, customer, ticket, wait);
-        self.refuse_unwanted_ticket(now, request, actions);
+        self.refuse_resting_ticket(now, request, actions);
         self.grant_new(now, request, actions);
         if let Some(ticket) = self.waiting.get(&request) {
             actions.push(ShardAction::Accepted { session, request, order: ticket.place.order });
@@ -125,7 +125,7 @@
     fn age_of(&mut self, now: Moment, ticket: &RequestTicket) -> Duration {
         match (ticket.objective, ticket.patience) {
             (Some(objective), Some(patience)) if ticket.attempt == 0 => {
-                self.first_tries.take(now, objective, patience)
+                self.first_attempts.estimate_age(now, objective, patience)
             }
             _ => Duration::ZERO,
         }
@@ -191,7 +191,7 @@
 
     pub(super) fn insert_waiting(&mut self, now: Moment, request: RequestId, ticket: WaitingTicket) {
         let customer = ticket.customer;
-        self.lift(now, customer);
+        self.raise_to_floor(now, customer);
         self.routers.hold(ticket.router, request);
         let state = self.customers.get_mut(customer);
         state.queue.insert(ticket.place, request);
--- a/crates/micaspool-dispatch/src/throttle.rs
+++ b/crates/micaspool-dispatch/src/throttle.rs
@@ -20,66 +20,66 @@
 
 /// For how long what was asked and taken counts, as the time in which it fades to a third: long enough to see
 /// some requests of a customer that spreads thousands a second over hundreds of routers.
-const MEMORY: Duration = Duration::from_secs(2);
+const TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// How many times what the dispatcher takes it is sent. Below two its queue might run empty between two
 /// requests; far above, little is kept from it.
-const SURPLUS: f64 = 2.0;
+const OVERCOMMIT: f64 = 2.0;
 /// How many requests within the memory are never throttled.
 const FREE_REQUESTS: f64 = 2.0;
 /// How long after a refusal a customer may be throttled. Its next request is taken to the dispatcher then.
-const REFUSAL_LIFE: Duration = Duration::from_millis(500);
+const REFUSAL_LIFETIME: Duration = Duration::from_millis(500);
 /// How many customers are remembered; those that were quiet for longest are forgotten beyond that.
-const MOST_CUSTOMERS: usize = 1_024;
+const MAX_CUSTOMERS: usize = 1_024;
 
 /// What was asked for a customer here and what the dispatcher took of it, fading.
 #[derive(Clone, Copy, Debug)]
-struct AskRecord {
-    asked: f64,
-    taken: f64,
+struct RequestRecord {
+    requests: f64,
+    accepts: f64,
     at: Moment,
     refused_at: Option<Moment>,
     /// When a refused request may come back, as the dispatcher said last.
     retry_after: Duration,
 }
 
-impl AskRecord {
-    fn new(now: Moment) -> AskRecord {
-        AskRecord { asked: 0.0, taken: 0.0, at: now, refused_at: None, retry_after: Duration::ZERO }
+impl RequestRecord {
+    fn new(now: Moment) -> RequestRecord {
+        RequestRecord { requests: 0.0, accepts: 0.0, at: now, refused_at: None, retry_after: Duration::ZERO }
     }
 
-    fn fade(&mut self, now: Moment) {
-        let left = (-now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64()).exp();
-        self.asked *= left;
-        self.taken *= left;
+    fn decay(&mut self, now: Moment) {
+        let factor = (-now.since(self.at).as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp();
+        self.requests *= factor;
+        self.accepts *= factor;
         self.at = now;
     }
 
     /// The part of the customer's requests that is turned away here.
-    fn refused_part(&self, now: Moment) -> f64 {
-        if self.refused_at.is_none_or(|at| now.since(at) >= REFUSAL_LIFE) {
+    fn refusal_probability(&self, now: Moment) -> f64 {
+        if self.refused_at.is_none_or(|at| now.since(at) >= REFUSAL_LIFETIME) {
             return 0.0;
         }
-        let excess = self.asked - SURPLUS * self.taken - FREE_REQUESTS;
-        (excess / (self.asked + 1.0)).max(0.0)
+        let excess = self.requests - OVERCOMMIT * self.accepts - FREE_REQUESTS;
+        (excess / (self.requests + 1.0)).max(0.0)
     }
 }
 
 /// Keeps from a dispatcher what it would refuse.
 #[derive(Clone, Debug, Default)]
 pub struct RequestThrottle {
-    customers: HashMap<CustomerName, AskRecord>,
+    customers: HashMap<CustomerName, RequestRecord>,
 }
 
 impl RequestThrottle {
     /// Notes a request and says whether it is taken to the dispatcher; else when it may come back. `draw` is
     /// uniform from 0 to 1.
     pub fn admit(&mut self, now: Moment, customer: &CustomerName, draw: f64) -> Result<(), Duration> {
-        self.make_room(customer);
-        let record = self.customers.entry(customer.clone()).or_insert_with(|| AskRecord::new(now));
-        record.fade(now);
-        let part = record.refused_part(now);
-        record.asked += 1.0;
-        if draw < part {
+        self.evict_oldest(customer);
+        let record = self.customers.entry(customer.clone()).or_insert_with(|| RequestRecord::new(now));
+        record.decay(now);
+        let probability = record.refusal_probability(now);
+        record.requests += 1.0;
+        if draw < probability {
             Err(record.retry_after)
         } else {
             Ok(())
@@ -89,8 +89,8 @@
     /// The dispatcher granted a request.
     pub fn note_granted(&mut self, now: Moment, customer: &CustomerName) {
         if let Some(record) = self.customers.get_mut(customer) {
-            record.fade(now);
-            record.taken += 1.0;
+            record.decay(now);
+            record.accepts += 1.0;
         }
     }
 
@@ -102,8 +102,8 @@
         }
     }
 
-    fn make_room(&mut self, customer: &CustomerName) {
-        if self.customers.len() < MOST_CUSTOMERS || self.customers.contains_key(customer) {
+    fn evict_oldest(&mut self, customer: &CustomerName) {
+        if self.customers.len() < MAX_CUSTOMERS || self.customers.contains_key(customer) {
             return;
         }
         let oldest = self.customers.iter().min_by_key(|(_, record)| record.at).map(|(name, _)| name.clone());
