--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -1,6 +1,6 @@
 //! The customers of a shard: accounts, queues and limits.
 
-use super::flow::CustomerCounters;
+use super::counters::CustomerCounters;
 use super::rate::DecayingRate;
 use super::tickets::WaitingTicket;
 use super::tolerance::WaitTolerance;
@@ -37,7 +37,7 @@
     /// The same of its grants, a second.
     pub grant_rate: DecayingRate,
     /// What became of its tickets.
-    pub flow: CustomerCounters,
+    pub counters: CustomerCounters,
     /// What its tickets bear.
     pub tolerance: WaitTolerance,
     pub running: u32,
@@ -98,7 +98,7 @@
             queued_load: 0,
             ask_rate: DecayingRate::default(),
             grant_rate: DecayingRate::default(),
-            flow: CustomerCounters::default(),
+            counters: CustomerCounters::default(),
             tolerance: WaitTolerance::default(),
             running: 0,
             served: Cost(0),
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -185,7 +185,7 @@
         let state = self.customers.get_mut(ticket.customer);
         state.take_from_queue(&ticket);
         state.grant_rate.add(now, ticket.prompt.load());
-        state.flow.note_grant(ticket.prompt.load());
+        state.counters.note_grant(ticket.prompt.load());
         let served_rank = state.indexed.map(|(_, rank)| rank).unwrap_or_default();
         let estimate = state.estimator.predict(ticket.hint);
         state.account.charge_grant(estimate);
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -10,13 +10,13 @@
 mod choice;
 mod cold;
 mod copies;
+mod counters;
 mod customers;
 mod endpoints;
 mod engine;
 mod engine_queues;
 mod evacuation;
 mod evidence;
-mod flow;
 mod grant_throughput;
 mod grants;
 mod holders;
@@ -39,7 +39,7 @@
 mod tickets;
 mod tolerance;
 
-pub use flow::CustomerCounters;
+pub use counters::CustomerCounters;
 pub use status::{
     CustomerStatus, EndpointClosure, EndpointStatus, PrefillStatus, ShardStatus, SuspectStatus,
 };
--- a/crates/micaspool-dispatch/src/shard/overdue.rs
+++ b/crates/micaspool-dispatch/src/shard/overdue.rs
@@ -152,7 +152,7 @@
     ) {
         let Some(ticket) = self.drop_waiting(request) else { return };
         self.first_attempts.note_refused(now);
-        self.customers.get_mut(ticket.customer).flow.note_refusal(now.since(ticket.since));
+        self.customers.get_mut(ticket.customer).counters.note_refusal(now.since(ticket.since));
         if let Some(session) = self.routers.session(ticket.router) {
             let earliest = cause.earliest.map_or(Duration::ZERO, |earliest| earliest.since(now));
             let retry_after = self.retry_after(now, ticket.customer).max(earliest);
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -1,8 +1,8 @@
 //! What operators and tests may see of a shard.
 
+use super::counters::CustomerCounters;
 use super::customers::CustomerState;
 use super::endpoints::EndpointIndex;
-use super::flow::CustomerCounters;
 use super::prefill::PrefillRate;
 use super::ShardCore;
 use micaspool_fair::ServiceLevel;
@@ -25,7 +25,7 @@
     /// How far that is below the highest level that was served in its halls.
     pub behind: ServiceLevel,
     /// What became of its tickets.
-    pub flow: CustomerCounters,
+    pub counters: CustomerCounters,
 }
 
 /// One endpoint in a shard.
@@ -198,7 +198,7 @@
 
     /// The state of a customer that has, or had, a ticket here.
     fn customer_status(&self, state: &CustomerState) -> Option<CustomerStatus> {
-        if state.queue.is_empty() && state.running == 0 && state.flow == CustomerCounters::default() {
+        if state.queue.is_empty() && state.running == 0 && state.counters == CustomerCounters::default() {
             return None;
         }
         let level = state.level(self.options.policy.as_ref());
@@ -209,7 +209,7 @@
             running: state.running,
             level,
             behind: ServiceLevel(served.0.saturating_sub(level.0)),
-            flow: state.flow,
+            counters: state.counters,
         })
     }
 
--- a/crates/micaspool-dispatch/src/shard/tickets.rs
+++ b/crates/micaspool-dispatch/src/shard/tickets.rs
@@ -99,7 +99,7 @@
         let wait = self.wait_estimate(now, customer, &ticket, is_first_attempt);
         if let Some(reason) = self.reason_to_refuse(now, customer, &ticket, wait) {
             self.first_attempts.note_refused(now);
-            self.customers.get_mut(customer).flow.note_refusal(Duration::ZERO);
+            self.customers.get_mut(customer).counters.note_refusal(Duration::ZERO);
             actions.push(ShardAction::Refuse {
                 session,
                 request,
--- a/crates/micaspool-dispatcher/src/customer_log.rs
+++ b/crates/micaspool-dispatcher/src/customer_log.rs
@@ -38,12 +38,12 @@
         let served = recent.iter().max_by_key(|customer| customer.flow.granted_load);
         let unnamed = served.filter(|served| !named.is_empty() && !named.contains(&&served.status.name));
         unnamed.into_iter().for_each(|customer| self.write(customer));
-        self.told = customers.iter().map(|status| (status.name.clone(), status.flow)).collect();
+        self.told = customers.iter().map(|status| (status.name.clone(), status.counters)).collect();
     }
 
     fn recent<'a>(&self, status: &'a CustomerStatus) -> RecentFlow<'a> {
         let before = self.told.get(&status.name).copied().unwrap_or_default();
-        RecentFlow { status, flow: status.flow.since(&before) }
+        RecentFlow { status, flow: status.counters.since(&before) }
     }
 
     fn write(&self, customer: &RecentFlow<'_>) {
