--- a/crates/micaspool-dispatch/src/candidates.rs
+++ b/crates/micaspool-dispatch/src/candidates.rs
@@ -18,18 +18,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceOptions {
     /// The first pause before an unreachable candidate is tried again; it doubles.
-    pub first_pause: Duration,
+    pub initial_backoff: Duration,
     /// The longest pause.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
     /// For how long a higher-ranked candidate must answer before the router moves to it.
     pub hold_down: Duration,
     /// The same for a router that uses its last resort, which serves worse than any other.
-    pub return_hold_down: Duration,
+    pub last_resort_hold_down: Duration,
     /// For how long a router that has just started waits for better candidates that it has not
     /// heard of yet.
-    pub patience: Duration,
+    pub startup_wait: Duration,
     /// For how long a followed candidate is lost before its stream is given up as well.
-    pub loss_confirmation: Duration,
+    pub loss_timeout: Duration,
     /// How often higher-ranked candidates are asked.
     pub probe_interval: Duration,
 }
@@ -37,12 +37,12 @@
 impl Default for ChoiceOptions {
     fn default() -> Self {
         ChoiceOptions {
-            first_pause: Duration::from_millis(50),
-            longest_pause: Duration::from_secs(1),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(1),
             hold_down: Duration::from_secs(2),
-            return_hold_down: Duration::from_millis(600),
-            patience: Duration::from_millis(300),
-            loss_confirmation: Duration::from_millis(500),
+            last_resort_hold_down: Duration::from_millis(600),
+            startup_wait: Duration::from_millis(300),
+            loss_timeout: Duration::from_millis(500),
             probe_interval: Duration::from_millis(500),
         }
     }
@@ -50,18 +50,18 @@
 
 /// Over how long the moves of all routers are spread, so that a dispatcher does not take in a whole
 /// fleet within one of its time slices.
-const MOVE_SPREAD: Duration = Duration::from_millis(500);
+const SWITCH_SPREAD: Duration = Duration::from_millis(500);
 
 impl ChoiceOptions {
     /// The defaults with hold-down times that differ from router to router.
     pub fn spread_for(router: &InstanceName) -> ChoiceOptions {
         const PARTS: u64 = 64;
         let part = stable_hash(router.as_str().bytes()) % PARTS;
-        let extra = MOVE_SPREAD * u32::try_from(part).unwrap_or(0) / u32::try_from(PARTS).unwrap_or(1);
+        let extra = SWITCH_SPREAD * u32::try_from(part).unwrap_or(0) / u32::try_from(PARTS).unwrap_or(1);
         let options = ChoiceOptions::default();
         ChoiceOptions {
             hold_down: options.hold_down + extra,
-            return_hold_down: options.return_hold_down + extra,
+            last_resort_hold_down: options.last_resort_hold_down + extra,
             ..options
         }
     }
@@ -108,11 +108,11 @@
 struct CandidateState {
     kind: CandidateKind,
     failures: u32,
-    not_before: Moment,
+    retry_at: Moment,
     answering_since: Option<Moment>,
     lost_since: Option<Moment>,
     /// True once it was lost: what returns has to answer for a while before it is used.
-    returned: bool,
+    was_lost: bool,
     probe_at: Moment,
 }
 
@@ -121,18 +121,18 @@
         let mut state = CandidateState {
             kind: CandidateKind::Probed,
             failures: 0,
-            not_before: Moment(0),
+            retry_at: Moment(0),
             answering_since: None,
             lost_since: None,
-            returned: false,
+            was_lost: false,
             probe_at: Moment(0),
         };
-        state.hear(now, kind);
+        state.update_kind(now, kind);
         state
     }
 
     /// Takes in what is known from elsewhere.
-    fn hear(&mut self, now: Moment, kind: CandidateKind) {
+    fn update_kind(&mut self, now: Moment, kind: CandidateKind) {
         self.kind = kind;
         match kind {
             CandidateKind::Observed(CandidateHealth::Answering) => {
@@ -142,7 +142,7 @@
             CandidateKind::Observed(CandidateHealth::Lost) => {
                 self.answering_since = None;
                 self.lost_since.get_or_insert(now);
-                self.returned = true;
+                self.was_lost = true;
             }
             _ => {}
         }
@@ -160,14 +160,14 @@
     /// When a router without a stream may use it; `None` while that can't be said.
     fn usable_at(&self, options: &ChoiceOptions) -> Option<Moment> {
         match self.kind {
-            CandidateKind::Observed(CandidateHealth::Answering) if self.returned => {
-                let settled = self.answering_since? + options.return_hold_down;
-                Some(settled.max(self.not_before))
+            CandidateKind::Observed(CandidateHealth::Answering) if self.was_lost => {
+                let settled = self.answering_since? + options.last_resort_hold_down;
+                Some(settled.max(self.retry_at))
             }
             CandidateKind::Observed(
                 CandidateHealth::Pending | CandidateHealth::Unresponsive | CandidateHealth::Lost,
             ) => None,
-            _ => Some(self.not_before),
+            _ => Some(self.retry_at),
         }
     }
 }
@@ -176,7 +176,7 @@
 #[derive(Clone, Debug)]
 pub struct CandidateChoice {
     options: ChoiceOptions,
-    began: Moment,
+    started_at: Moment,
     candidates: Vec<CandidateState>,
     current: Option<usize>,
 }
@@ -190,23 +190,23 @@
     /// A choice among candidates of these kinds, in the order of their rank.
     pub fn of(now: Moment, kinds: Vec<CandidateKind>, options: ChoiceOptions) -> CandidateChoice {
         let candidates = kinds.into_iter().map(|kind| CandidateState::new(now, kind)).collect();
-        CandidateChoice { options, began: now, candidates, current: None }
+        CandidateChoice { options, started_at: now, candidates, current: None }
     }
 
     /// Takes a changed list over: each candidate's rank before, and what is known of it now. What was
     /// seen of a candidate stays with it; the present one is dropped when it is no longer listed.
-    pub fn update(&mut self, now: Moment, places: &[(Option<usize>, CandidateKind)]) {
+    pub fn update(&mut self, now: Moment, changes: &[(Option<usize>, CandidateKind)]) {
         let state = |(before, kind): &(Option<usize>, CandidateKind)| match before {
             Some(rank) => {
                 let mut state = self.candidates[*rank];
-                state.hear(now, *kind);
+                state.update_kind(now, *kind);
                 state
             }
             None => CandidateState::new(now, *kind),
         };
-        let candidates = places.iter().map(state).collect();
+        let candidates = changes.iter().map(state).collect();
         let current = self.current;
-        self.current = current.and_then(|rank| places.iter().position(|(before, _)| *before == Some(rank)));
+        self.current = current.and_then(|rank| changes.iter().position(|(before, _)| *before == Some(rank)));
         self.candidates = candidates;
     }
 
@@ -218,14 +218,14 @@
     /// True when the process of the present candidate has been lost for long enough to leave it.
     pub fn has_lost_current(&self, now: Moment) -> bool {
         let lost = self.current.and_then(|rank| self.candidates[rank].lost_since);
-        lost.is_some_and(|since| now.since(since) >= self.options.loss_confirmation)
+        lost.is_some_and(|since| now.since(since) >= self.options.loss_timeout)
     }
 
     /// What to do next.
     pub fn next(&self, now: Moment) -> ChoiceStep {
         match self.current {
             None => self.next_connect(now),
-            Some(rank) => self.next_move(now, rank),
+            Some(rank) => self.next_switch(now, rank),
         }
     }
 
@@ -239,9 +239,9 @@
     /// The candidate could not be reached, or its stream ended.
     pub fn failed(&mut self, now: Moment, rank: usize) {
         let state = &mut self.candidates[rank];
-        let pause = self.options.first_pause * (1 << state.failures.min(8));
+        let backoff = self.options.initial_backoff * (1 << state.failures.min(8));
         state.failures += 1;
-        state.not_before = now + pause.min(self.options.longest_pause);
+        state.retry_at = now + backoff.min(self.options.max_backoff);
         state.answering_since = None;
         if self.current == Some(rank) {
             self.current = None;
@@ -266,12 +266,12 @@
     }
 
     fn next_connect(&self, now: Moment) -> ChoiceStep {
-        let patient_until = self.began + self.options.patience;
+        let startup_deadline = self.started_at + self.options.startup_wait;
         let mut next = None;
         for (rank, state) in self.candidates.iter().enumerate() {
             let pending = state.kind == CandidateKind::Observed(CandidateHealth::Pending);
-            if pending && now < patient_until {
-                return ChoiceStep::Wait(patient_until);
+            if pending && now < startup_deadline {
+                return ChoiceStep::Wait(startup_deadline);
             }
             match state.usable_at(&self.options) {
                 Some(at) if at <= now => return ChoiceStep::Connect(rank),
@@ -282,17 +282,17 @@
         ChoiceStep::Wait(next.unwrap_or(now + self.options.probe_interval))
     }
 
-    fn next_move(&self, now: Moment, rank: usize) -> ChoiceStep {
+    fn next_switch(&self, now: Moment, rank: usize) -> ChoiceStep {
         let better = &self.candidates[..rank];
         if let Some(target) = self.better_candidate(now, rank) {
             return ChoiceStep::Connect(target);
         }
-        let asked = |state: &&CandidateState| state.kind == CandidateKind::Probed;
-        let due = |state: &CandidateState| asked(&state) && state.probe_at <= now;
-        if let Some(target) = better.iter().position(due) {
+        let is_probed = |state: &&CandidateState| state.kind == CandidateKind::Probed;
+        let probe_due = |state: &CandidateState| is_probed(&state) && state.probe_at <= now;
+        if let Some(target) = better.iter().position(probe_due) {
             return ChoiceStep::Probe(target);
         }
-        let next = better.iter().filter(asked).map(|state| state.probe_at).min();
+        let next = better.iter().filter(is_probed).map(|state| state.probe_at).min();
         ChoiceStep::Wait(next.unwrap_or(now + self.options.probe_interval))
     }
 
@@ -300,7 +300,7 @@
     /// keeps coming and going while another one has answered for twice the time.
     fn better_candidate(&self, now: Moment, rank: usize) -> Option<usize> {
         let hold_down = match self.candidates[rank].kind {
-            CandidateKind::LastResort => self.options.return_hold_down,
+            CandidateKind::LastResort => self.options.last_resort_hold_down,
             _ => self.options.hold_down,
         };
         let better = &self.candidates[..rank];
--- a/crates/micaspool-dispatch/src/ranking.rs
+++ b/crates/micaspool-dispatch/src/ranking.rs
@@ -28,12 +28,12 @@
     let mut others: Vec<&ServiceName> = services.iter().filter(|other| *other < service).collect();
     others.sort();
     others.dedup();
-    let mut taken: Vec<InstanceName> = Vec::new();
+    let mut claimed: Vec<InstanceName> = Vec::new();
     for other in others {
-        taken.extend(first_free(&rank_candidates(other, dispatchers), &taken));
+        claimed.extend(first_free(&rank_candidates(other, dispatchers), &claimed));
     }
     let mut ranked = rank_candidates(service, dispatchers);
-    if let Some(first) = first_free(&ranked, &taken) {
+    if let Some(first) = first_free(&ranked, &claimed) {
         ranked.retain(|name| *name != first);
         ranked.insert(0, first);
     }
@@ -41,6 +41,6 @@
 }
 
 /// The best candidate that no other service has.
-fn first_free(ranked: &[InstanceName], taken: &[InstanceName]) -> Option<InstanceName> {
-    ranked.iter().find(|name| !taken.contains(name)).cloned()
+fn first_free(ranked: &[InstanceName], claimed: &[InstanceName]) -> Option<InstanceName> {
+    ranked.iter().find(|name| !claimed.contains(name)).cloned()
 }
--- a/crates/micaspool-dispatch/src/shard/advice.rs
+++ b/crates/micaspool-dispatch/src/shard/advice.rs
@@ -65,7 +65,7 @@
         let Some(ticket) = self.waiting.get(&request) else { return };
         let halls = self.customers.get(ticket.customer).halls;
         let Some(rest_end_at) = self.rest_end(now, ticket.router, halls) else { return };
-        if ticket.latest().is_some_and(|latest| latest < rest_end_at) {
+        if ticket.latest_start().is_some_and(|latest_start| latest_start < rest_end_at) {
             self.refuse_for(
                 now,
                 request,
--- a/crates/micaspool-dispatch/src/shard/choice.rs
+++ b/crates/micaspool-dispatch/src/shard/choice.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// How many free engines that keep a part of a prompt are compared, and how many busy ones.
-const MOST_HOLDERS: usize = 16;
+const MAX_HOLDERS: usize = 16;
 /// How many of the least loaded engines of a hall are compared.
 const LEAST_LOADED_PER_HALL: usize = 4;
 
@@ -24,7 +24,7 @@
 
 /// How well an engine suits a prompt; the least is best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct EngineFitness {
+struct EngineScore {
     /// True when the first event would come later than wanted.
     late: bool,
     /// See [`EngineState::delay`](super::engine::EngineState::delay).
@@ -55,20 +55,21 @@
     ) -> Option<EndpointIndex> {
         let holders = self.holders_of(query);
         let candidates = holders.chain(self.least_loaded_few(query));
-        let fitness = candidates.filter_map(|index| {
+        let scores = candidates.filter_map(|index| {
             let state = self.state(index);
             let engine = state.engine.as_ref()?;
-            let before = queued(index);
-            let held_up = self.cold_wait(now, index, before.tickets);
-            let begins = now + held_up + engine.time_to_first_event(now, query.prompt, before.tokens);
-            Some(EngineFitness {
-                late: query.wanted_by.is_some_and(|wanted| begins > wanted),
-                delay: engine.delay(now, query.prompt, state.busy, before.tokens)
-                    + held_up.as_micros() as u64,
+            let ahead = queued(index);
+            let cold_delay = self.cold_wait(now, index, ahead.tickets);
+            let first_event_at =
+                now + cold_delay + engine.time_to_first_event(now, query.prompt, ahead.tokens);
+            Some(EngineScore {
+                late: query.wanted_by.is_some_and(|wanted| first_event_at > wanted),
+                delay: engine.delay(now, query.prompt, state.busy, ahead.tokens)
+                    + cold_delay.as_micros() as u64,
                 engine: index,
             })
         });
-        fitness.min().map(|best| best.engine)
+        scores.min().map(|best| best.engine)
     }
 
     /// The tokens that an engine would have to read for a prompt.
@@ -133,8 +134,8 @@
         let deepest = levels.filter(move |engines| engines.iter().any(usable)).take(1);
         let holders = deepest.flatten().copied().filter(usable);
         let is_free = move |index: &EndpointIndex| self.state(*index).is_free();
-        let free = holders.clone().filter(is_free).take(MOST_HOLDERS);
-        let busy = holders.filter(move |index| !is_free(index)).take(MOST_HOLDERS);
+        let free = holders.clone().filter(is_free).take(MAX_HOLDERS);
+        let busy = holders.filter(move |index| !is_free(index)).take(MAX_HOLDERS);
         free.chain(busy)
     }
 
--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -33,7 +33,7 @@
     /// The prompt tokens of the queue; requests where they have none.
     pub queued_load: u64,
     /// The same of all its tickets that came, a second.
-    pub ask_rate: DecayingRate,
+    pub demand_rate: DecayingRate,
     /// The same of its grants, a second.
     pub grant_rate: DecayingRate,
     /// What became of its tickets.
@@ -96,7 +96,7 @@
             estimator: CostEstimator::new(self.ceiling),
             queue: BTreeMap::new(),
             queued_load: 0,
-            ask_rate: DecayingRate::default(),
+            demand_rate: DecayingRate::default(),
             grant_rate: DecayingRate::default(),
             counters: CustomerCounters::default(),
             tolerance: WaitTolerance::default(),
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -63,7 +63,7 @@
     /// Reused to carry what changed about an engine's kept parts.
     part_changes: Vec<PartChange>,
     /// True when an endpoint has become free since this was last asked for.
-    opened: bool,
+    became_free: bool,
     /// How long endpoints without an engine work on a request.
     pub(super) service_time: ServiceTime,
     /// The same until an answer begins.
@@ -226,8 +226,8 @@
     }
 
     /// True when an endpoint has become free since the last call.
-    pub fn take_opened(&mut self) -> bool {
-        std::mem::take(&mut self.opened)
+    pub fn take_became_free(&mut self) -> bool {
+        std::mem::take(&mut self.became_free)
     }
 
     /// Takes over which prompt parts an engine keeps or dropped.
@@ -367,7 +367,7 @@
         if load == state.indexed {
             return;
         }
-        self.opened |= self.state(endpoint).indexed.is_none();
+        self.became_free |= self.state(endpoint).indexed.is_none();
         self.unindex(endpoint);
         if let Some(load) = load {
             let hall = self.state(endpoint).hall;
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -30,7 +30,7 @@
     ) {
         if self.suspects.standing(now, ended.digest).is_in_doubt() {
             // A copy that waits may run now, though no endpoint was full.
-            self.fill_due = now;
+            self.next_pass_due = now;
         }
         match fate {
             GrantOutcome::Severed => self.note_severed(now, ended, actions),
@@ -121,7 +121,7 @@
         if change.after == RequestStanding::Clear {
             self.suspects.holders.remove(&change.digest);
         }
-        self.fill_due = now;
+        self.next_pass_due = now;
     }
 
     fn report_standing(
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -19,7 +19,7 @@
 
 /// How often all tickets are looked at, even when no endpoint has become free, those that wait for an engine of
 /// their choice among them. No more often than that either: engines tell of their caches hundreds of times a second.
-const FILL_INTERVAL: Duration = Duration::from_millis(20);
+const PASS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A request that runs, or is about to.
 #[derive(Debug, Clone)]
@@ -42,27 +42,27 @@
 
 impl ShardCore {
     /// Gives every free slot to the lowest-ranked customer that may use it.
-    pub(super) fn fill(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
+    pub(super) fn grant_free_slots(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         if self.recovering_until.is_some() {
             return;
         }
-        self.endpoints.take_opened();
-        if now >= self.fill_due {
-            self.fill_due = now + FILL_INTERVAL;
-            self.next_round = self.fill_due;
-            self.choice_round += 1;
+        self.endpoints.take_became_free();
+        if now >= self.next_pass_due {
+            self.next_pass_due = now + PASS_INTERVAL;
+            self.earliest_pass = self.next_pass_due;
+            self.pass_number += 1;
         }
-        while let Some((request, endpoint)) = self.next_pair(now) {
+        while let Some((request, endpoint)) = self.next_grant(now) {
             self.grant(now, request, endpoint, actions);
         }
     }
 
     /// Fills when an endpoint has become free, when tickets have moved up in a queue, or when it was not done for a
     /// while. Other steps leave no pair behind: a new ticket is looked at when it is taken.
-    pub(super) fn fill_if_due(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
-        let moved_up = std::mem::take(&mut self.moved_up);
-        if self.endpoints.take_opened() || moved_up || now >= self.fill_due {
-            self.fill(now, actions);
+    pub(super) fn grant_if_due(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
+        let queue_advanced = std::mem::take(&mut self.queue_advanced);
+        if self.endpoints.take_became_free() || queue_advanced || now >= self.next_pass_due {
+            self.grant_free_slots(now, actions);
         }
     }
 
@@ -72,7 +72,7 @@
             return;
         }
         let Some(ticket) = self.waiting.get(&request) else { return };
-        if !self.looked_at(now, ticket.customer).any(|id| *id == request) {
+        if !self.candidate_tickets(now, ticket.customer).any(|id| *id == request) {
             return;
         }
         if let Some(endpoint) = self.choose_endpoint(now, ticket) {
@@ -81,7 +81,7 @@
     }
 
     /// The next ticket to run and where; `None` when no free slot has an eligible ticket.
-    pub(super) fn next_pair(&self, now: Moment) -> Option<(RequestId, EndpointIndex)> {
+    pub(super) fn next_grant(&self, now: Moment) -> Option<(RequestId, EndpointIndex)> {
         let free = self.endpoints.free_halls();
         if free.is_empty() {
             return None;
@@ -92,7 +92,7 @@
     /// The tickets of a customer that are looked at for one that a free endpoint suits. Those of routers whose
     /// stream is lost are passed over, and don't count: they stay for the lease, and would stand before everyone
     /// else's. It is the same for those of routers from which no endpoint wants anything for now.
-    fn looked_at(&self, now: Moment, customer: CustomerIndex) -> impl Iterator<Item = &RequestId> {
+    fn candidate_tickets(&self, now: Moment, customer: CustomerIndex) -> impl Iterator<Item = &RequestId> {
         let queue = self.customers.get(customer).queue.values();
         let usable = queue.filter(move |request| {
             let ticket = &self.waiting[*request];
@@ -102,9 +102,9 @@
     }
 
     fn choose_ticket(&self, now: Moment, customer: CustomerIndex) -> Option<(RequestId, EndpointIndex)> {
-        self.looked_at(now, customer).find_map(|request| {
+        self.candidate_tickets(now, customer).find_map(|request| {
             let ticket = &self.waiting[request];
-            if self.still_waits(ticket) {
+            if self.awaits_busy_engine(ticket) {
                 return None;
             }
             let endpoint = self.choose_endpoint(now, ticket)?;
@@ -114,10 +114,10 @@
 
     /// True while the engine that a ticket chose in this round is not free yet. Looking again at every opening
     /// of an engine would cost more than it finds.
-    fn still_waits(&self, ticket: &WaitingTicket) -> bool {
+    fn awaits_busy_engine(&self, ticket: &WaitingTicket) -> bool {
         let Some(choice) = ticket.waits_for.get() else { return false };
         let halls = self.customers.get(ticket.customer).halls;
-        choice.round == self.choice_round && !self.endpoints.is_free(choice.engine, halls)
+        choice.pass == self.pass_number && !self.endpoints.is_free(choice.engine, halls)
     }
 
     /// The engine that would begin first, once it is free; for others the free endpoint with the longest known
@@ -153,7 +153,7 @@
     /// alike crowd at the few engines that keep that beginning.
     fn note_choice(&self, ticket: &WaitingTicket, engine: Option<EndpointIndex>) {
         let request = ticket.place.request;
-        let choice = engine.map(|engine| EngineChoice { engine, round: self.choice_round });
+        let choice = engine.map(|engine| EngineChoice { engine, pass: self.pass_number });
         let before = ticket.waits_for.replace(choice);
         if let Some(left) = before.filter(|before| Some(before.engine) != engine) {
             self.engine_queues.leave(left.engine, request);
@@ -240,8 +240,8 @@
         let (customer, estimate, before) = (grant.customer, grant.estimate, grant.delivered);
         grant.delivered = delivered;
         let (endpoint, since) = (grant.endpoint, grant.since);
-        let begins = std::mem::take(&mut grant.awaits_first_event);
-        if begins {
+        let is_first_event = std::mem::take(&mut grant.awaits_first_event);
+        if is_first_event {
             self.endpoints.begin(now, endpoint, request);
             since.into_iter().for_each(|since| self.endpoints.note_answer(endpoint, now.since(since)));
         }
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -45,14 +45,14 @@
         let mut tickets: Vec<RequestTicket> = waiting.into_values().collect();
         tickets.sort_by_key(|ticket| ticket.order);
         for ticket in tickets {
-            self.take_ticket(now, session, router, ticket, actions);
+            self.adopt_ticket(now, session, router, ticket, actions);
         }
         self.refuse_resting(now, router, actions);
         if self.options.use_held_state {
             let mut grants: Vec<HeldGrant> = running.into_values().collect();
             grants.sort_by_key(|grant| grant.order);
             for grant in grants {
-                self.take_running(router, grant);
+                self.adopt_running(router, grant);
             }
         }
     }
@@ -74,13 +74,13 @@
         }
         match running.remove(&request) {
             Some(held) => self.update_delivered(request, held.delivered),
-            None if held_waiting => self.take_grant_back(now, request),
+            None if held_waiting => self.revert_grant(now, request),
             None => self.end_grant(now, request, None, GrantOutcome::Abandoned),
         }
     }
 
     /// The grant did not reach the router: the ticket waits again at its old place.
-    fn take_grant_back(&mut self, now: Moment, request: RequestId) {
+    fn revert_grant(&mut self, now: Moment, request: RequestId) {
         let Some(grant) = self.running.get(&request).cloned() else { return };
         self.end_grant(now, request, None, GrantOutcome::Unsent);
         let ticket = WaitingTicket {
@@ -95,8 +95,8 @@
             objective: None,
             expected_wait: Duration::ZERO,
             wanted_by: None,
-            ends: None,
-            leaves: None,
+            refuse_at: None,
+            caller_leaves_at: None,
             waits_for: Cell::new(None),
         };
         self.insert_waiting(now, request, ticket);
@@ -112,7 +112,7 @@
         }
     }
 
-    fn take_ticket(
+    fn adopt_ticket(
         &mut self,
         now: Moment,
         session: SessionId,
@@ -129,16 +129,16 @@
             return;
         }
         let customer = self.customers.ensure(&ticket.customer);
-        let numbered = ticket.order.is_some();
+        let had_order = ticket.order.is_some();
         let wait = self.wait_estimate(now, customer, &ticket, false);
         self.enqueue(now, router, customer, ticket, wait);
         let order = self.waiting[&request].place.order;
-        if !numbered {
+        if !had_order {
             actions.push(ShardAction::Accepted { session, request, order });
         }
     }
 
-    fn take_running(&mut self, router: RouterIndex, held: HeldGrant) {
+    fn adopt_running(&mut self, router: RouterIndex, held: HeldGrant) {
         if self.running.contains_key(&held.request) {
             return;
         }
@@ -173,14 +173,14 @@
     /// Brings recovered levels within an idle credit of each other. Routers bring what they heard from
     /// different dispatchers, their own among them, whose levels began at different times; without this
     /// a customer with a level from a longer count would be served nothing until all others reached it.
-    pub(super) fn narrow_levels(&mut self) {
+    pub(super) fn bring_levels_together(&mut self) {
         let levels = self.customers.iter().map(|state| state.level(self.options.policy.as_ref()));
         let Some(lowest) = levels.filter(|level| level.0 > 0).min() else { return };
         if self.idle_credit == Cost(0) {
             return;
         }
         for customer in self.customers.indices() {
-            self.lower_to(customer, lowest);
+            self.cap_level(customer, lowest);
         }
         for floor in &mut self.floors {
             *floor = (*floor).max(Rank(lowest.0));
@@ -188,7 +188,7 @@
     }
 
     /// Lowers a level to at most an idle credit above another.
-    fn lower_to(&mut self, customer: CustomerIndex, lowest: ServiceLevel) {
+    fn cap_level(&mut self, customer: CustomerIndex, lowest: ServiceLevel) {
         let state = self.customers.get(customer);
         let weight = state.account.weight();
         let highest = lowest.plus(ServiceLevel::of(self.idle_credit, weight));
@@ -206,9 +206,9 @@
         let customer = self.customers.ensure(&total.customer);
         let recovering = self.recovering_until.is_some();
         let state = self.customers.get_mut(customer);
-        let fresh = state.level_order.0 == 0;
+        let has_no_level = state.level_order.0 == 0;
         let comparable = recovering || self.idle_credit == Cost(0);
-        if total.order <= state.level_order || !(recovering || fresh) || !comparable {
+        if total.order <= state.level_order || !(recovering || has_no_level) || !comparable {
             return;
         }
         let weight = state.account.weight();
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -56,7 +56,7 @@
 use grants::RunningGrant;
 use micaspool_fair::{Rank, RankIndex};
 use micaspool_types::{Cost, HallMask, HallName, Moment, OrderNumber, RequestId, Revision};
-use prefixes::PrefixMemory;
+use prefixes::PrefixIndex;
 use rate::DecayingRate;
 use retries::RetryBudgets;
 use routers::RouterTable;
@@ -84,7 +84,7 @@
     overdue: BTreeSet<(Moment, RequestId)>,
     running: HashMap<RequestId, RunningGrant>,
     index: RankIndex,
-    prefixes: PrefixMemory,
+    prefixes: PrefixIndex,
     retries: RetryBudgets,
     first_attempts: FirstAttempts,
     remote: RemoteTotals,
@@ -95,13 +95,13 @@
     delivered: DecayingRate,
     next_order: OrderNumber,
     /// When all tickets are looked at again in any case.
-    fill_due: Moment,
+    next_pass_due: Moment,
     /// True when a ticket has left a queue without a grant, so that one behind it may be looked at.
-    moved_up: bool,
+    queue_advanced: bool,
     /// Before this moment they are not, whatever may have changed for them.
-    next_round: Moment,
+    earliest_pass: Moment,
     /// Counts the times that all tickets were looked at, whatever they had chosen before.
-    choice_round: u64,
+    pass_number: u64,
     /// Until when a new shard collects what routers hold; `None` once it grants.
     recovering_until: Option<Moment>,
 }
@@ -122,7 +122,7 @@
             overdue: BTreeSet::new(),
             running: HashMap::new(),
             index: RankIndex::default(),
-            prefixes: PrefixMemory::new(options.prefix_capacity),
+            prefixes: PrefixIndex::new(options.prefix_capacity),
             retries: RetryBudgets::default(),
             first_attempts: FirstAttempts::default(),
             remote: RemoteTotals::default(),
@@ -131,10 +131,10 @@
             throughput: GrantThroughput::new(now),
             delivered: DecayingRate::default(),
             next_order: OrderNumber(1),
-            fill_due: now,
-            moved_up: false,
-            next_round: now,
-            choice_round: 0,
+            next_pass_due: now,
+            queue_advanced: false,
+            earliest_pass: now,
+            pass_number: 0,
             recovering_until: Some(now + options.recovery_window),
             options,
         }
@@ -142,21 +142,21 @@
 
     /// Takes one event in and adds what follows from it to `actions`.
     pub fn step(&mut self, now: Moment, event: ShardEvent, actions: &mut Vec<ShardAction>) {
-        if let Some(session) = session_of(&event) {
+        if let Some(session) = source_session(&event) {
             if !self.routers.note_contact(session, now) {
                 actions.push(ShardAction::Rejoin { session });
                 return;
             }
         }
         if self.routers.end_rests(now) || changes_eligibility(&event) {
-            self.fill_due = self.fill_due.min(now.max(self.next_round));
+            self.next_pass_due = self.next_pass_due.min(now.max(self.earliest_pass));
         }
-        self.take(now, event, actions);
+        self.apply(now, event, actions);
         self.end_recovery(now);
         self.endpoints.wake(now);
-        self.fill_if_due(now, actions);
+        self.grant_if_due(now, actions);
         self.refuse_overdue(now, actions);
-        self.fill_if_due(now, actions);
+        self.grant_if_due(now, actions);
     }
 
     /// When something will be due without any event.
@@ -165,12 +165,12 @@
         [overdue, self.endpoints.next_wake(), self.routers.next_rest_end()].into_iter().flatten().min()
     }
 
-    fn take(&mut self, now: Moment, event: ShardEvent, actions: &mut Vec<ShardAction>) {
+    fn apply(&mut self, now: Moment, event: ShardEvent, actions: &mut Vec<ShardAction>) {
         match event {
             ShardEvent::Policy(policy) => self.adopt(now, policy, actions),
             ShardEvent::Joined(session, hello) => self.join(now, session, hello, actions),
             ShardEvent::Left(session) => self.routers.detach(session),
-            ShardEvent::Goodbye(session) => self.dismiss(now, session),
+            ShardEvent::Goodbye(session) => self.remove_router(now, session),
             ShardEvent::Submit(session, ticket) => self.submit(now, session, ticket, actions),
             ShardEvent::Cancel(session, request) => self.cancel(now, session, request),
             ShardEvent::Progress(session, request, delivered) => {
@@ -191,7 +191,7 @@
             ShardEvent::Unreachable(endpoint) => self.endpoints.fail_probe(now, &endpoint),
             ShardEvent::Listed(leaving) => self.endpoints.set_listed(&leaving),
             ShardEvent::Cache(news) => self.learn_cache(&news),
-            ShardEvent::Shared(totals) => self.take_shared(&totals),
+            ShardEvent::Shared(totals) => self.apply_region_totals(&totals),
             ShardEvent::Tick => {
                 self.expire(now);
                 self.expire_suspects(now, actions);
@@ -250,12 +250,12 @@
             && self.routers.all_joined(&self.options.expected_routers);
         if now >= until || all_joined {
             self.recovering_until = None;
-            self.fill_due = now;
-            self.narrow_levels();
+            self.next_pass_due = now;
+            self.bring_levels_together();
         }
     }
 
-    fn dismiss(&mut self, now: Moment, session: SessionId) {
+    fn remove_router(&mut self, now: Moment, session: SessionId) {
         if let Some(router) = self.routers.by_session(session) {
             for request in self.routers.forget(router) {
                 self.drop_waiting(request);
@@ -284,7 +284,7 @@
 }
 
 /// The stream that an event came from, when it must be a known one.
-fn session_of(event: &ShardEvent) -> Option<SessionId> {
+fn source_session(event: &ShardEvent) -> Option<SessionId> {
     match event {
         ShardEvent::Goodbye(session)
         | ShardEvent::Submit(session, _)
--- a/crates/micaspool-dispatch/src/shard/overdue.rs
+++ b/crates/micaspool-dispatch/src/shard/overdue.rs
@@ -12,18 +12,18 @@
 
 /// The shortest time that a ticket may wait, however long its reading takes: the longest prompts begin late
 /// everywhere, and would otherwise never run.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
+const MIN_WAIT: Duration = Duration::from_millis(100);
 /// How many tickets of a customer may wait whatever the estimate says, so that one without any service
 /// lately has a ticket ready.
-const FREE_TICKETS: usize = 2;
+const ALWAYS_ADMITTED_TICKETS: usize = 2;
 
 /// What can be told of a ticket's wait when it comes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitEstimate {
     /// How long it may wait until it is refused; `None` for ever.
-    pub longest: Option<Duration>,
+    pub max_wait: Option<Duration>,
     /// How long its customer's queue may be for it to be accepted; `None` for any length.
-    pub bound: Option<Duration>,
+    pub queue_bound: Option<Duration>,
     /// How long it would wait.
     pub expected: Duration,
 }
@@ -57,21 +57,21 @@
         ticket: &RequestTicket,
         is_first_attempt: bool,
     ) -> WaitEstimate {
-        let begins = self.endpoints.min_time_to_first_event(now, &PromptShape::of(ticket));
-        let expected = self.queue_time(now, self.customers.get(customer));
+        let first_event = self.endpoints.min_time_to_first_event(now, &PromptShape::of(ticket));
+        let expected = self.queue_wait(now, self.customers.get(customer));
         let Some(objective) = ticket.objective else {
-            return WaitEstimate { longest: None, bound: None, expected };
+            return WaitEstimate { max_wait: None, queue_bound: None, expected };
         };
-        let longest = objective.saturating_sub(begins).max(SHORTEST_WAIT);
+        let max_wait = objective.saturating_sub(first_event).max(MIN_WAIT);
         if !self.endpoints.has_no_engine() {
-            return WaitEstimate { longest: Some(longest), bound: Some(longest), expected };
+            return WaitEstimate { max_wait: Some(max_wait), queue_bound: Some(max_wait), expected };
         }
         if is_first_attempt {
-            self.note_tolerance(now, customer, objective, begins);
+            self.note_tolerance(now, customer, objective, first_event);
         }
-        let shared = self.customers.get_mut(customer).tolerance.shortest(now);
-        let bound = plain_bound(objective, begins, shared);
-        WaitEstimate { longest: Some(longest), bound: Some(bound), expected }
+        let tolerated = self.customers.get_mut(customer).tolerance.shortest(now);
+        let queue_bound = engineless_bound(objective, first_event, tolerated);
+        WaitEstimate { max_wait: Some(max_wait), queue_bound: Some(queue_bound), expected }
     }
 
     /// Takes in what requests of a plain service bear. The least patient set the length of a customer's queue: judged
@@ -81,32 +81,33 @@
         now: Moment,
         customer: CustomerIndex,
         objective: Duration,
-        begins: Duration,
+        first_event: Duration,
     ) {
-        let room = self.endpoints.answer_time.most().min(objective / 2).max(begins);
-        let tolerance = objective.saturating_sub(room);
+        let answer_allowance =
+            self.endpoints.answer_time.upper_estimate().min(objective / 2).max(first_event);
+        let tolerance = objective.saturating_sub(answer_allowance);
         if !tolerance.is_zero() {
             self.customers.get_mut(customer).tolerance.note(now, tolerance);
         }
     }
 
     /// True when the customer's tickets before this one will take longer than they may.
-    pub(super) fn comes_too_late(
+    pub(super) fn exceeds_wait_bound(
         &self,
         customer: CustomerIndex,
         ticket: &RequestTicket,
         wait: WaitEstimate,
     ) -> bool {
-        if ticket.order.is_some() || self.customers.get(customer).queue.len() < FREE_TICKETS {
+        if ticket.order.is_some() || self.customers.get(customer).queue.len() < ALWAYS_ADMITTED_TICKETS {
             return false;
         }
-        wait.bound.is_some_and(|bound| wait.expected > bound)
+        wait.queue_bound.is_some_and(|queue_bound| wait.expected > queue_bound)
     }
 
     /// A ticket that no longer waits is not refused either.
     pub(super) fn forget_overdue(&mut self, request: RequestId, ticket: &WaitingTicket) {
-        if let Some(ends) = ticket.ends {
-            self.overdue.remove(&(ends, request));
+        if let Some(refuse_at) = ticket.refuse_at {
+            self.overdue.remove(&(refuse_at, request));
         }
     }
 
@@ -114,12 +115,12 @@
     pub(super) fn refuse_overdue(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         while let Some((_, request)) = self.overdue.first().copied().filter(|(at, _)| *at <= now) {
             self.overdue.pop_first();
-            self.refuse_late(now, request, actions);
+            self.refuse_overdue_ticket(now, request, actions);
         }
     }
 
     /// How long the customer's waiting tickets will take.
-    fn queue_time(&self, now: Moment, state: &CustomerState) -> Duration {
+    fn queue_wait(&self, now: Moment, state: &CustomerState) -> Duration {
         let rate = self.service_rate(now, state);
         Duration::try_from_secs_f64(state.queued_load as f64 / rate).unwrap_or(Duration::MAX)
     }
@@ -127,16 +128,16 @@
     /// The load a second at which a customer is served: as it was lately, or an even share of what all endpoints do, if
     /// that is more.
     pub(super) fn service_rate(&self, now: Moment, state: &CustomerState) -> f64 {
-        let share = self.endpoints.load_per_second(now) / self.backlogged().max(1) as f64;
+        let share = self.endpoints.load_per_second(now) / self.backlogged_customers().max(1) as f64;
         state.grant_rate.per_second(now).max(share)
     }
 
     /// How many customers have a ticket that waits.
-    pub(super) fn backlogged(&self) -> usize {
+    pub(super) fn backlogged_customers(&self) -> usize {
         self.customers.iter().filter(|state| !state.queue.is_empty()).count()
     }
 
-    fn refuse_late(&mut self, now: Moment, request: RequestId, actions: &mut Vec<ShardAction>) {
+    fn refuse_overdue_ticket(&mut self, now: Moment, request: RequestId, actions: &mut Vec<ShardAction>) {
         let Some(ticket) = self.waiting.get(&request) else { return };
         self.customers.get_mut(ticket.customer).refused_at = Some(now);
         self.refuse_for(now, request, RefusalCause::of(RefusalReason::Overdue), actions);
@@ -170,12 +171,12 @@
     }
 }
 
-/// How long a customer's queue at a plain service may be for a ticket, where answers take `service`: as long as the
+/// How long a customer's queue at a plain service may be for a ticket, where answers take `answer_time`: as long as the
 /// least patient bears, but never too short to keep every slot busy however the next requests arrive, for which one
 /// service time is enough. A ticket that comes late whatever happens is taken only below that.
-fn plain_bound(objective: Duration, service: Duration, shared: Duration) -> Duration {
-    if objective <= service {
-        return service / 2;
+fn engineless_bound(objective: Duration, answer_time: Duration, tolerated: Duration) -> Duration {
+    if objective <= answer_time {
+        return answer_time / 2;
     }
-    shared.max(service).min(objective - service)
+    tolerated.max(answer_time).min(objective - answer_time)
 }
--- a/crates/micaspool-dispatch/src/shard/parts.rs
+++ b/crates/micaspool-dispatch/src/shard/parts.rs
@@ -7,15 +7,15 @@
 #[derive(Debug, Default)]
 pub(super) struct PartCache {
     parts: HashMap<u64, PartEntry>,
-    ages: BTreeMap<u64, u64>,
+    recency: BTreeMap<u64, u64>,
     tokens: u64,
-    clock: u64,
+    use_counter: u64,
 }
 
 #[derive(Debug)]
 struct PartEntry {
     tokens: u64,
-    used: u64,
+    last_used: u64,
 }
 
 impl PartCache {
@@ -24,26 +24,26 @@
     }
 
     pub fn touch(&mut self, prefix: u64, tokens: u64, changes: &mut Vec<PartChange>) {
-        self.clock += 1;
-        let used = self.clock;
+        self.use_counter += 1;
+        let last_used = self.use_counter;
         match self.parts.get_mut(&prefix) {
             Some(part) => {
-                self.ages.remove(&part.used);
-                part.used = used;
+                self.recency.remove(&part.last_used);
+                part.last_used = last_used;
             }
             None => {
-                self.parts.insert(prefix, PartEntry { tokens, used });
+                self.parts.insert(prefix, PartEntry { tokens, last_used });
                 self.tokens += tokens;
                 changes.push(PartChange::Kept(prefix));
             }
         }
-        self.ages.insert(used, prefix);
+        self.recency.insert(last_used, prefix);
     }
 
     /// Forgets a part.
     pub fn drop(&mut self, prefix: u64, changes: &mut Vec<PartChange>) {
         let Some(part) = self.parts.remove(&prefix) else { return };
-        self.ages.remove(&part.used);
+        self.recency.remove(&part.last_used);
         self.tokens -= part.tokens;
         changes.push(PartChange::Dropped(prefix));
     }
@@ -55,7 +55,7 @@
 
     pub fn shrink(&mut self, limit: u64, changes: &mut Vec<PartChange>) {
         while self.tokens > limit {
-            let Some((_, prefix)) = self.ages.pop_first() else { return };
+            let Some((_, prefix)) = self.recency.pop_first() else { return };
             if let Some(part) = self.parts.remove(&prefix) {
                 self.tokens -= part.tokens;
                 changes.push(PartChange::Dropped(prefix));
--- a/crates/micaspool-dispatch/src/shard/pauses.rs
+++ b/crates/micaspool-dispatch/src/shard/pauses.rs
@@ -7,10 +7,10 @@
 /// The first pause after an endpoint failed or refused; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 /// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(16);
+const MAX_PAUSE: Duration = Duration::from_secs(16);
 /// While fewer than half of a service's endpoints are open, those that are paused are tried so often a second together:
 /// a few that come back are found soon, and hundreds that are gone don't cost a request each.
-const TRIES_PER_SECOND: u32 = 6;
+const RETRIES_PER_SECOND: u32 = 6;
 
 impl EndpointTable {
     /// Leaves an endpoint alone for a while, longer after each failure in a row.
@@ -20,7 +20,7 @@
             return;
         }
         let doublings = state.failures.min(8);
-        let until = now + (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
+        let until = now + (FIRST_PAUSE * (1 << doublings)).min(MAX_PAUSE);
         state.failures += 1;
         state.availability.paused_until = Some(until);
         self.pauses.insert((until, endpoint));
@@ -37,8 +37,8 @@
             return;
         }
         let paused = u32::try_from(self.pauses.len()).unwrap_or(u32::MAX);
-        let longest = (Duration::from_secs(1) * paused / TRIES_PER_SECOND).clamp(FIRST_PAUSE, LONGEST_PAUSE);
-        let latest = now + longest;
+        let max_pause = (Duration::from_secs(1) * paused / RETRIES_PER_SECOND).clamp(FIRST_PAUSE, MAX_PAUSE);
+        let latest = now + max_pause;
         let later = self.pauses.iter().rev().take_while(|(until, _)| *until > latest).copied();
         let failed = later.filter(|(_, endpoint)| !self.state(*endpoint).availability.paused_as_leaving);
         for (until, endpoint) in failed.collect::<Vec<_>>() {
--- a/crates/micaspool-dispatch/src/shard/prefixes.rs
+++ b/crates/micaspool-dispatch/src/shard/prefixes.rs
@@ -5,15 +5,15 @@
 
 /// Prefix hashes and the endpoint that used each last; the oldest entries go first.
 #[derive(Debug)]
-pub(super) struct PrefixMemory {
+pub(super) struct PrefixIndex {
     holders: HashMap<u64, EndpointIndex>,
-    ages: VecDeque<u64>,
+    recency: VecDeque<u64>,
     capacity: usize,
 }
 
-impl PrefixMemory {
-    pub fn new(capacity: usize) -> PrefixMemory {
-        PrefixMemory { holders: HashMap::new(), ages: VecDeque::new(), capacity }
+impl PrefixIndex {
+    pub fn new(capacity: usize) -> PrefixIndex {
+        PrefixIndex { holders: HashMap::new(), recency: VecDeque::new(), capacity }
     }
 
     pub fn holder(&self, prefix: u64) -> Option<EndpointIndex> {
@@ -24,11 +24,11 @@
     pub fn remember(&mut self, prefixes: &[u64], endpoint: EndpointIndex) {
         for prefix in prefixes {
             if self.holders.insert(*prefix, endpoint).is_none() {
-                self.ages.push_back(*prefix);
+                self.recency.push_back(*prefix);
             }
         }
-        while self.ages.len() > self.capacity {
-            let oldest = self.ages.pop_front().expect("the list is longer than its capacity");
+        while self.recency.len() > self.capacity {
+            let oldest = self.recency.pop_front().expect("the list is longer than its capacity");
             self.holders.remove(&oldest);
         }
     }
@@ -38,7 +38,7 @@
         for prefix in prefixes {
             if self.holders.get(prefix) == Some(&endpoint) {
                 self.holders.remove(prefix);
-                self.ages.retain(|other| other != prefix);
+                self.recency.retain(|other| other != prefix);
             }
         }
     }
--- a/crates/micaspool-dispatch/src/shard/service_time.rs
+++ b/crates/micaspool-dispatch/src/shard/service_time.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// What one observation moves the mean, as a part of the distance.
-const STEP: f64 = 1.0 / 32.0;
+const GAIN: f64 = 1.0 / 32.0;
 
 /// How many mean deviations above the mean most requests stay, as for retransmission time-outs (Jacobson, 1988).
 const DEVIATIONS: f64 = 2.0;
@@ -22,8 +22,8 @@
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         let distance = self.mean.map_or(took / 2.0, |mean| (took - mean).abs());
-        self.deviation = self.mean.map_or(distance, |_| self.deviation + (distance - self.deviation) * STEP);
-        let mean = self.mean.map_or(took, |mean| mean + (took - mean) * STEP);
+        self.deviation = self.mean.map_or(distance, |_| self.deviation + (distance - self.deviation) * GAIN);
+        let mean = self.mean.map_or(took, |mean| mean + (took - mean) * GAIN);
         self.mean = Some(mean);
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// What most requests take at most; zero before any request ended.
-    pub fn most(&self) -> Duration {
+    pub fn upper_estimate(&self) -> Duration {
         self.mean() + Duration::from_secs_f64(self.deviation * DEVIATIONS)
     }
 
--- a/crates/micaspool-dispatch/src/shard/sharing.rs
+++ b/crates/micaspool-dispatch/src/shard/sharing.rs
@@ -11,7 +11,7 @@
 
 /// One message raises a customer's level by at most this many of the largest request. After a long
 /// cut the rest is forgotten, so that a customer that the other region served does not starve here.
-const MOST_REQUESTS: u64 = 16;
+const MAX_RAISE_REQUESTS: u64 = 16;
 
 /// The newest sums of other regions.
 #[derive(Debug, Default)]
@@ -28,12 +28,12 @@
 impl RemoteTotals {
     /// Notes a region's sums and gives what is new. The first sums of a dispatcher's life only set
     /// the start.
-    fn growth(&mut self, totals: &RegionTotals) -> Vec<CustomerTotal> {
+    fn increase(&mut self, totals: &RegionTotals) -> Vec<CustomerTotal> {
         let region = self.regions.entry(totals.region.clone()).or_insert_with(|| RemoteRegion::new(totals));
         if region.incarnation != totals.incarnation {
             *region = RemoteRegion::new(totals);
         }
-        totals.totals.iter().filter_map(|total| region.growth_of(total)).collect()
+        totals.totals.iter().filter_map(|total| region.increase_of(total)).collect()
     }
 }
 
@@ -43,11 +43,11 @@
         RemoteRegion { incarnation: totals.incarnation, known: known.collect() }
     }
 
-    fn growth_of(&mut self, total: &CustomerTotal) -> Option<CustomerTotal> {
+    fn increase_of(&mut self, total: &CustomerTotal) -> Option<CustomerTotal> {
         let known = self.known.entry(total.customer.clone()).or_default();
-        let grown = total.served.minus(*known);
+        let increased = total.served.minus(*known);
         *known = total.served.max(*known);
-        (grown > Cost(0)).then(|| CustomerTotal { customer: total.customer.clone(), served: grown })
+        (increased > Cost(0)).then(|| CustomerTotal { customer: total.customer.clone(), served: increased })
     }
 }
 
@@ -59,12 +59,12 @@
     }
 
     /// Raises the levels of customers that another region has served.
-    pub(super) fn take_shared(&mut self, totals: &RegionTotals) {
-        let most = Cost(self.options.cost_ceiling.0.saturating_mul(MOST_REQUESTS));
-        for growth in self.remote.growth(totals) {
-            let customer = self.customers.ensure(&growth.customer);
+    pub(super) fn apply_region_totals(&mut self, totals: &RegionTotals) {
+        let max_raise = Cost(self.options.cost_ceiling.0.saturating_mul(MAX_RAISE_REQUESTS));
+        for increase in self.remote.increase(totals) {
+            let customer = self.customers.ensure(&increase.customer);
             let state = self.customers.get_mut(customer);
-            let level = ServiceLevel::of(growth.served.min(most), state.account.weight());
+            let level = ServiceLevel::of(increase.served.min(max_raise), state.account.weight());
             state.account.raise(level);
             self.reindex(customer);
         }
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -189,7 +189,7 @@
             awaiting: awaited().count(),
             awaited_engines: engines.len(),
             running: self.running.len(),
-            rounds: self.choice_round,
+            rounds: self.pass_number,
             customers: customers.collect(),
             endpoints: endpoints.collect(),
             suspects: self.suspects.suspected(now),
@@ -227,6 +227,6 @@
     /// True when a slot is free that a waiting ticket would use, which no step leaves behind. A ticket that
     /// has chosen to wait for a busy engine decides anew within 20 ms, or once that engine is free.
     pub fn has_idle_slot(&self, now: Moment) -> bool {
-        self.recovering_until.is_none() && self.next_pair(now).is_some()
+        self.recovering_until.is_none() && self.next_grant(now).is_some()
     }
 }
--- a/crates/micaspool-dispatch/src/shard/tickets.rs
+++ b/crates/micaspool-dispatch/src/shard/tickets.rs
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 /// How long a ticket stays away from the endpoint that failed it.
-const AVOIDANCE: Duration = Duration::from_secs(5);
+const AVOIDANCE_PERIOD: Duration = Duration::from_secs(5);
 
 /// What is left of an objective that has passed.
-const LEAST_OBJECTIVE: Duration = Duration::from_millis(1);
+const MIN_OBJECTIVE: Duration = Duration::from_millis(1);
 
 /// A ticket that waits.
 #[derive(Debug, Clone)]
@@ -38,9 +38,9 @@
     /// When its first event is wanted; `None` for whenever it comes.
     pub wanted_by: Option<Moment>,
     /// When it is refused, since it can't begin in time any more; `None` for never.
-    pub ends: Option<Moment>,
+    pub refuse_at: Option<Moment>,
     /// When its caller leaves; `None` if it did not say.
-    pub leaves: Option<Moment>,
+    pub caller_leaves_at: Option<Moment>,
     /// The engine that suits it best though it is not free.
     pub waits_for: Cell<Option<EngineChoice>>,
 }
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineChoice {
     pub engine: EndpointIndex,
-    pub round: u64,
+    pub pass: u64,
 }
 
 /// The endpoint that a ticket stays away from, and until when.
@@ -68,8 +68,8 @@
 
 impl WaitingTicket {
     /// The latest moment at which it may begin to run; `None` when nobody told.
-    pub fn latest(&self) -> Option<Moment> {
-        self.ends.or(self.leaves)
+    pub fn latest_start(&self) -> Option<Moment> {
+        self.refuse_at.or(self.caller_leaves_at)
     }
 }
 
@@ -91,10 +91,10 @@
             return;
         }
         let load = PromptShape::load_of(&ticket);
-        self.customers.get_mut(customer).ask_rate.add(now, load);
-        let age = self.age_of(now, &ticket);
+        self.customers.get_mut(customer).demand_rate.add(now, load);
+        let age = self.caller_age(now, &ticket);
         let is_first_attempt = age.is_zero() && ticket.attempt == 0;
-        let objective = ticket.objective.map(|objective| objective.saturating_sub(age).max(LEAST_OBJECTIVE));
+        let objective = ticket.objective.map(|objective| objective.saturating_sub(age).max(MIN_OBJECTIVE));
         let ticket = RequestTicket { objective, ..ticket };
         let wait = self.wait_estimate(now, customer, &ticket, is_first_attempt);
         if let Some(reason) = self.reason_to_refuse(now, customer, &ticket, wait) {
@@ -122,7 +122,7 @@
 
     /// How long ago the caller first tried. It is taken off the objective: an answer is wanted within a time from then
     /// on. Otherwise callers who come back take the place of others, and are late.
-    fn age_of(&mut self, now: Moment, ticket: &RequestTicket) -> Duration {
+    fn caller_age(&mut self, now: Moment, ticket: &RequestTicket) -> Duration {
         match (ticket.objective, ticket.patience) {
             (Some(objective), Some(patience)) if ticket.attempt == 0 => {
                 self.first_attempts.estimate_age(now, objective, patience)
@@ -148,7 +148,7 @@
         if state.queue.len() >= state.max_waiting as usize {
             return Some(RefusalReason::CustomerFull);
         }
-        if self.comes_too_late(customer, ticket, wait) {
+        if self.exceeds_wait_bound(customer, ticket, wait) {
             self.customers.get_mut(customer).refused_at = Some(now);
             return Some(RefusalReason::Overdue);
         }
@@ -177,12 +177,12 @@
             hint: ticket.hint,
             place,
             since: now,
-            avoid: avoid.map(|endpoint| Avoidance { endpoint, until: now + AVOIDANCE }),
+            avoid: avoid.map(|endpoint| Avoidance { endpoint, until: now + AVOIDANCE_PERIOD }),
             objective: ticket.objective,
             expected_wait: wait.expected,
             wanted_by: ticket.objective.map(|objective| now + objective),
-            ends: wait.longest.map(|longest| now + longest),
-            leaves: ticket.patience.map(|patience| now + patience),
+            refuse_at: wait.max_wait.map(|max_wait| now + max_wait),
+            caller_leaves_at: ticket.patience.map(|patience| now + patience),
             prompt,
             waits_for: Cell::new(None),
         };
@@ -197,7 +197,7 @@
         state.queue.insert(ticket.place, request);
         state.queued_load += ticket.prompt.load();
         self.copies.begin_waiting(ticket.digest);
-        self.overdue.extend(ticket.ends.map(|ends| (ends, request)));
+        self.overdue.extend(ticket.refuse_at.map(|refuse_at| (refuse_at, request)));
         self.waiting.insert(request, ticket);
         self.reindex(customer);
     }
@@ -227,7 +227,7 @@
         self.forget_overdue(request, &ticket);
         self.forget_choice(&ticket);
         self.customers.get_mut(ticket.customer).take_from_queue(&ticket);
-        self.moved_up = true;
+        self.queue_advanced = true;
         self.routers.release(ticket.router, request);
         self.reindex(ticket.customer);
         Some(ticket)
