--- a/crates/micaspool-dispatch/src/shard/choice.rs
+++ b/crates/micaspool-dispatch/src/shard/choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint suits a ticket best.
+//! Chooses the endpoint for a ticket.
 
 use super::endpoints::{EndpointIndex, EndpointState, EndpointTable};
 use super::engine::PromptShape;
@@ -6,26 +6,26 @@
 use micaspool_types::{HallMask, Moment};
 use std::time::Duration;
 
-/// How many free engines that keep a part of a prompt are compared, and how many busy ones.
+/// How many free engines that cache part of a prompt are compared, and how many busy ones.
 const MAX_HOLDERS: usize = 16;
-/// How many of the least loaded engines of a hall are compared.
+/// How many of the least loaded engines of each hall are compared.
 const LEAST_LOADED_PER_HALL: usize = 4;
 
-/// What an engine is wanted for.
+/// Requirements for choosing an engine.
 pub(super) struct EngineQuery<'a> {
     pub prompt: &'a PromptShape,
-    /// Where it may run.
+    /// The halls in which the request may run.
     pub halls: HallMask,
-    /// True for an endpoint that it may not go to now.
+    /// Returns true for endpoints that must not get the request now.
     pub is_excluded: &'a dyn Fn(EndpointIndex) -> bool,
-    /// When its first event is wanted; `None` for whenever it comes.
+    /// When the first event of the response is due; `None` without a deadline.
     pub wanted_by: Option<Moment>,
 }
 
-/// How well an engine suits a prompt; the least is best.
+/// How well an engine suits a prompt; lower is better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EngineScore {
-    /// True when the first event would come later than wanted.
+    /// True if the first event is expected after the deadline.
     late: bool,
     /// See [`EngineState::delay`](super::engine::EngineState::delay).
     delay: u64,
@@ -44,9 +44,9 @@
         heads.min().map(|(_, endpoint)| *endpoint)
     }
 
-    /// The engine that would give a prompt its first token soonest: one that keeps a part of it, free or not,
-    /// or one of the least loaded free ones. One that is in time goes before one that is not. `queued` tells which
-    /// tickets wait for each already. `None` when there is no such engine.
+    /// The engine with the lowest expected delay for a prompt, among those that cache part of it (free
+    /// or busy) and the least loaded free ones. Engines that meet the deadline are preferred. `queued`
+    /// returns the work already queued for an engine. `None` if there is no candidate.
     pub fn soonest_engine(
         &self,
         now: Moment,
@@ -72,13 +72,13 @@
         scores.min().map(|best| best.engine)
     }
 
-    /// The tokens that an engine would have to read for a prompt.
+    /// How many tokens of a prompt the engine does not have cached.
     pub fn uncached_tokens(&self, engine: EndpointIndex, prompt: &PromptShape) -> u64 {
         self.state(engine).engine.as_ref().map_or(0, |engine| engine.uncached_tokens(prompt))
     }
 
-    /// Where an engine that nothing is known of starts, in microseconds a token: the mean of the warm
-    /// engines that were observed, else what settings plan.
+    /// The initial prefill time per token of an engine without observations, in microseconds: the mean
+    /// of the warm engines with a settled rate, otherwise the planned pace from the settings.
     pub fn default_per_token(&self, now: Moment, planned_pace: f64) -> Option<f64> {
         let warm = self.states.iter().filter(|state| !state.availability.cold.is_cold(now));
         let engines = warm.filter_map(|state| state.engine.as_ref());
@@ -89,8 +89,8 @@
         Some(known.iter().sum::<f64>() / known.len() as f64)
     }
 
-    /// What the open endpoints do together in a second: the tokens that engines read, or the requests that others
-    /// take. Infinite where nothing is known yet.
+    /// The combined capacity of the open endpoints per second: prompt tokens for engines, otherwise
+    /// requests. Infinite if nothing has been observed yet.
     pub fn load_per_second(&self, now: Moment) -> f64 {
         let open = || self.iter().filter(|state| state.is_open());
         if self.has_no_engine() {
@@ -108,13 +108,13 @@
         open().filter_map(load).sum()
     }
 
-    /// True for a plain service: none of its endpoints is a language model.
+    /// True if no endpoint of the service is a language model engine.
     pub fn has_no_engine(&self) -> bool {
         self.iter().all(|state| state.engine.is_none())
     }
 
-    /// From a grant to the first event at the engine that would begin soonest without a queue; where there are no
-    /// engines, until an answer usually begins.
+    /// The shortest expected time from a grant to the first event on an engine without a queue. For a
+    /// service without engines, the mean time until a response begins.
     pub fn min_time_to_first_event(&self, now: Moment, prompt: &PromptShape) -> Duration {
         let anywhere =
             EngineQuery { prompt, halls: HallMask(u32::MAX), is_excluded: &|_| false, wanted_by: None };
@@ -123,8 +123,9 @@
         engine.map_or(self.answer_time.mean(), |engine| engine.unqueued_time_to_first_event(prompt))
     }
 
-    /// Engines with a slot that keep the longest leading part of a prompt that any of them keeps, free ones first: the
-    /// few that are compared would else be the busy ones that kept it first.
+    /// Engines with a free slot that cache the longest prefix of the prompt which any such engine
+    /// caches; free ones first. Without that order, the limited number of candidates could consist of
+    /// busy engines that cached the prefix earliest.
     fn holders_of<'a>(&'a self, query: &'a EngineQuery<'_>) -> impl Iterator<Item = EndpointIndex> + 'a {
         let usable = move |index: &EndpointIndex| {
             let state = self.state(*index);
@@ -139,8 +140,9 @@
         free.chain(busy)
     }
 
-    /// The few least loaded free endpoints of each hall that are not excluded. Taken before those are left out, a
-    /// ticket would find nothing in a hall whose least loaded endpoints it may not use.
+    /// The least loaded free endpoints of each hall, without excluded ones. Excluded endpoints are
+    /// filtered before the limit applies; otherwise a hall would yield no candidate when its least
+    /// loaded endpoints are all excluded.
     fn least_loaded_few<'a>(
         &'a self,
         query: &'a EngineQuery<'_>,
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -231,10 +231,10 @@
     }
 
     /// Takes over which prompt parts an engine keeps or dropped.
-    pub fn learn_kept(&mut self, endpoint: EndpointIndex, news: &CacheUpdate) {
+    pub fn learn_kept(&mut self, endpoint: EndpointIndex, update: &CacheUpdate) {
         let mut changes = std::mem::take(&mut self.part_changes);
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
-            engine.learn_kept(news, &mut changes);
+            engine.learn_kept(update, &mut changes);
         }
         self.holders.take(endpoint, &mut changes);
         self.part_changes = changes;
--- a/crates/micaspool-dispatch/src/shard/engine.rs
+++ b/crates/micaspool-dispatch/src/shard/engine.rs
@@ -1,9 +1,8 @@
-//! What a shard believes of a language model engine: how long it reads the prompts that it got, and
-//! which prompt parts it keeps in memory.
+//! Model of a language model engine: its queued prefill work and its cached prompt parts.
 //!
-//! An engine reads prompts in order of arrival and skips the leading parts that it keeps. Between two
-//! pieces of a prompt it makes one token of each running request, so an engine that reads without a pause
-//! slows every stream down. How fast it reads is learnt (see [`PrefillRate`]).
+//! An engine processes prompts in order of arrival and skips the leading parts that it has cached.
+//! Between two chunks of a prompt it generates one token for each running request, so continuous
+//! prefill slows down every stream. The prefill rate is learnt from observations (see [`PrefillRate`]).
 
 use super::parts::PartCache;
 use super::prefill::PrefillRate;
@@ -12,49 +11,52 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The part of an engine's memory that is counted on for kept prompt parts, in percent. The rest is
-/// taken by what running requests make.
+/// The share of an engine's memory that is assumed to hold cached prompt parts, in percent. The rest is
+/// used by the output of running requests.
 const CACHE_PERCENT: u64 = 80;
-/// The same where the engine tells itself what it drops: a bound for parts whose end was never told.
+/// The same share for an engine that reports its cache. It only limits parts whose eviction was never
+/// reported.
 const REPORTED_CACHE_PERCENT: u64 = 120;
-/// The part of the learnt pace at which an engine is given tokens to read, in percent.
+/// The share of the learnt prefill rate at which an engine is given tokens, in percent.
 const PACE_PERCENT: u32 = 90;
-/// An engine that has this much to read gets nothing more. It bounds what can't be overtaken any more
-/// by a request of another customer, and how late first events are; a shorter time lets engines run dry
-/// between two grants.
+/// An engine with this much queued prefill work gets no further prompts. The limit bounds the work that
+/// a request of another customer can no longer overtake, and the delay of first events. A shorter limit
+/// lets engines run idle between two grants.
 const MAX_PREFILL_QUEUE: Duration = Duration::from_millis(80);
-/// What a token counts that an engine has to read although another engine may keep it, in percent: its
-/// reading takes capacity from all, and it pushes other parts out of memory.
+/// Weight of an uncached token, in percent. Prefilling it takes capacity from all requests and evicts
+/// other cached parts.
 const UNCACHED_PERCENT: u64 = 1_000;
-/// What a running request adds to the delay of the next one, in tokens to read: engines that run less are
-/// preferred where reading takes equally long.
+/// Delay that a running request adds for the next one, in tokens of prefill. It prefers engines with
+/// fewer running requests if prefill would take equally long.
 const RUNNING_REQUEST_TOKENS: u64 = 35;
 
-/// How many requests beyond our own need not be anybody's: reports are some hundred milliseconds old.
+/// How many foreign requests are ignored when the engine's share is computed, because load reports are
+/// some hundred milliseconds old.
 const UNATTRIBUTED_REQUESTS: u32 = 2;
-/// The smallest part of the time ahead that is used, in percent, so that one who comes late gets in.
+/// The minimum share of the prefill budget that this shard uses, in percent, so that a dispatcher that
+/// joins late gets any work in.
 const MIN_SHARE: u64 = 15;
-/// How many requests may wait at an engine beyond those that this shard knows of.
+/// How many waiting requests unknown to this shard are ignored.
 const UNATTRIBUTED_WAITING: u32 = 1;
-/// The longest time for which a report keeps an engine from getting more.
+/// The longest time for which one load report keeps an engine closed.
 const MAX_HOLD: Duration = Duration::from_secs(1);
-/// A prompt that takes this many times its expected reading is late, and its engine is expected to be
-/// late for as long again.
+/// A prompt that takes this many times its expected prefill time is overdue. Its engine is then assumed
+/// to stay behind by as long as the prompt is overdue.
 const LATE_FACTOR: u32 = 3;
 
-/// The prompt of a ticket, as far as placing it needs.
+/// The properties of a ticket's prompt that placement needs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct PromptShape {
-    /// Hashes of growing prefixes, the shortest first.
+    /// Hashes of the prompt's prefixes, the shortest first.
     pub prefixes: Box<[u64]>,
-    /// The tokens that each prefix adds to the one before.
+    /// How many tokens each prefix adds to the previous one.
     pub tokens: Box<[u32]>,
-    /// The tokens of the whole prompt.
+    /// The number of tokens in the whole prompt.
     pub total: u64,
 }
 
 impl PromptShape {
-    /// The prompt that a ticket tells of.
+    /// The shape of a ticket's prompt.
     pub fn of(ticket: &RequestTicket) -> PromptShape {
         PromptShape {
             prefixes: ticket.prefixes.as_slice().into(),
@@ -63,31 +65,31 @@
         }
     }
 
-    /// What the request counts against a rate of service: its tokens, or one where it has none.
+    /// The load of the request for service rates: its prompt tokens, or one if unknown.
     pub fn load(&self) -> u64 {
         self.total.max(1)
     }
 
-    /// The same of a ticket.
+    /// Like [`load`](Self::load), for a ticket.
     pub fn load_of(ticket: &RequestTicket) -> u64 {
         ticket.prompt_tokens.0.max(1)
     }
 
-    /// Each prefix with the tokens that it adds; unknown sizes count as one token.
+    /// Each prefix with the tokens that it adds; an unknown size counts as one token.
     fn parts(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         let tokens = self.tokens.iter().map(|tokens| u64::from(*tokens)).chain(std::iter::repeat(1));
         self.prefixes.iter().copied().zip(tokens)
     }
 }
 
-/// A part that an engine keeps from now on, or no longer keeps.
+/// A change of an engine's set of cached parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PartChange {
     Kept(u64),
     Dropped(u64),
 }
 
-/// A prompt that an engine got and that has not begun.
+/// A prompt that was granted to an engine and has had no first event yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingPrompt {
     request: RequestId,
@@ -95,29 +97,29 @@
     granted: Moment,
 }
 
-/// One engine.
+/// The state of one engine.
 #[derive(Debug)]
 pub(super) struct EngineState {
     memory: u64,
-    /// Prompts that were granted and have not begun, in the order of their grants.
+    /// Granted prompts without a first event, in the order of their grants.
     pending: VecDeque<PendingPrompt>,
     pending_tokens: u64,
-    /// When the newest first event came.
+    /// When the most recent first event arrived.
     last_first_event: Moment,
-    /// The part of the time ahead that this shard may use, in percent.
+    /// The share of the prefill budget that this shard may use, in percent.
     share: u64,
-    /// When it will have read everything at the pace that it is given.
+    /// When the engine will have processed all granted prompts at `PACE_PERCENT` of its learnt rate.
     paced_until: Moment,
-    /// Until when it reads for others, as far as its reports tell.
+    /// Until when the engine is assumed to process prompts of others, according to its load reports.
     others_until: Moment,
     pace: PrefillRate,
     kept: PartCache,
-    /// True once the engine has told what it keeps.
+    /// True once the engine has reported its cache.
     reports_cache: bool,
 }
 
 impl EngineState {
-    /// An engine that got nothing yet; `per_token` is the pace to start from, in microseconds a token.
+    /// An engine without grants; `per_token` is the initial prefill time per token in microseconds.
     pub fn new(memory: u64, share: u64, per_token: Option<f64>) -> EngineState {
         EngineState {
             memory,
@@ -133,27 +135,27 @@
         }
     }
 
-    /// Takes the memory size of newer settings over.
+    /// Sets the memory size, in tokens, from newer settings.
     pub fn resize(&mut self, memory: u64) {
         self.memory = memory;
     }
 
-    /// What is known of its pace.
+    /// The learnt prefill rate.
     pub fn pace(&self) -> &PrefillRate {
         &self.pace
     }
 
-    /// Starts from another pace, while nothing was observed.
+    /// Replaces the initial prefill time per token, unless there are observations already.
     pub fn assume_pace(&mut self, per_token: Option<f64>) {
         self.pace.assume(per_token);
     }
 
-    /// True while it has little enough to read to get more.
+    /// True if the queued prefill work is below the limit.
     pub fn has_prefill_budget(&self, now: Moment) -> bool {
         self.queued_prefill_time(now) < self.prefill_budget()
     }
 
-    /// When its reading will have become short enough, if everything begins as expected.
+    /// When the queued prefill work is expected to drop below the limit.
     pub fn prefill_budget_at(&self, now: Moment) -> Moment {
         let excess = self.queued_prefill_time(now).saturating_sub(self.prefill_budget());
         now + excess + Duration::from_micros(1)
@@ -163,13 +165,13 @@
         MAX_PREFILL_QUEUE * u32::try_from(self.share).unwrap_or(100) / 100
     }
 
-    /// How long it will read what it got.
+    /// The expected time until all queued prompts are processed, including those of others.
     fn queued_prefill_time(&self, now: Moment) -> Duration {
         let own = self.own_prefill_time(now).max(self.paced_until.since(now));
         own + self.others_until.since(now)
     }
 
-    /// How long it will read what this shard gave it.
+    /// The expected time until the prompts granted by this shard are processed.
     fn own_prefill_time(&self, now: Moment) -> Duration {
         let Some(oldest) = self.pending.front() else { return Duration::ZERO };
         let passed = now.since(self.prefill_start(oldest));
@@ -178,42 +180,45 @@
         rest + passed.saturating_sub(usual)
     }
 
-    /// When it began to read a prompt that is its oldest: at the grant, or when it had read the one before.
+    /// When processing of `prompt`, the oldest pending one, began: at its grant, or when the previous
+    /// prompt was done.
     fn prefill_start(&self, prompt: &PendingPrompt) -> Moment {
         let latency = self.pace.latency().as_micros() as u64;
         prompt.granted.max(Moment(self.last_first_event.0.saturating_sub(latency)))
     }
 
-    /// The tokens that the engine would have to read for a prompt.
+    /// How many tokens of a prompt are not cached here; at least one.
     pub fn uncached_tokens(&self, prompt: &PromptShape) -> u64 {
         let held = prompt.parts().take_while(|(prefix, _)| self.kept.has(*prefix));
         let held: u64 = held.map(|(_, tokens)| tokens).sum();
         prompt.total.saturating_sub(held).max(1)
     }
 
-    /// How long a prompt would wait for its first token, in microseconds, if the engine has to read
-    /// `tokens_before` for tickets that wait for it already. Tokens that the engine lacks count more than their
-    /// reading: they push other parts out of memory.
+    /// The weighted delay of a prompt's first token in microseconds, if `tokens_before` tokens for
+    /// other waiting tickets are processed first. Uncached tokens weigh more than their prefill time
+    /// because they evict other cached parts.
     pub fn delay(&self, now: Moment, prompt: &PromptShape, running: u32, tokens_before: u64) -> u64 {
         let uncached_tokens = self.uncached_tokens(prompt) * UNCACHED_PERCENT / 100;
         let tokens = tokens_before + uncached_tokens + u64::from(running) * RUNNING_REQUEST_TOKENS;
         (self.queued_prefill_time(now) + self.pace.prefill_time(tokens)).as_micros() as u64
     }
 
-    /// From now to the first event of a prompt, if the engine has to read `tokens_before` for tickets that wait
-    /// for it already.
+    /// The expected time from now to the first event of a prompt, if `tokens_before` tokens for other
+    /// waiting tickets are processed first.
     pub fn time_to_first_event(&self, now: Moment, prompt: &PromptShape, tokens_before: u64) -> Duration {
         self.queued_prefill_time(now)
             + self.pace.prefill_time(tokens_before)
             + self.unqueued_time_to_first_event(prompt)
     }
 
-    /// From a grant to the first event of a prompt, if the engine had nothing else to read.
+    /// The expected time from a grant to the first event of a prompt on an engine without queued
+    /// prompts.
     pub fn unqueued_time_to_first_event(&self, prompt: &PromptShape) -> Duration {
         self.pace.latency() + self.pace.prefill_time(self.uncached_tokens(prompt))
     }
 
-    /// Notes that a prompt was granted here. What that changes about its kept parts is added to `changes`.
+    /// Records a grant of a prompt to this engine, and appends the resulting cache changes to
+    /// `changes`.
     pub fn admit(
         &mut self,
         now: Moment,
@@ -232,8 +237,9 @@
         self.shrink_kept(changes);
     }
 
-    /// The first event of a prompt has come: learns from it. Engines read in order of arrival, so those
-    /// that were granted clearly earlier are read too, and only their news is late.
+    /// Records the first event of a prompt and learns from it. Engines process prompts in order of
+    /// arrival, so prompts granted clearly earlier are done as well and only their first events are
+    /// delayed.
     pub fn begin(&mut self, now: Moment, request: RequestId) {
         let Some(prompt) = self.pending.iter().find(|prompt| prompt.request == request).copied() else {
             return;
@@ -247,7 +253,7 @@
         self.retain_pending(|other| other.request != request && other.granted + latency >= prompt.granted);
     }
 
-    /// A prompt will not be read here any more, or its request ended in another way.
+    /// Removes a prompt whose request ended before its first event.
     pub fn withdraw(&mut self, request: RequestId) {
         self.retain_pending(|prompt| prompt.request != request);
     }
@@ -257,8 +263,8 @@
         self.pending_tokens = self.pending.iter().map(|prompt| prompt.tokens).sum();
     }
 
-    /// Takes over that requests wait at the engine, whoever sent them: other dispatchers may use it
-    /// at the same time. Those beyond ours mean that it reads for others first.
+    /// Records how many requests wait at the engine according to a load report. Those unknown to this
+    /// shard come from other dispatchers and are assumed to be processed first.
     pub fn note_waiting(&mut self, now: Moment, waiting: u32) {
         let known = u32::try_from(self.pending.len()).unwrap_or(u32::MAX);
         let others = waiting.saturating_sub(known);
@@ -268,8 +274,8 @@
         }
     }
 
-    /// Leaves others their part of the engine: what runs here tells how much each uses. The pace itself
-    /// is learnt with the others at work, so only the time ahead is shared.
+    /// Divides the prefill budget between this shard and others according to the requests running here.
+    /// The prefill rate is learnt with the load of others included, so only the budget is divided.
     pub fn update_share(&mut self, own: u32, foreign: u32) {
         let all = u64::from(own + foreign);
         self.share = match foreign {
@@ -278,21 +284,22 @@
         };
     }
 
-    /// Uses this part of the time ahead, in percent, while no report tells who else uses the engine.
+    /// Sets the share of the prefill budget, in percent, for the time without a load report.
     pub fn reset_share(&mut self, share: u64) {
         self.share = share;
     }
 
-    /// Takes over what the engine itself says of its cache. From then on it is its word that drops parts.
-    pub fn learn_kept(&mut self, news: &CacheUpdate, changes: &mut Vec<PartChange>) {
+    /// Applies a cache update from the engine itself. From then on parts are dropped as the engine
+    /// reports.
+    pub fn learn_kept(&mut self, update: &CacheUpdate, changes: &mut Vec<PartChange>) {
         self.reports_cache = true;
-        if news.whole {
+        if update.whole {
             self.kept.clear(changes);
         }
-        for prefix in &news.dropped {
+        for prefix in &update.dropped {
             self.kept.drop(*prefix, changes);
         }
-        for part in &news.kept {
+        for part in &update.kept {
             self.kept.touch(part.prefix, u64::from(part.tokens), changes);
         }
         self.shrink_kept(changes);
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -1,4 +1,4 @@
-//! Grants: giving free slots to waiting tickets, charging, and ending grants.
+//! Grants: assigns free slots to waiting tickets, charges their cost and ends grants.
 
 use super::choice::EngineQuery;
 use super::endpoints::EndpointIndex;
@@ -13,15 +13,16 @@
 use micaspool_types::{Cost, Moment, OrderNumber, RequestDigest, RequestId};
 use std::time::Duration;
 
-/// How many tickets of a customer are looked at for one that a free endpoint suits. The first may wait
-/// for an engine that keeps its prompt's parts.
+/// How many tickets of a customer are considered when looking for one that can run on a free endpoint.
+/// The first ones may be waiting for a busy engine that caches parts of their prompts.
 const LOOK_AHEAD: usize = 16;
 
-/// How often all tickets are looked at, even when no endpoint has become free, those that wait for an engine of
-/// their choice among them. No more often than that either: engines tell of their caches hundreds of times a second.
+/// Interval between passes over all tickets, including those that wait for a busy engine. A pass runs
+/// even if no endpoint has become free, and no more often than this: engines report cache changes
+/// hundreds of times a second.
 const PASS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request that runs, or is about to.
+/// A request that is running or has just been granted.
 #[derive(Debug, Clone)]
 pub(super) struct RunningGrant {
     pub customer: CustomerIndex,
@@ -34,14 +35,14 @@
     pub order: OrderNumber,
     pub priority: u8,
     pub prompt: PromptShape,
-    /// True until its first event has come.
+    /// True until the first event of its response arrives.
     pub awaits_first_event: bool,
-    /// When it was granted here; `None` for one that another dispatcher granted.
+    /// When this shard granted it; `None` if another dispatcher did.
     pub since: Option<Moment>,
 }
 
 impl ShardCore {
-    /// Gives every free slot to the lowest-ranked customer that may use it.
+    /// Assigns every free slot to the lowest-ranked customer that may use it.
     pub(super) fn grant_free_slots(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         if self.recovering_until.is_some() {
             return;
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Fills when an endpoint has become free, when tickets have moved up in a queue, or when it was not done for a
-    /// while. Other steps leave no pair behind: a new ticket is looked at when it is taken.
+    /// Assigns free slots if an endpoint has become free, a ticket has left a queue without a grant, or
+    /// a pass is due. No other step leaves a free slot next to an eligible ticket, because a new ticket
+    /// is tried as soon as it is accepted.
     pub(super) fn grant_if_due(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         let queue_advanced = std::mem::take(&mut self.queue_advanced);
         if self.endpoints.take_became_free() || queue_advanced || now >= self.next_pass_due {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Grants a ticket that has just begun to wait, if a free endpoint suits it.
+    /// Grants a newly queued ticket if a suitable endpoint is free.
     pub(super) fn grant_new(&mut self, now: Moment, request: RequestId, actions: &mut Vec<ShardAction>) {
         if self.recovering_until.is_some() {
             return;
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The next ticket to run and where; `None` when no free slot has an eligible ticket.
+    /// The next ticket to run and its endpoint; `None` if no free slot has an eligible ticket.
     pub(super) fn next_grant(&self, now: Moment) -> Option<(RequestId, EndpointIndex)> {
         let free = self.endpoints.free_halls();
         if free.is_empty() {
@@ -89,9 +91,10 @@
         self.index.find(free, |customer| self.choose_ticket(now, customer))
     }
 
-    /// The tickets of a customer that are looked at for one that a free endpoint suits. Those of routers whose
-    /// stream is lost are passed over, and don't count: they stay for the lease, and would stand before everyone
-    /// else's. It is the same for those of routers from which no endpoint wants anything for now.
+    /// The first tickets of a customer that are considered for a free endpoint. Tickets of disconnected
+    /// routers are skipped without being counted: they stay queued until the lease ends and would block
+    /// the customer's other tickets. The same holds for routers that all usable endpoints have asked to
+    /// back off.
     fn candidate_tickets(&self, now: Moment, customer: CustomerIndex) -> impl Iterator<Item = &RequestId> {
         let queue = self.customers.get(customer).queue.values();
         let usable = queue.filter(move |request| {
@@ -112,16 +115,16 @@
         })
     }
 
-    /// True while the engine that a ticket chose in this round is not free yet. Looking again at every opening
-    /// of an engine would cost more than it finds.
+    /// True while the engine that the ticket chose in the current pass is still busy. Choosing again
+    /// each time any engine becomes free would cost more than it gains.
     fn awaits_busy_engine(&self, ticket: &WaitingTicket) -> bool {
         let Some(choice) = ticket.waits_for.get() else { return false };
         let halls = self.customers.get(ticket.customer).halls;
         choice.pass == self.pass_number && !self.endpoints.is_free(choice.engine, halls)
     }
 
-    /// The engine that would begin first, once it is free; for others the free endpoint with the longest known
-    /// prefix of the prompt, else the least loaded.
+    /// The engine with the earliest expected first event, provided it is free. Without engines, the
+    /// free endpoint that holds the longest known prefix of the prompt, otherwise the least loaded one.
     fn choose_endpoint(&self, now: Moment, ticket: &WaitingTicket) -> Option<EndpointIndex> {
         let excluded = self.isolation_exclusions(now, ticket)?;
         let halls = self.customers.get(ticket.customer).halls;
@@ -149,8 +152,8 @@
         cached.or_else(|| self.endpoints.least_loaded(halls, is_excluded))
     }
 
-    /// Notes for which engine a ticket waits, if for any. Later tickets count it: else all prompts that begin
-    /// alike crowd at the few engines that keep that beginning.
+    /// Records which engine the ticket waits for, if any. Later tickets take it into account; otherwise
+    /// all prompts with a common prefix would queue for the few engines that cache it.
     fn note_choice(&self, ticket: &WaitingTicket, engine: Option<EndpointIndex>) {
         let request = ticket.place.request;
         let choice = engine.map(|engine| EngineChoice { engine, pass: self.pass_number });
@@ -163,7 +166,7 @@
         }
     }
 
-    /// A ticket waits for no engine any more.
+    /// Removes the ticket from the queue of the engine it waits for.
     pub(super) fn forget_choice(&self, ticket: &WaitingTicket) {
         if let Some(choice) = ticket.waits_for.get() {
             self.engine_queues.leave(choice.engine, ticket.place.request);
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Charges what a running request has delivered so far.
+    /// Charges the cost that a running request has delivered so far.
     pub(super) fn progress(
         &mut self,
         now: Moment,
@@ -251,7 +254,7 @@
         self.note_endpoint_response(now, endpoint, actions);
     }
 
-    /// Ends a grant as its router says.
+    /// Ends a grant with the outcome that its router reports.
     pub(super) fn settle(
         &mut self,
         now: Moment,
@@ -268,7 +271,8 @@
         self.record_outcome(now, &ended, fate, actions);
     }
 
-    /// Ends a grant, if the request has one; without a cost, what was delivered counts.
+    /// Ends the request's grant, if it has one. Without a final `cost`, the cost delivered so far is
+    /// charged.
     pub(super) fn end_grant(
         &mut self,
         now: Moment,
@@ -318,11 +322,11 @@
         self.reindex(grant.customer);
     }
 
-    pub(super) fn learn_cache(&mut self, news: &CacheUpdate) {
-        let Some(endpoint) = self.endpoints.by_name(&news.endpoint) else { return };
-        self.prefixes.remember(&news.stored, endpoint);
-        self.prefixes.drop_from(&news.dropped, endpoint);
-        self.endpoints.learn_kept(endpoint, news);
+    pub(super) fn learn_cache(&mut self, update: &CacheUpdate) {
+        let Some(endpoint) = self.endpoints.by_name(&update.endpoint) else { return };
+        self.prefixes.remember(&update.stored, endpoint);
+        self.prefixes.drop_from(&update.dropped, endpoint);
+        self.endpoints.learn_kept(endpoint, update);
     }
 }
 
