--- a/crates/micaspool-dispatch/src/shard/overdue.rs
+++ b/crates/micaspool-dispatch/src/shard/overdue.rs
@@ -1,4 +1,5 @@
-//! Tickets that can't be served in time: refused on arrival where that is known, else as soon as it is.
+//! Refuses tickets that can't be served in time: on arrival if that is already known, otherwise as soon
+//! as it is.
 
 use super::customers::CustomerState;
 use super::tickets::WaitingTicket;
@@ -10,25 +11,25 @@
 use micaspool_types::{Moment, RequestId};
 use std::time::Duration;
 
-/// The shortest time that a ticket may wait, however long its reading takes: the longest prompts begin late
-/// everywhere, and would otherwise never run.
+/// The minimum time that a ticket may wait, however long its prefill takes. Without it the longest
+/// prompts, which begin late on every engine, would never run.
 const MIN_WAIT: Duration = Duration::from_millis(100);
-/// How many tickets of a customer may wait whatever the estimate says, so that one without any service
-/// lately has a ticket ready.
+/// How many tickets of a customer are queued regardless of the estimate, so that a customer without
+/// recent grants has a ticket ready.
 const ALWAYS_ADMITTED_TICKETS: usize = 2;
 
-/// What can be told of a ticket's wait when it comes.
+/// Estimates and limits of a ticket's wait, computed on arrival.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitEstimate {
-    /// How long it may wait until it is refused; `None` for ever.
+    /// How long the ticket may wait before it is refused; `None` for no limit.
     pub max_wait: Option<Duration>,
-    /// How long its customer's queue may be for it to be accepted; `None` for any length.
+    /// The longest expected wait at which the ticket is accepted; `None` for no limit.
     pub queue_bound: Option<Duration>,
-    /// How long it would wait.
+    /// The expected wait.
     pub expected: Duration,
 }
 
-/// Why a waiting ticket is refused, and the first moment at which coming back may help, if that is known.
+/// Why a waiting ticket is refused, and the earliest moment at which a retry may succeed, if known.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RefusalCause {
     reason: RefusalReason,
@@ -36,20 +37,21 @@
 }
 
 impl RefusalCause {
-    /// A cause whose end nobody knows; callers come back as grants allow.
+    /// A cause without a known end; the retry time follows from the rate of grants.
     pub fn of(reason: RefusalReason) -> RefusalCause {
         RefusalCause { reason, earliest: None }
     }
 
-    /// A cause that ends at this moment.
+    /// A cause that lasts until `earliest`.
     pub fn not_before(reason: RefusalReason, earliest: Moment) -> RefusalCause {
         RefusalCause { reason, earliest: Some(earliest) }
     }
 }
 
 impl ShardCore {
-    /// How long a ticket would wait behind its customer's others, and how long it may. What a caller's first try
-    /// bears counts for the others of its customer.
+    /// Estimates how long a ticket would wait behind its customer's queue, and how long it may wait. In
+    /// a service without engines, the tolerance of a first attempt also limits the customer's other
+    /// tickets.
     pub(super) fn wait_estimate(
         &mut self,
         now: Moment,
@@ -74,8 +76,9 @@
         WaitEstimate { max_wait: Some(max_wait), queue_bound: Some(queue_bound), expected }
     }
 
-    /// Takes in what requests of a plain service bear. The least patient set the length of a customer's queue: judged
-    /// by each ticket's own objective, the queue grows as long as the most patient bear, and the others are all late.
+    /// Records how long a request can wait in a service without engines. The least patient requests
+    /// limit the queue of their customer: if each ticket were judged by its own objective, the queue
+    /// would grow to the limit of the most patient ones and all others would be late.
     fn note_tolerance(
         &mut self,
         now: Moment,
@@ -91,7 +94,7 @@
         }
     }
 
-    /// True when the customer's tickets before this one will take longer than they may.
+    /// True if the expected wait behind the customer's queue exceeds the ticket's limit.
     pub(super) fn exceeds_wait_bound(
         &self,
         customer: CustomerIndex,
@@ -104,14 +107,14 @@
         wait.queue_bound.is_some_and(|queue_bound| wait.expected > queue_bound)
     }
 
-    /// A ticket that no longer waits is not refused either.
+    /// Removes the ticket from the tickets to refuse when overdue.
     pub(super) fn forget_overdue(&mut self, request: RequestId, ticket: &WaitingTicket) {
         if let Some(refuse_at) = ticket.refuse_at {
             self.overdue.remove(&(refuse_at, request));
         }
     }
 
-    /// Refuses the tickets that can't begin in time any more.
+    /// Refuses the tickets that can no longer begin in time.
     pub(super) fn refuse_overdue(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         while let Some((_, request)) = self.overdue.first().copied().filter(|(at, _)| *at <= now) {
             self.overdue.pop_first();
@@ -119,20 +122,20 @@
         }
     }
 
-    /// How long the customer's waiting tickets will take.
+    /// The expected time until the customer's queue is served.
     fn queue_wait(&self, now: Moment, state: &CustomerState) -> Duration {
         let rate = self.service_rate(now, state);
         Duration::try_from_secs_f64(state.queued_load as f64 / rate).unwrap_or(Duration::MAX)
     }
 
-    /// The load a second at which a customer is served: as it was lately, or an even share of what all endpoints do, if
-    /// that is more.
+    /// The load per second at which the customer is served: its recent rate, or an even share of the
+    /// endpoints' capacity if that is more.
     pub(super) fn service_rate(&self, now: Moment, state: &CustomerState) -> f64 {
         let share = self.endpoints.load_per_second(now) / self.backlogged_customers().max(1) as f64;
         state.grant_rate.per_second(now).max(share)
     }
 
-    /// How many customers have a ticket that waits.
+    /// The number of customers with waiting tickets.
     pub(super) fn backlogged_customers(&self) -> usize {
         self.customers.iter().filter(|state| !state.queue.is_empty()).count()
     }
@@ -143,7 +146,7 @@
         self.refuse_for(now, request, RefusalCause::of(RefusalReason::Overdue), actions);
     }
 
-    /// Refuses a waiting ticket.
+    /// Removes a waiting ticket and refuses it.
     pub(super) fn refuse_for(
         &mut self,
         now: Moment,
@@ -171,9 +174,11 @@
     }
 }
 
-/// How long a customer's queue at a plain service may be for a ticket, where answers take `answer_time`: as long as the
-/// least patient bears, but never too short to keep every slot busy however the next requests arrive, for which one
-/// service time is enough. A ticket that comes late whatever happens is taken only below that.
+/// The longest expected wait at which a ticket of a service without engines is accepted, where
+/// `answer_time` is the time until a response begins. It is what the least patient requests tolerate,
+/// but at least one `answer_time`, which keeps every slot busy however the next requests arrive, and at
+/// most what the objective leaves. A ticket that is late in any case is accepted only up to half of
+/// `answer_time`.
 fn engineless_bound(objective: Duration, answer_time: Duration, tolerated: Duration) -> Duration {
     if objective <= answer_time {
         return answer_time / 2;
--- a/crates/micaspool-dispatch/src/shard/tickets.rs
+++ b/crates/micaspool-dispatch/src/shard/tickets.rs
@@ -1,4 +1,4 @@
-//! Waiting tickets: taking them in, ranking their customers, giving them up.
+//! Waiting tickets: admission, queueing and cancellation, and the index of waiting customers by rank.
 
 use super::customers::QueuePlace;
 use super::overdue::WaitEstimate;
@@ -13,13 +13,13 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// How long a ticket stays away from the endpoint that failed it.
+/// How long a ticket avoids the endpoint that failed it.
 const AVOIDANCE_PERIOD: Duration = Duration::from_secs(5);
 
-/// What is left of an objective that has passed.
+/// Remaining objective of a ticket whose objective has already passed.
 const MIN_OBJECTIVE: Duration = Duration::from_millis(1);
 
-/// A ticket that waits.
+/// A ticket in the queue.
 #[derive(Debug, Clone)]
 pub(super) struct WaitingTicket {
     pub customer: CustomerIndex,
@@ -27,32 +27,32 @@
     pub digest: Option<RequestDigest>,
     pub hint: Cost,
     pub place: QueuePlace,
-    /// When it began to wait here.
+    /// When it was queued here.
     pub since: Moment,
     pub avoid: Option<Avoidance>,
     pub prompt: PromptShape,
-    /// What was left of the time within which its first event is wanted, when it came.
+    /// The time within which the first event was due when the ticket arrived.
     pub objective: Option<Duration>,
-    /// How long it would wait, as far as could be told when it came.
+    /// The wait that was expected when the ticket arrived.
     pub expected_wait: Duration,
-    /// When its first event is wanted; `None` for whenever it comes.
+    /// When the first event is due; `None` without an objective.
     pub wanted_by: Option<Moment>,
-    /// When it is refused, since it can't begin in time any more; `None` for never.
+    /// When the ticket is refused because it can no longer begin in time; `None` for never.
     pub refuse_at: Option<Moment>,
-    /// When its caller leaves; `None` if it did not say.
+    /// When its caller gives up; `None` if unknown.
     pub caller_leaves_at: Option<Moment>,
-    /// The engine that suits it best though it is not free.
+    /// The busy engine that the ticket waits for, if any.
     pub waits_for: Cell<Option<EngineChoice>>,
 }
 
-/// The engine that a ticket waits for, and in which round of looking at all tickets it was chosen.
+/// The engine that a ticket waits for, and the number of the pass that chose it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineChoice {
     pub engine: EndpointIndex,
     pub pass: u64,
 }
 
-/// The endpoint that a ticket stays away from, and until when.
+/// The endpoint that a ticket avoids, and until when.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Avoidance {
     pub endpoint: EndpointIndex,
@@ -60,21 +60,21 @@
 }
 
 impl WaitingTicket {
-    /// The endpoint that the ticket stays away from at this moment.
+    /// The endpoint that the ticket avoids at this moment.
     pub fn avoided(&self, now: Moment) -> Option<EndpointIndex> {
         self.avoid.filter(|avoid| now < avoid.until).map(|avoid| avoid.endpoint)
     }
 }
 
 impl WaitingTicket {
-    /// The latest moment at which it may begin to run; `None` when nobody told.
+    /// The latest moment at which the request may begin to run; `None` if unknown.
     pub fn latest_start(&self) -> Option<Moment> {
         self.refuse_at.or(self.caller_leaves_at)
     }
 }
 
 impl ShardCore {
-    /// Accepts a ticket or refuses it at once.
+    /// Queues a ticket or refuses it at once.
     pub(super) fn submit(
         &mut self,
         now: Moment,
@@ -120,8 +120,9 @@
         }
     }
 
-    /// How long ago the caller first tried. It is taken off the objective: an answer is wanted within a time from then
-    /// on. Otherwise callers who come back take the place of others, and are late.
+    /// How long ago the caller made its first attempt. The objective is reduced by this age because the
+    /// caller wants a response within the objective of its first attempt. Otherwise retrying callers
+    /// would displace others and still be late.
     fn caller_age(&mut self, now: Moment, ticket: &RequestTicket) -> Duration {
         match (ticket.objective, ticket.patience) {
             (Some(objective), Some(patience)) if ticket.attempt == 0 => {
@@ -156,7 +157,8 @@
         (!allowed).then_some(RefusalReason::RetryBudget)
     }
 
-    /// Puts a ticket into its customer's queue, at its old place if it had one.
+    /// Puts a ticket into its customer's queue, at its previous place if it already has an order
+    /// number.
     pub(super) fn enqueue(
         &mut self,
         now: Moment,
@@ -207,7 +209,7 @@
         self.next_order = self.next_order.max(OrderNumber(order.0 + 1));
     }
 
-    /// Gives a waiting ticket up.
+    /// Cancels a waiting ticket. If it has been granted in the meantime, ends the grant as unsent.
     pub(super) fn cancel(&mut self, now: Moment, session: SessionId, request: RequestId) {
         let owner = self.routers.by_session(session);
         if self.waiting.get(&request).is_some_and(|ticket| Some(ticket.router) == owner) {
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Removes a ticket from the queue, if it waits.
+    /// Removes a ticket from its queue and returns it, if it is waiting.
     pub(super) fn drop_waiting(&mut self, request: RequestId) -> Option<WaitingTicket> {
         let ticket = self.waiting.remove(&request)?;
         self.copies.end_waiting(ticket.digest);
@@ -233,14 +235,15 @@
         Some(ticket)
     }
 
-    /// Takes a customer out of the index.
+    /// Removes a customer from the rank index.
     pub(super) fn unindex(&mut self, customer: CustomerIndex) {
         if let Some((halls, rank)) = self.customers.get_mut(customer).indexed.take() {
             self.index.remove(halls, rank, customer);
         }
     }
 
-    /// Puts a customer into the index at its present rank, when it waits and may use a hall.
+    /// Puts a customer into the rank index at its current rank if it has a waiting ticket and may use a
+    /// hall.
     pub(super) fn reindex(&mut self, customer: CustomerIndex) {
         let state = self.customers.get(customer);
         let head = state.queue.first_key_value().filter(|_| !state.halls.is_empty());
