--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -18,8 +18,8 @@
 const LOOK_AHEAD: usize = 16;
 
 /// Interval between passes over all tickets, including those that wait for a busy engine. A pass runs
-/// even if no endpoint has become free, and no more often than this: engines report cache changes
-/// hundreds of times a second.
+/// even if no endpoint has become free. Cache updates trigger no additional pass within the interval,
+/// because engines send hundreds of them per second.
 const PASS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A request that is running or has just been granted.
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -1,10 +1,10 @@
-//! A router joins: what it holds and what the shard knows are brought together.
+//! Reconciles the state of a router that joins with that of the shard.
 //!
-//! A shard that starts empty is rebuilt from its routers: they keep their own tickets with the
-//! order numbers that the earlier dispatcher returned, their running grants, and the newest level
-//! that they heard of each customer. This follows sender-based message logging (Johnson and
-//! Zwaenepoel), where messages and the order of their receipt are logged in the volatile memory
-//! of the senders; `docs/design/002-recovery.md` has the measurement.
+//! A shard that starts empty is rebuilt from its routers. They keep their own tickets with the order
+//! numbers from the previous dispatcher, their running grants, and the latest level of each customer
+//! that they received. This follows sender-based message logging (Johnson and Zwaenepoel), where the
+//! senders log messages and the order of their receipt in volatile memory;
+//! `docs/design/002-recovery.md` has the measurement.
 
 use super::engine::PromptShape;
 use super::grants::RunningGrant;
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 impl ShardCore {
-    /// Takes a router in, with everything it holds.
+    /// Adds a router with everything it holds.
     pub(super) fn join(
         &mut self,
         now: Moment,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Settles one request that the shard knows of this router against what the router holds.
+    /// Reconciles one request of this router that the shard knows with what the router holds.
     fn reconcile(
         &mut self,
         now: Moment,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The grant did not reach the router: the ticket waits again at its old place.
+    /// Reverts a grant that did not reach the router: the ticket waits again at its previous place.
     fn revert_grant(&mut self, now: Moment, request: RequestId) {
         let Some(grant) = self.running.get(&request).cloned() else { return };
         self.end_grant(now, request, None, GrantOutcome::Unsent);
@@ -170,9 +170,10 @@
         self.running.insert(held.request, grant);
     }
 
-    /// Brings recovered levels within an idle credit of each other. Routers bring what they heard from
-    /// different dispatchers, their own among them, whose levels began at different times; without this
-    /// a customer with a level from a longer count would be served nothing until all others reached it.
+    /// Limits recovered levels to one idle credit above the lowest. Routers report levels from
+    /// different dispatchers, including their own, which began counting at different times. Otherwise a
+    /// customer whose level was counted for longer would be served nothing until all others had reached
+    /// it.
     pub(super) fn bring_levels_together(&mut self) {
         let levels = self.customers.iter().map(|state| state.level(self.options.policy.as_ref()));
         let Some(lowest) = levels.filter(|level| level.0 > 0).min() else { return };
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Lowers a level to at most an idle credit above another.
+    /// Lowers a level to at most one idle credit above `lowest`.
     fn cap_level(&mut self, customer: CustomerIndex, lowest: ServiceLevel) {
         let state = self.customers.get(customer);
         let weight = state.account.weight();
@@ -200,8 +201,9 @@
         }
     }
 
-    /// Takes a level over when the shard has none of its own for the customer, or an older one
-    /// of the same recovery.
+    /// Adopts a customer's level if the shard has none, or, during recovery, if it is newer than the
+    /// known one. After recovery, levels of other dispatchers are only comparable without an idle
+    /// credit.
     fn recover_level(&mut self, total: &HeldTotal) {
         let customer = self.customers.ensure(&total.customer);
         let recovering = self.recovering_until.is_some();
--- a/crates/micaspool-dispatch/src/shard/level_floor.rs
+++ b/crates/micaspool-dispatch/src/shard/level_floor.rs
@@ -1,25 +1,25 @@
-//! How far the level of a customer may be below those of the others.
+//! Limits how far the service level of a customer may lag behind those of the others.
 //!
-//! Whoever is served while others are further behind took what these had no use for then. That is not owed to them
-//! later: when capacity falls, a customer that took what nobody wanted would get nothing until all others have had
-//! as much.
+//! A customer may have been served while others, with lower levels, had no use for the capacity. They
+//! are not owed that service later: otherwise, when capacity falls, a customer that had used spare
+//! capacity would get nothing until all others had caught up.
 
 use super::ShardCore;
 use micaspool_fair::{CustomerIndex, ServiceLevel, LEVEL_SCALE};
 use micaspool_types::{Cost, HallMask, Moment};
 use std::time::Duration;
 
-/// How long a refused ticket counts as if it still waited. Callers come back after a second or two.
+/// How long a customer counts as still waiting after a refusal. Callers retry after a second or two.
 const REFUSAL_MEMORY: Duration = Duration::from_secs(3);
-/// How many idle credits a customer whose tickets were refused lately may be behind.
+/// How many idle credits a customer with recent refusals may lag behind.
 const REFUSED_CREDITS: u64 = 5;
-/// What a customer may be behind at most: its even share of what the shard delivers in this time. All that wait
-/// together catch up within it.
+/// Upper limit of the lag: a customer's even share of what the shard delivers in this time. All waiting
+/// customers together catch up within it.
 const CATCH_UP: Duration = Duration::from_millis(500);
 
 impl ShardCore {
-    /// Raises the level of a customer that waits, so that it is not too far behind. One whose tickets were refused
-    /// lately never ceased to wait, in effect, and may be further behind than one that was idle.
+    /// Raises the level of a waiting customer that lags too far behind. A customer with recent refusals
+    /// is treated as if it had been waiting all along, and may lag further than one that was idle.
     pub(super) fn raise_to_floor(&mut self, now: Moment, customer: CustomerIndex) {
         if !self.options.policy.lifts() || self.recovering_until.is_some() {
             return;
@@ -32,9 +32,9 @@
         }
     }
 
-    /// The level that a customer which waits has at least. With an idle credit it counts from the highest level
-    /// that was served: counted from the lowest that waits, each customer that comes back would stand a credit below
-    /// the one before.
+    /// The minimum level of a waiting customer. With an idle credit it is relative to the highest level
+    /// served. Relative to the lowest waiting level, each returning customer would start one credit
+    /// below the previous one.
     fn minimum_level(
         &self,
         now: Moment,
@@ -53,13 +53,14 @@
         Some(ServiceLevel(served.0.saturating_sub(lag.0)))
     }
 
-    /// The highest level that was served in one of these halls.
+    /// The highest level served in any of these halls.
     pub(super) fn highest_served(&self, halls: HallMask) -> Option<ServiceLevel> {
         let served = halls.indices().filter_map(|hall| self.floors.get(hall)).max()?;
         Some(ServiceLevel(served.0))
     }
 
-    /// What the shard delivers to each customer that waits while all catch up, shared evenly.
+    /// How far a customer's level rises if the shard's deliveries within `CATCH_UP` are shared evenly
+    /// among the waiting customers.
     fn catch_up_limit(&self, now: Moment) -> ServiceLevel {
         let waiting = self.customers.iter().filter(|state| !state.queue.is_empty());
         let weights: f64 = waiting.map(|state| f64::from(state.account.weight().get())).sum();
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -1,8 +1,8 @@
 //! The state machine of one shard.
 //!
-//! A step has three parts: take the event in, wake what was waiting for time to pass, and give
-//! every free slot to the lowest-ranked customer that may use it. After each step no slot is free
-//! that a waiting ticket may use.
+//! A step applies an event, handles what has become due, and assigns every free slot to the
+//! lowest-ranked customer that may use it. After each step no slot is free that a waiting ticket may
+//! use.
 
 mod advice;
 mod availability;
@@ -65,22 +65,22 @@
 use suspects::SuspectTracker;
 use tickets::WaitingTicket;
 
-/// One shard: every waiting ticket and every slot of one service in one region.
+/// One shard: all waiting tickets and all slots of one service in one region.
 #[derive(Debug)]
 pub struct ShardCore {
     options: ShardOptions,
     revision: Revision,
     idle_credit: Cost,
     halls: Vec<HallName>,
-    /// For each hall the highest rank that was served there; idle customers start from it.
+    /// The highest rank served in each hall; customers that were idle start relative to it.
     floors: Vec<Rank>,
     customers: CustomerTable,
     endpoints: EndpointTable,
     routers: RouterTable,
     waiting: HashMap<RequestId, WaitingTicket>,
-    /// Which of them wait for an engine that is not free.
+    /// The waiting tickets that chose a busy engine, by engine.
     engine_queues: EngineQueues,
-    /// The waiting tickets that may not wait for ever, by the moment at which they are refused.
+    /// The waiting tickets with a limited wait, by the moment at which they are refused.
     overdue: BTreeSet<(Moment, RequestId)>,
     running: HashMap<RequestId, RunningGrant>,
     index: RankIndex,
@@ -91,23 +91,23 @@
     suspects: SuspectTracker,
     copies: CopyCounts,
     throughput: GrantThroughput,
-    /// The cost that is delivered to all customers.
+    /// The rate of cost delivered to all customers.
     delivered: DecayingRate,
     next_order: OrderNumber,
-    /// When all tickets are looked at again in any case.
+    /// When the next pass over all tickets is due.
     next_pass_due: Moment,
-    /// True when a ticket has left a queue without a grant, so that one behind it may be looked at.
+    /// True if a ticket has left a queue without a grant, which may make a later one a candidate.
     queue_advanced: bool,
-    /// Before this moment they are not, whatever may have changed for them.
+    /// An event that makes tickets eligible triggers a pass no earlier than this.
     earliest_pass: Moment,
-    /// Counts the times that all tickets were looked at, whatever they had chosen before.
+    /// The number of passes over all tickets so far.
     pass_number: u64,
-    /// Until when a new shard collects what routers hold; `None` once it grants.
+    /// Until when a new shard collects the state held by routers; `None` once it grants.
     recovering_until: Option<Moment>,
 }
 
 impl ShardCore {
-    /// A shard that knows nothing yet and grants nothing before its recovery window has passed.
+    /// Creates an empty shard, which grants nothing until its recovery window ends.
     pub fn new(now: Moment, options: ShardOptions) -> ShardCore {
         ShardCore {
             revision: Revision(0),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Takes one event in and adds what follows from it to `actions`.
+    /// Applies one event and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Moment, event: ShardEvent, actions: &mut Vec<ShardAction>) {
         if let Some(session) = source_session(&event) {
             if !self.routers.note_contact(session, now) {
@@ -159,7 +159,7 @@
         self.grant_if_due(now, actions);
     }
 
-    /// When something will be due without any event.
+    /// When the next step is needed without an event; `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Moment> {
         let overdue = self.overdue.first().map(|(at, _)| *at);
         [overdue, self.endpoints.next_wake(), self.routers.next_rest_end()].into_iter().flatten().min()
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Puts newer settings in force; older ones are ignored.
+    /// Applies settings unless they are older than those in force.
     fn adopt(&mut self, now: Moment, policy: ShardPolicy, actions: &mut Vec<ShardAction>) {
         if policy.revision < self.revision {
             return;
@@ -232,7 +232,7 @@
         self.floors = halls.iter().map(floor_of).collect();
     }
 
-    /// Frees what belongs to routers that were silent for longer than the lease.
+    /// Drops the tickets and grants of routers that were silent for longer than the lease.
     fn expire(&mut self, now: Moment) {
         for router in self.routers.expired(now, self.options.lease) {
             for request in self.routers.forget(router) {
@@ -268,7 +268,7 @@
         actions.extend(self.routers.sessions().map(|session| ShardAction::Rejoin { session }));
     }
 
-    /// The lowest level at which a customer that comes back from idle time may start.
+    /// The lowest rank at which a customer that was idle may start.
     fn floor_for(&self, halls: HallMask) -> Option<Rank> {
         if let Some(rank) = self.index.lowest_sharing(halls) {
             return Some(rank);
@@ -277,13 +277,12 @@
     }
 }
 
-/// True for events after which tickets may run that could not before, though no endpoint has become
-/// free.
+/// True for events that may make tickets eligible without an endpoint becoming free.
 fn changes_eligibility(event: &ShardEvent) -> bool {
     matches!(event, ShardEvent::Policy(_) | ShardEvent::Joined(..) | ShardEvent::Cache(_))
 }
 
-/// The stream that an event came from, when it must be a known one.
+/// The session of an event that is only accepted from a known session; `None` for other events.
 fn source_session(event: &ShardEvent) -> Option<SessionId> {
     match event {
         ShardEvent::Goodbye(session)
