--- a/crates/micaspool-dispatch/src/shard/prefill.rs
+++ b/crates/micaspool-dispatch/src/shard/prefill.rs
@@ -1,58 +1,63 @@
-//! How fast an engine reads prompts, learnt from when their first events come.
+//! Learns how fast an engine prefills prompts from the arrival of their first events.
 //!
-//! Every prompt that begins is one observation. The time from its grant to its first event is a fixed
-//! latency plus the reading of its tokens; while the engine was still reading the prompt before, the time
-//! between the two first events is the reading alone. Both kinds go into one weighted least squares fit of
-//! two unknowns: the mean latency, and the time that a token takes. Older observations fade, and fade at
-//! once when the newest few say that the engine has become faster or slower.
+//! Each first event is one observation. The time from a grant to its first event is a fixed latency
+//! plus the prefill time of its tokens. If the engine was still processing the previous prompt, the
+//! time between the two first events is prefill time alone. Both kinds go into one weighted least
+//! squares fit with two unknowns: the mean latency and the time per token. The weight of older
+//! observations decays, and decays faster once the most recent ones show that the engine has become
+//! faster or slower.
 //!
-//! The fit only tells the latencies: of what the reading leaves, the lower quartile is what a prompt needs
-//! without a queue. All time above it counts as reading, so the pace that is used falls while an engine is
-//! behind, for whatever reason.
+//! The fit only serves to derive the latencies: the lower quartile of what remains after prefill is the
+//! latency without a queue. All time above it counts as prefill, so the rate in use falls while an
+//! engine is behind, for whatever reason.
 //!
-//! The time a token includes what runs beside: an engine makes a token of each running request between two
-//! pieces of a prompt.
+//! The time per token includes concurrent work: between two chunks of a prompt, an engine generates a
+//! token for each running request.
 
 use micaspool_types::Moment;
 use std::time::Duration;
 
-/// The latency that is assumed before any was observed. It is learnt from the first prompts on.
+/// The latency assumed before the first observation. It is learnt from the first prompts on.
 const INITIAL_LATENCY: Duration = Duration::from_millis(30);
-/// The pace of an engine of which neither settings nor other engines tell anything, in tokens a
-/// millisecond: slow enough for one prompt at a time until the first ones have begun.
+/// The rate assumed if neither settings nor other engines provide one, in tokens per millisecond. It is
+/// low enough to grant one prompt at a time until the first ones have begun.
 const DEFAULT_PACE: f64 = 8.0;
-/// How many tokens the assumed pace counts for: about two prompts.
+/// The weight of the assumed rate, in tokens: about two prompts.
 const PRIOR_TOKENS: f64 = 4_000.0;
-/// What is left of older observations with each new one: the last 24 decide, a second of a busy engine.
+/// Factor applied to older observations with each new one: the last 24 dominate, which is one second of
+/// a busy engine.
 const DECAY: f64 = 1.0 - 1.0 / 24.0;
-/// What is left of them once an engine has changed its pace.
+/// The same factor once a change of rate was detected.
 const FAST_DECAY: f64 = 0.5;
-/// What is left of older observations, with each new one, in the sums that tell a change of pace: the last
-/// three decide.
+/// The same factor for the sums that detect a change of rate: the last three observations dominate.
 const RECENT_DECAY: f64 = 0.7;
-/// When the newest observations took this many times as long as expected, or as short, the pace has changed.
-/// A single one is a wrong belief about kept parts or a pause of a router.
+/// The rate has changed if the most recent observations took longer or shorter than expected by this
+/// factor. A single deviation is put down to a wrong assumption about cached parts or a pause of a
+/// router.
 const CHANGE_FACTOR: f64 = 1.6;
-/// The most that one observation may say, in times of what was expected: a paused process reports late.
+/// Upper limit of one observation, as a multiple of the expected time. A paused process reports late.
 const CLIP_FACTOR: f64 = 4.0;
-/// What a clipped observation may say in any case, in microseconds.
+/// Added to that limit, in microseconds.
 const CLIP_MICROS: f64 = 20_000.0;
-/// Observations of shorter prompts weigh no more than one of this many tokens.
+/// Observations of shorter prompts are weighted as if they had this many tokens. Also the weight of the
+/// previous time per token in the fit.
 const MIN_TOKENS: f64 = 256.0;
-/// Which part of the observed latencies lies below the one that is believed.
+/// The quantile of the observed latencies that is used as the latency.
 const QUARTILE: f64 = 0.25;
-/// How far one observation moves the latency, as a part of it.
+/// Step of the latency per observation, relative to the latency.
 const LATENCY_STEP: f64 = 0.1;
-/// What keeps a latency near zero moving, in microseconds.
+/// Added to the latency when the step is computed, in microseconds, so that a latency near zero can
+/// still change.
 const LATENCY_STEP_OFFSET: f64 = 1_000.0;
-/// The range of the time a token, in microseconds: 2,000 tokens a millisecond to one.
+/// Limits of the time per token in microseconds: 2,000 tokens per millisecond to one.
 const PER_TOKEN_RANGE: (f64, f64) = (0.5, 1_000.0);
-/// The longest latency that is believed, in microseconds.
+/// Upper limit of the latency, in microseconds.
 const MAX_LATENCY: f64 = 1_000_000.0;
-/// How many observations make an engine's pace one that others may start from.
+/// After this many observations, the rate of an engine serves as the initial rate of others.
 const SETTLED_OBSERVATIONS: u64 = 8;
 
-/// Weighted sums of the fit. A weight is one over the tokens: the noise of an observation grows with them.
+/// Weighted sums of the fit. The weight is the inverse of the token count because the noise of an
+/// observation grows with it.
 #[derive(Debug, Clone, Copy, Default)]
 struct FitSums {
     latency_square: f64,
@@ -62,28 +67,29 @@
     tokens_time: f64,
 }
 
-/// What is known of an engine's pace.
+/// The learnt prefill rate of an engine.
 #[derive(Debug, Clone)]
 pub(super) struct PrefillRate {
-    /// The lower quartile of the time from a grant to the first event apart from reading, in microseconds.
+    /// Lower quartile of the time from a grant to the first event without prefill, in microseconds.
     latency: f64,
-    /// The mean of the same.
+    /// Mean of the same time.
     mean_latency: f64,
-    /// Microseconds a token, with all the time above the latency.
+    /// Microseconds per token, with all time above the latency counted as prefill.
     per_token: f64,
-    /// Microseconds a token by the fit, which gives that time to the mean latency instead.
+    /// Microseconds per token according to the fit, which assigns that time to the mean latency.
     fitted_per_token: f64,
-    /// The tokens of observations that have not faded, and how long they took above the latency.
+    /// Decayed sums of the observed tokens, and of their time above the latency in microseconds.
     read_tokens: f64,
     read_micros: f64,
     sums: FitSums,
     observed: u64,
     newest: Moment,
-    /// Mean distance of observations from the pace, in parts of what was expected.
+    /// Mean deviation of observations from the rate, relative to the expected time.
     spread: f64,
-    /// Mean tokens of a prompt that had to be read.
+    /// Mean number of uncached tokens per prompt.
     mean_tokens: f64,
-    /// Reading time of the newest few observations, in microseconds: what was expected, what was seen.
+    /// Decayed sums of the expected and observed prefill times of the most recent observations, in
+    /// microseconds.
     recent_expected: f64,
     recent_micros: f64,
 }
@@ -110,7 +116,8 @@
 }
 
 impl PrefillRate {
-    /// A pace that nothing was observed of yet; `per_token` in microseconds, if others tell.
+    /// A rate without observations; `per_token` is the initial time per token in microseconds, if
+    /// known.
     pub fn new(per_token: Option<f64>) -> PrefillRate {
         let mut pace = PrefillRate {
             latency: INITIAL_LATENCY.as_micros() as f64,
@@ -131,7 +138,7 @@
         pace
     }
 
-    /// Starts from another pace, while nothing was observed.
+    /// Replaces the initial time per token, unless there are observations already.
     pub fn assume(&mut self, per_token: Option<f64>) {
         if self.observed > 0 {
             return;
@@ -145,43 +152,44 @@
         self.read_micros = PRIOR_TOKENS * self.per_token;
     }
 
-    /// The time a token, once enough was observed for others to start from it.
+    /// The time per token in microseconds, once there are enough observations for others to start from
+    /// it.
     pub fn settled_per_token(&self) -> Option<f64> {
         (self.observed >= SETTLED_OBSERVATIONS).then_some(self.per_token)
     }
 
-    /// How long the engine reads this many tokens.
+    /// The time that the engine needs to prefill this many tokens.
     pub fn prefill_time(&self, tokens: u64) -> Duration {
         Duration::from_micros((tokens as f64 * self.per_token) as u64)
     }
 
-    /// From a grant to the first event, apart from reading.
+    /// The time from a grant to the first event without prefill.
     pub fn latency(&self) -> Duration {
         Duration::from_micros(self.latency as u64)
     }
 
-    /// How long it reads a usual prompt; zero before any began.
+    /// The prefill time of a prompt of mean size; zero before the first observation.
     pub fn mean_prefill_time(&self) -> Duration {
         self.prefill_time(self.mean_tokens as u64)
     }
 
-    /// Tokens a millisecond.
+    /// Tokens per millisecond.
     pub fn tokens_per_milli(&self) -> f64 {
         1_000.0 / self.per_token
     }
 
-    /// When the newest observation was made; `None` before the first.
+    /// When the most recent observation was made; `None` before the first.
     pub fn newest(&self) -> Option<Moment> {
         (self.observed > 0).then_some(self.newest)
     }
 
-    /// How far observations lie from the pace, as a mean part of what was expected.
+    /// Mean deviation of observations from the rate, relative to the expected time.
     pub fn spread(&self) -> f64 {
         self.spread
     }
 
-    /// A prompt of this many tokens has begun. `idle` tells whether the engine read nothing when it was
-    /// granted; then `took` counts from the grant, else from the first event before.
+    /// Records the first event of a prompt of `tokens` tokens. With `idle`, the engine had nothing to
+    /// prefill at the grant and `took` is measured from there; otherwise from the previous first event.
     pub fn observe(&mut self, now: Moment, tokens: u64, took: Duration, idle: bool) {
         let tokens = tokens.max(1) as f64;
         let fixed = if idle { self.mean_latency } else { 0.0 };
@@ -206,14 +214,14 @@
         self.newest = now;
     }
 
-    /// Moves the latency towards the lower quartile of what is observed.
+    /// Moves the latency towards the lower quartile of the observations.
     fn note_latency(&mut self, micros: f64) {
         let step = LATENCY_STEP * (self.latency + LATENCY_STEP_OFFSET);
         let change = if micros > self.latency { step * QUARTILE } else { -step * (1.0 - QUARTILE) };
         self.latency = (self.latency + change).clamp(0.0, MAX_LATENCY);
     }
 
-    /// Compares the newest few observations with the fit; true when the engine has changed its pace.
+    /// Compares the most recent observations with the expected times; true if the rate has changed.
     fn has_changed(&mut self, expected: f64, micros: f64) -> bool {
         self.recent_expected = self.recent_expected * RECENT_DECAY + expected;
         self.recent_micros = self.recent_micros * RECENT_DECAY + micros;
@@ -228,8 +236,8 @@
         self.spread += (distance - self.spread) * part;
     }
 
-    /// Solves for both unknowns, drawn slightly towards their last values so that prompts of one size
-    /// only, which can't tell the two apart, leave them where they are.
+    /// Solves for both unknowns, regularised towards their previous values: prompts of a single size
+    /// can't separate the two and leave them unchanged.
     fn fit(&mut self) {
         let sums = &self.sums;
         let latency_prior = 1.0 / PRIOR_TOKENS;
