--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -1,4 +1,5 @@
-//! What tells for and against a request: how its runs end, and what is heard of its endpoints afterwards.
+//! Evidence for and against a suspected request: the outcomes of its runs, and signs of life from its
+//! endpoints.
 
 use super::endpoints::EndpointIndex;
 use super::routers::RouterIndex;
@@ -10,17 +11,17 @@
 use micaspool_types::{Moment, RequestDigest};
 use std::time::Duration;
 
-/// How long after the end of an endpoint news of its runs may still come: routers told of breaks up to 0.7 s after the
-/// first. What comes later shows that it is alive.
+/// How long after a crash events of the endpoint's other runs may still arrive. Routers reported broken
+/// runs up to 0.7 s after the first. Later events show that the endpoint is alive.
 const STRAGGLER_WINDOW: Duration = Duration::from_secs(1);
-/// For how long a load report tells whether an endpoint ended before it was asked for. Its address may be another's
-/// some two seconds after its end.
+/// A load report refutes crashes recorded up to this long before it was requested. The endpoint's
+/// address may belong to another one some two seconds after its end.
 pub(super) const REPORT_WINDOW: Duration = Duration::from_millis(1_500);
-/// How often old records are looked for.
+/// The interval between checks for expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl ShardCore {
-    /// Learns from how a run ended, as its router says.
+    /// Updates the records with the outcome of a run, as reported by its router.
     pub(super) fn record_outcome(
         &mut self,
         now: Moment,
@@ -29,7 +30,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         if self.suspects.standing(now, ended.digest).is_in_doubt() {
-            // A copy that waits may run now, though no endpoint was full.
+            // A waiting copy may be allowed to run now, though no endpoint has become free.
             self.next_pass_due = now;
         }
         match fate {
@@ -47,7 +48,7 @@
         let endpoint = self.endpoints.name(ended.endpoint).clone();
         let customer = self.customers.get(ended.customer).name.clone();
         if self.endpoints.is_leaving(ended.endpoint) {
-            // It ends since it was told to. The router that saw it is told that nothing is held against the request.
+            // The endpoint ended because it was told to. Clears the record of the router that saw it.
             let record = self.record_of(now, digest, &customer);
             let session = self.routers.session(ended.router);
             actions.extend(session.map(|session| ShardAction::SendRecord { session, record }));
@@ -61,7 +62,7 @@
         self.worsen_standing(now, change, StandingCause::EndpointEnded, actions);
     }
 
-    /// A router joins with what it knows of requests under which endpoints ended.
+    /// Merges the crash records of a router that joins.
     pub(super) fn merge_suspects(
         &mut self,
         now: Moment,
@@ -79,7 +80,7 @@
         self.send_quarantined(now, router, actions);
     }
 
-    /// A router that joins hears of all that is shut out.
+    /// Sends the records of all quarantined requests to a router that joins.
     fn send_quarantined(&self, now: Moment, router: RouterIndex, actions: &mut Vec<ShardAction>) {
         if self.suspects.table.is_empty() {
             return;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// More is held against a request than before.
+    /// Handles a standing that has become worse.
     fn worsen_standing(
         &mut self,
         now: Moment,
@@ -108,7 +109,7 @@
         self.refuse_copies(now, &change, actions);
     }
 
-    /// Less is held against a request than before.
+    /// Handles a standing that has become better.
     fn improve_standing(
         &mut self,
         now: Moment,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// An operator holds nothing against a request any more.
+    /// Clears a request's record on behalf of an operator.
     pub(super) fn lift_suspicion(
         &mut self,
         now: Moment,
@@ -159,7 +160,8 @@
         self.clear_suspicion(now, Some(digest), StandingCause::Lifted, actions);
     }
 
-    /// News of a run come from an endpoint: it is alive, if they come too late to be stragglers.
+    /// Handles an event of a run on an endpoint. The endpoint is alive if the event arrives later than
+    /// `STRAGGLER_WINDOW` after a crash.
     pub(super) fn note_endpoint_response(
         &mut self,
         now: Moment,
@@ -173,7 +175,7 @@
         self.note_alive(now, endpoint, Moment(0), until, actions);
     }
 
-    /// An endpoint answered when it was asked for its load.
+    /// Handles a load report, which shows that the endpoint is alive.
     pub(super) fn note_load_response(
         &mut self,
         now: Moment,
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Forgets what is long ago.
+    /// Removes expired crash records.
     pub(super) fn expire_suspects(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         if now < self.suspects.next_expiry || self.suspects.table.is_empty() {
             return;
--- a/crates/micaspool-dispatch/src/shard/suspects.rs
+++ b/crates/micaspool-dispatch/src/shard/suspects.rs
@@ -1,8 +1,8 @@
-//! Requests under which endpoints end: who is held off, kept apart or shut out.
+//! Requests during which endpoints crash: limits their copies, isolates them and quarantines them.
 //!
-//! A fault that travels with a request meets each place anew, unless one place adds up what all have seen. Every
-//! ticket of a service passes its shard, so the shard does. Routers keep what they saw themselves and what is shut out,
-//! and tell the next dispatcher.
+//! A request that crashes its endpoint does so on each new one, unless its crashes are counted in one
+//! place. Every ticket of a service passes through its shard, so the shard counts them. Routers keep
+//! the records of crashes they saw and of quarantined requests, and send them to the next dispatcher.
 
 use super::endpoints::EndpointIndex;
 use super::evidence::REPORT_WINDOW;
@@ -19,21 +19,22 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// When a copy of a request in doubt may come back; a run takes a second or two.
+/// When a copy of a doubted or suspected request may be retried; a run takes a second or two.
 const COPY_WAIT: Duration = Duration::from_secs(1);
-/// When one may come back that was just shut out: it may turn out that an endpoint is alive.
+/// When a request may be retried that was quarantined a moment ago: the endpoint may turn out to be
+/// alive.
 const FRESH_QUARANTINE_WAIT: Duration = Duration::from_secs(2);
 
 /// The routers that hold a record of a request.
 #[derive(Debug)]
 pub(super) enum RecordHolders {
-    /// Those that saw an endpoint end under it.
+    /// Those that saw an endpoint crash while it ran the request.
     Witnesses(BTreeSet<RouterIndex>),
-    /// All, since it is or was shut out.
+    /// All routers, because the request is or was quarantined.
     All,
 }
 
-/// The requests in doubt, and who has to hear of changes.
+/// The requests in doubt, and the routers to notify of changes.
 #[derive(Debug)]
 pub(super) struct SuspectTracker {
     pub(super) table: CrashTable,
@@ -46,7 +47,7 @@
         SuspectTracker { table: CrashTable::new(options), holders: HashMap::new(), next_expiry: Moment(0) }
     }
 
-    /// How a request stands; clear when its router does not tell what it asks for.
+    /// The standing of a request; clear if its router sends no digest.
     pub fn standing(&self, now: Moment, digest: Option<RequestDigest>) -> RequestStanding {
         match digest {
             Some(digest) if !self.table.is_empty() => self.table.standing(now, digest),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// What is known of the requests that are suspected or shut out.
+    /// The suspected and quarantined requests.
     pub fn suspected(&self, now: Moment) -> Vec<SuspectStatus> {
         let suspects = self.table.suspects(now).into_iter();
         let status = |(standing, record)| SuspectStatus {
@@ -68,7 +69,8 @@
         suspects.map(status).collect()
     }
 
-    /// Forgets who holds records that the full table has pushed out, which would else add up without a bound.
+    /// Drops the holders of records that were evicted from the full table; otherwise they would
+    /// accumulate without a bound.
     pub fn forget_holders(&mut self) {
         let table = &self.table;
         self.holders.retain(|digest, _| table.contains(*digest));
@@ -82,7 +84,7 @@
     }
 }
 
-/// A grant that has ended, as far as it concerns what it asked for.
+/// The parts of an ended grant that the crash records need.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedRun {
     pub digest: Option<RequestDigest>,
@@ -102,7 +104,7 @@
     }
 }
 
-/// Why a ticket is not taken, and when its caller may come back.
+/// Why a ticket is refused, and when its caller may retry.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TicketRefusal {
     reason: RefusalReason,
@@ -125,8 +127,9 @@
 }
 
 impl ShardCore {
-    /// Why a ticket is not taken for what it asks for. Without this one request ended 34 to 82 endpoints in 40 s,
-    /// at most four with it (nine endpoints, one to eight callers that repeat it). With copies side by side up to six.
+    /// Why a ticket is refused because of the crashes of its request. Measured on nine endpoints with
+    /// one to eight callers that repeat a crashing request: without this check it ended 34 to 82
+    /// endpoints in 40 s, with it at most four, and up to six if copies run side by side.
     pub(super) fn quarantine_refusal(&self, now: Moment, ticket: &RequestTicket) -> Option<TicketRefusal> {
         let digest = ticket.digest?;
         let standing = self.suspects.standing(now, Some(digest));
@@ -136,7 +139,7 @@
                 let retry_after = self.quarantine_retry_after(now, digest, until);
                 Some(TicketRefusal { reason: RefusalReason::Quarantined, retry_after })
             }
-            // Its router would send it on from the endpoint that has just ended.
+            // Its router would send it on from the endpoint that has just crashed.
             RequestStanding::Suspected if ticket.attempt > 0 => {
                 Some(TicketRefusal { reason: RefusalReason::Quarantined, retry_after: COPY_WAIT })
             }
@@ -156,10 +159,11 @@
         until.since(now)
     }
 
-    /// The endpoints that a ticket is kept from for what it asks for; `None` when it may not run now. Suspected
-    /// requests never share an endpoint: whoever ran beside the guilty one is told apart by its next end. Sharing
-    /// shuts a harmless request out in 12 of 300 draws (nine endpoints with thirty runs each, whose callers
-    /// repeat at once), in none so.
+    /// The endpoints that a ticket must avoid because of the crashes of its request; `None` if it may
+    /// not run now. Suspected requests never share an endpoint, so the next crash tells the cause from
+    /// a request that ran beside it. If they share, a harmless request is quarantined in 12 of 300
+    /// draws (nine endpoints with thirty runs each, whose callers retry at once); if they don't, in
+    /// none.
     pub(super) fn isolation_exclusions(
         &self,
         now: Moment,
@@ -178,7 +182,8 @@
         }
     }
 
-    /// Refuses waiting copies of a request: all once it is shut out, else all but one.
+    /// Refuses waiting copies of a request: all of them once it is quarantined, otherwise all but one;
+    /// that one too while a copy runs.
     pub(super) fn refuse_copies(
         &mut self,
         now: Moment,
@@ -213,7 +218,7 @@
         }
     }
 
-    /// Tells the routers that hold a record of a request what is known now.
+    /// Sends the current record of a request to the routers that hold one.
     pub(super) fn notify_holders(&self, now: Moment, change: &TableChange, actions: &mut Vec<ShardAction>) {
         let mut sessions: Vec<SessionId> = match self.suspects.holders.get(&change.digest) {
             Some(RecordHolders::All) => self.routers.sessions().collect(),
@@ -222,7 +227,7 @@
             }
             None => Vec::new(),
         };
-        // In a fixed order, so that the same events give the same actions.
+        // Sorted, so that the same events give the same actions.
         sessions.sort_unstable();
         let record = self.record_of(now, change.digest, &change.customer);
         actions.extend(
@@ -230,7 +235,7 @@
         );
     }
 
-    /// What is known of a request; without crashes when nothing is held against it.
+    /// The record of a request; without crashes if there is none.
     pub(super) fn record_of(
         &self,
         now: Moment,
