--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a shard: slots, and whether they may take new work.
+//! The endpoints of a shard: their slots and whether they may take new work.
 
 use super::availability::EndpointAvailability;
 use super::engine::{EngineState, PartChange, PromptShape};
@@ -11,10 +11,10 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Load is compared in this many parts of an endpoint's slots.
+/// Resolution of the load of an endpoint, as a fraction of its slots.
 const LOAD_PARTS: u32 = 1_000;
 
-/// The position of an endpoint in its shard's list.
+/// The position of an endpoint in the endpoint table.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub(super) struct EndpointIndex(u32);
 
@@ -23,70 +23,71 @@
     pub name: EndpointName,
     pub hall: usize,
     pub slots: u32,
-    /// Grants of this shard that hold a slot.
+    /// Slots held by grants of this shard.
     pub busy: u32,
-    /// Slots that something else uses, as two reports in a row agree.
+    /// Slots used by others, according to two successive load reports.
     pub foreign: u32,
     pub(super) availability: EndpointAvailability,
-    /// Set for a language model whose memory size is known.
+    /// Set for a language model engine with a known memory size.
     pub(super) engine: Option<EngineState>,
-    /// True while its engine has too much to read to get more.
+    /// True while the engine has too much queued prefill work for another prompt.
     pub reading: bool,
-    /// Failures in a row.
+    /// Successive failures.
     pub failures: u32,
-    /// Requests in a row that broke and were tolerated.
+    /// Successive broken requests that were tolerated.
     breaks: u32,
-    /// How often in a row it could not be reached.
+    /// Successive failures to connect.
     pub(super) connect_failures: u32,
-    /// The surplus of the last report over our own grants, and when it came.
+    /// Requests in the last load report beyond the grants of this shard.
     pub(super) last_surplus: Option<ReportedSurplus>,
-    /// The load under which the endpoint stands in its hall's set of free endpoints.
+    /// The load under which the endpoint is listed in its hall's set of free endpoints.
     indexed: Option<u32>,
 }
 
-/// Every endpoint that the shard has met, and which have a free slot.
+/// All endpoints known to the shard, and the free ones by hall.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     /// How many requests in a row may break before an endpoint is paused.
     tolerated_breaks: u32,
-    /// The part of an engine's pace that is used before reports came, in percent.
+    /// The share of an engine's prefill budget that is used until load reports arrive, in percent.
     pub(super) initial_share: u64,
     pub(super) states: Vec<EndpointState>,
     names: HashMap<EndpointName, EndpointIndex>,
     pub(super) free: Vec<BTreeSet<(u32, EndpointIndex)>>,
     pub(super) pauses: BTreeSet<(Moment, EndpointIndex)>,
-    /// When endpoints may get more: engines that will have read enough, and cold ones whose next request is due.
+    /// When endpoints may become available: engines once their prefill work has shrunk, cold endpoints
+    /// once their next request is due.
     pub(super) wakes: BTreeSet<(Moment, EndpointIndex)>,
-    /// What endpoints bear while they are cold.
+    /// The load limits of cold endpoints.
     pub(super) cold_limits: ColdStartLimits,
     pub(super) holders: PartHolders,
-    /// Reused to carry what changed about an engine's kept parts.
+    /// Reusable buffer for changes of an engine's cached parts.
     part_changes: Vec<PartChange>,
-    /// True when an endpoint has become free since this was last asked for.
+    /// True if an endpoint has become free since the last `take_became_free`.
     became_free: bool,
-    /// How long endpoints without an engine work on a request.
+    /// How long endpoints without an engine take to complete a request.
     pub(super) service_time: ServiceTime,
-    /// The same until an answer begins.
+    /// How long they take until the response begins.
     pub(super) answer_time: ServiceTime,
 }
 
 impl EndpointState {
-    /// True when the endpoint may take new work once it has a slot.
+    /// True if the endpoint may take new work once it has a slot.
     pub fn is_open(&self) -> bool {
         self.availability.is_open()
     }
 
-    /// Why the endpoint takes nothing new; the most lasting cause if there are several.
+    /// Why the endpoint takes no new work; the most permanent cause if there are several.
     pub fn closure(&self) -> Option<EndpointClosure> {
         self.availability.closure()
     }
 
-    /// True when it has a free slot and little enough to read.
+    /// True if it can take a request now.
     pub fn is_free(&self) -> bool {
         self.indexed.is_some()
     }
 
-    /// Takes over what settings and the endpoint itself say.
+    /// Applies the endpoint's entry in the settings.
     fn apply_spec(&mut self, now: Moment, spec: &EndpointSpec) {
         self.hall = spec.hall;
         self.slots = spec.slots;
@@ -106,8 +107,7 @@
         }
     }
 
-    /// The slots that may be used now. After failures an endpoint gets one request at a time
-    /// until one succeeds.
+    /// The slots that may be used now: after a failure only one, until a request succeeds.
     fn usable_slots(&self) -> u32 {
         if self.failures > 0 {
             self.slots.min(1)
@@ -116,13 +116,12 @@
         }
     }
 
-    /// True when it is open and not all its slots are taken.
+    /// True if it is open and has a slot left.
     pub(super) fn has_slot(&self) -> bool {
         self.is_open() && self.busy + self.foreign < self.usable_slots()
     }
 
-    /// The load in parts of the slots, when there is a free one and an engine has not too much to
-    /// read.
+    /// The load in units of `LOAD_PARTS`; `None` unless the endpoint can take a request now.
     fn free_load(&self) -> Option<u32> {
         let taken = self.busy + self.foreign;
         let free = self.has_slot() && !self.reading && !self.availability.cold.spaced;
@@ -143,7 +142,7 @@
         self.states.iter()
     }
 
-    /// The index of every endpoint.
+    /// The indices of all endpoints.
     pub fn indices(&self) -> impl Iterator<Item = EndpointIndex> {
         (0..self.states.len() as u32).map(EndpointIndex)
     }
@@ -156,7 +155,8 @@
         self.state(endpoint).hall
     }
 
-    /// The endpoint with this name. One that the settings do not name takes nothing new.
+    /// The index of the endpoint with this name. An unknown endpoint is added and takes no new work
+    /// until the settings contain it.
     pub fn ensure(&mut self, name: &EndpointName) -> EndpointIndex {
         if let Some(index) = self.names.get(name) {
             return *index;
@@ -181,7 +181,8 @@
         index
     }
 
-    /// Takes over the endpoints of new settings; others get nothing new and finish what runs.
+    /// Applies the endpoints of new settings. Endpoints that are missing there finish their running
+    /// requests and get no new ones.
     pub fn adopt(&mut self, now: Moment, policy: &ShardPolicy) {
         let initial_share = self.initial_share;
         let per_token = self.default_per_token(now, policy.planned_pace);
@@ -202,35 +203,36 @@
         }
     }
 
-    /// The halls that have an endpoint in the settings in force.
+    /// The halls that contain an endpoint with slots.
     pub fn halls_present(&self) -> HallMask {
         let present = self.states.iter().filter(|state| state.slots > 0);
         present.fold(HallMask::EMPTY, |mask, state| mask.union(HallMask::single(state.hall)))
     }
 
-    /// The halls that have a free slot.
+    /// The halls with a free endpoint.
     pub fn free_halls(&self) -> HallMask {
         let halls = self.free.iter().enumerate().filter(|(_, set)| !set.is_empty());
         halls.fold(HallMask::EMPTY, |mask, (hall, _)| mask.union(HallMask::single(hall)))
     }
 
-    /// True when the endpoint has a free slot and is in one of `halls`.
+    /// True if the endpoint is free and in one of `halls`.
     pub fn is_free(&self, endpoint: EndpointIndex, halls: HallMask) -> bool {
         let state = self.state(endpoint);
         state.indexed.is_some() && halls.contains(state.hall)
     }
 
-    /// True when an endpoint is known to be leaving, or gone for a reason of its own.
+    /// True if the endpoint is known to be leaving or to have left, which explains that its connections
+    /// end.
     pub fn is_leaving(&self, endpoint: EndpointIndex) -> bool {
         self.state(endpoint).availability.is_leaving()
     }
 
-    /// True when an endpoint has become free since the last call.
+    /// Returns whether an endpoint has become free since the last call.
     pub fn take_became_free(&mut self) -> bool {
         std::mem::take(&mut self.became_free)
     }
 
-    /// Takes over which prompt parts an engine keeps or dropped.
+    /// Applies a cache update to an engine.
     pub fn learn_kept(&mut self, endpoint: EndpointIndex, update: &CacheUpdate) {
         let mut changes = std::mem::take(&mut self.part_changes);
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
@@ -240,7 +242,7 @@
         self.part_changes = changes;
     }
 
-    /// Notes that an engine got a prompt.
+    /// Records a grant of a prompt to an endpoint.
     pub fn admit(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId, prompt: &PromptShape) {
         let mut changes = std::mem::take(&mut self.part_changes);
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
@@ -252,7 +254,7 @@
         self.delay_next_grant(now, endpoint);
     }
 
-    /// Notes that a request has begun at its engine.
+    /// Records the first event of a request.
     pub fn begin(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId) {
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
             engine.begin(now, request);
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Notes that an engine has a prompt no longer before it, though it did not begin.
+    /// Removes a prompt from an engine's pending ones because its request ended before its first event.
     pub fn withdraw(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId) {
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
             engine.withdraw(request);
@@ -268,7 +270,7 @@
         }
     }
 
-    /// Closes an engine while it has too much to read.
+    /// Closes an engine while it has too much queued prefill work.
     pub(super) fn update_prefill_limit(&mut self, now: Moment, endpoint: EndpointIndex) {
         let state = self.state_mut(endpoint);
         let Some(engine) = &state.engine else { return };
@@ -280,7 +282,7 @@
         self.reindex(endpoint);
     }
 
-    /// When something will be due without any event.
+    /// When the next pause ends or the next endpoint may become available.
     pub fn next_wake(&self) -> Option<Moment> {
         let pause = self.pauses.first().map(|(at, _)| *at);
         let wake = self.wakes.first().map(|(at, _)| *at);
@@ -293,7 +295,7 @@
         self.reindex(endpoint);
     }
 
-    /// Gives one slot back and learns from how the grant ended.
+    /// Releases one slot and learns from the outcome of the grant.
     pub fn vacate(&mut self, now: Moment, endpoint: EndpointIndex, fate: GrantOutcome) {
         let state = &mut self.states[endpoint.0 as usize];
         state.busy = state.busy.saturating_sub(1);
@@ -306,8 +308,8 @@
             GrantOutcome::Broken | GrantOutcome::Severed if state.breaks < self.tolerated_breaks => {
                 state.breaks += 1
             }
-            // One router's word is no more than a pause: endpoints that are not asked for their load would never
-            // be opened again.
+            // A single router's report only pauses the endpoint: if its load is not polled, nothing
+            // else would reopen it.
             GrantOutcome::Refused
             | GrantOutcome::Unreachable
             | GrantOutcome::Draining
@@ -322,21 +324,22 @@
         self.reindex(endpoint);
     }
 
-    /// Learns from a request whose answer began at an endpoint without an engine, this long after its grant.
+    /// Records the time from a grant to the beginning of the response, for an endpoint without an
+    /// engine.
     pub fn note_answer(&mut self, endpoint: EndpointIndex, took: Duration) {
         if self.state(endpoint).engine.is_none() {
             self.answer_time.observe(took);
         }
     }
 
-    /// Learns from a request that ran to its end there.
+    /// Records the duration of a completed request, for an endpoint without an engine.
     pub fn note_service(&mut self, endpoint: EndpointIndex, took: Duration) {
         if self.state(endpoint).engine.is_none() {
             self.service_time.observe(took);
         }
     }
 
-    /// Takes the platform's list in.
+    /// Updates which endpoints the platform lists as leaving.
     pub fn set_listed(&mut self, leaving: &BTreeSet<EndpointName>) {
         for index in self.indices() {
             let state = self.state_mut(index);
@@ -345,13 +348,13 @@
         }
     }
 
-    /// Closes an endpoint that told a router that it leaves. Its next start has another name.
+    /// Closes an endpoint that told a router that it is leaving. After a restart it has another name.
     pub fn note_leaving(&mut self, endpoint: EndpointIndex) {
         self.state_mut(endpoint).availability.said_leaving = true;
         self.reindex(endpoint);
     }
 
-    /// Ends the pauses whose time has come, and opens endpoints that may get more.
+    /// Ends pauses that have expired, and reopens endpoints that may take more work.
     pub fn wake(&mut self, now: Moment) {
         while let Some((at, endpoint)) = self.wakes.first().copied().filter(|(at, _)| *at <= now) {
             self.wakes.remove(&(at, endpoint));
--- a/crates/micaspool-dispatch/src/shard/pauses.rs
+++ b/crates/micaspool-dispatch/src/shard/pauses.rs
@@ -1,19 +1,20 @@
-//! For how long endpoints that failed are left alone.
+//! Pauses of endpoints after failures.
 
 use super::endpoints::{EndpointIndex, EndpointState, EndpointTable};
 use micaspool_types::Moment;
 use std::time::Duration;
 
-/// The first pause after an endpoint failed or refused; it doubles with each further one.
+/// The pause after the first failure or refusal; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 /// The longest pause.
 const MAX_PAUSE: Duration = Duration::from_secs(16);
-/// While fewer than half of a service's endpoints are open, those that are paused are tried so often a second together:
-/// a few that come back are found soon, and hundreds that are gone don't cost a request each.
+/// While less than half of a service's endpoints are open, the paused ones together are tried this
+/// often per second. This finds a few returning endpoints soon without spending a request on each of
+/// hundreds that are gone.
 const RETRIES_PER_SECOND: u32 = 6;
 
 impl EndpointTable {
-    /// Leaves an endpoint alone for a while, longer after each failure in a row.
+    /// Pauses an endpoint, longer after each successive failure.
     pub(super) fn pause(&mut self, now: Moment, endpoint: EndpointIndex) {
         let state = self.state_mut(endpoint);
         if state.availability.paused_until.is_some() {
@@ -27,8 +28,8 @@
         self.shorten_pauses(now);
     }
 
-    /// Shortens the pauses after failures while most of the service is paused: what is left can't bear the load, so one
-    /// that is back has to be found soon.
+    /// Shortens the pauses after failures while most endpoints of the service are paused: the others
+    /// can't carry the load, so returning endpoints must be found soon.
     fn shorten_pauses(&mut self, now: Moment) {
         let in_use = |state: &&EndpointState| state.slots > 0 && !state.availability.is_leaving();
         let open = self.states.iter().filter(in_use).filter(|state| state.is_open()).count();
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Ends the pauses whose time has come.
+    /// Ends the pauses that have expired.
     pub(super) fn end_pauses(&mut self, now: Moment) {
         while let Some((until, endpoint)) = self.pauses.first().copied().filter(|(until, _)| *until <= now) {
             self.pauses.remove(&(until, endpoint));
--- a/crates/micaspool-dispatch/src/shard/reports.rs
+++ b/crates/micaspool-dispatch/src/shard/reports.rs
@@ -1,30 +1,30 @@
-//! What endpoints say of their load, and for how long it counts.
+//! Load reports of endpoints, and how long each is valid.
 
 use super::endpoints::EndpointTable;
 use crate::event::LoadReport;
 use micaspool_types::{EndpointName, Moment};
 use std::time::Duration;
 
-/// How long a load report counts at least.
+/// The minimum lifetime of a load report.
 const MIN_LIFETIME: Duration = Duration::from_secs(3);
-/// How many intervals between two reports the later one counts, so that one may be missing. The more engines
-/// there are, the more seldom each is asked: 320 every 3.2 s, 600 every 6 s.
+/// The lifetime of a report in intervals between two reports, which allows one to be lost. The more
+/// engines there are, the less often each is polled: 320 every 3.2 s, 600 every 6 s.
 const LIFETIME_INTERVALS: u32 = 2;
-/// An interval longer than this says that the endpoint was not heard for a while, not how often it is asked.
+/// A longer interval does not show how often the endpoint is polled, only that it was out of reach.
 const MAX_INTERVAL: Duration = Duration::from_secs(8);
 
-/// What the newest load report of an endpoint said of others' requests.
+/// The requests of others at an endpoint according to its latest load report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedSurplus {
-    /// The requests there beyond those of this shard.
+    /// Requests at the endpoint beyond those of this shard.
     requests: u32,
     at: Moment,
-    /// How long it counts.
+    /// How long the report is valid.
     lifetime: Duration,
 }
 
 impl ReportedSurplus {
-    /// What a report says, after the one before it.
+    /// Creates a record from a report and the one before it.
     fn new(now: Moment, requests: u32, before: Option<ReportedSurplus>) -> ReportedSurplus {
         let interval = before.map(|before| now.since(before.at)).filter(|gap| *gap <= MAX_INTERVAL);
         let lifetime =
@@ -38,8 +38,8 @@
 }
 
 impl EndpointTable {
-    /// Takes a load report in. Slots count as used by others only when two reports in a row
-    /// agree, since a report may be older than our newest grants.
+    /// Applies a load report. Slots count as used by others only if two successive reports agree,
+    /// because a report may be older than the latest grants.
     pub fn report(&mut self, now: Moment, report: &LoadReport) {
         let Some(endpoint) = self.by_name(&report.endpoint) else { return };
         let state = self.state_mut(endpoint);
@@ -63,8 +63,8 @@
         self.reindex(endpoint);
     }
 
-    /// Forgets what reports said of others' requests where no report followed: an endpoint that is not heard any
-    /// more would stay full for ever.
+    /// Discards load reports that were not followed by another one. Otherwise an endpoint that stops
+    /// reporting would stay full for ever.
     pub fn expire_reports(&mut self, now: Moment) {
         let initial_share = self.initial_share;
         for endpoint in self.indices() {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// An endpoint did not answer when asked for its load.
+    /// Handles an endpoint that did not answer a load request.
     pub fn fail_probe(&mut self, now: Moment, name: &EndpointName) {
         if let Some(endpoint) = self.by_name(name) {
             self.state_mut(endpoint).foreign = 0;
