--- a/crates/micaspool-dispatch/src/shard/caller_attempts.rs
+++ b/crates/micaspool-dispatch/src/shard/caller_attempts.rs
@@ -1,47 +1,50 @@
-//! How long ago the caller of a request first tried.
+//! Estimates how long ago the caller of a request made its first attempt.
 //!
-//! A caller that was refused comes back under a new name, but says how long it still waits. Most callers of a kind
-//! wait equally long at first. So one that says clearly less has waited before, for the difference.
+//! A retry after a refusal has a new request id but states how long its caller will still wait. Most
+//! callers of one kind state the same patience on their first attempt. A caller that states clearly
+//! less has already been waiting for the difference.
 
 use micaspool_types::Moment;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Patience is compared in steps of this many milliseconds; a new connection takes a few.
+/// Resolution of patience in milliseconds. Opening a connection takes a few.
 const STEP: u64 = 10;
-/// How many requests that came while nothing was refused tell what callers say at first: what a kind of 45 requests a
-/// second brings in half a second.
+/// How many requests make a sample of the patience that callers state first, counted while nothing is
+/// refused. A kind with 45 requests per second yields this many in half a second.
 const SAMPLE_SIZE: u32 = 24;
-/// How many requests of a sample have the same patience when it is one with which callers begin.
+/// A patience is usual for first attempts if this many requests of a sample state it.
 const USUAL_COUNT: u32 = 3;
-/// For how many samples a patience that does not come any more counts as usual.
+/// For how many samples a patience stays usual after its last occurrence.
 const USUAL_LIFETIME: u32 = 16;
-/// How long after a refusal callers may come back.
+/// How long after a refusal retries are expected.
 const RETRY_WINDOW: Duration = Duration::from_secs(2);
-/// The most kinds that are told apart, beyond which all are learnt anew, and the most different patiences of a sample.
+/// The most kinds that are tracked, beyond which all are learnt anew; and the most distinct patience
+/// values per sample.
 const MAX_KINDS: usize = 64;
 const MAX_STEPS: usize = 256;
 
-/// What callers of each kind say at first. Kinds are told apart by their objectives.
+/// The usual patience of first attempts for each kind of caller. A kind is identified by its objective.
 #[derive(Debug, Default)]
 pub(super) struct FirstAttempts {
     kinds: HashMap<u64, KindAttempts>,
     refused_at: Option<Moment>,
 }
 
-/// One kind.
+/// The usual patience of one kind.
 #[derive(Debug, Default)]
 struct KindAttempts {
-    /// What is usual, in steps, and how many samples ago it was last; empty while it is not known.
+    /// Usual patience values in steps, with the number of samples since each last occurred; empty while
+    /// unknown.
     usual: BTreeMap<u64, u32>,
-    /// The sample that is being taken: requests by patience in steps.
+    /// The current sample: the number of requests by patience in steps.
     sample: HashMap<u64, u32>,
     sampled: u32,
 }
 
 impl FirstAttempts {
-    /// Takes a try in and gives how long ago its caller first tried; zero where nothing tells. The kind is named by
-    /// its `objective`.
+    /// Records an attempt and estimates how long ago its caller made the first one; zero if unknown.
+    /// `objective` identifies the kind.
     pub fn estimate_age(&mut self, now: Moment, objective: Duration, patience: Duration) -> Duration {
         let has_no_retries = self.refused_at.is_none_or(|at| now.since(at) >= RETRY_WINDOW);
         let kind = steps(objective);
@@ -57,7 +60,7 @@
         attempts.age(patience)
     }
 
-    /// A request was refused; its caller may come back.
+    /// Records a refusal, after which retries are expected.
     pub fn note_refused(&mut self, now: Moment) {
         self.refused_at = Some(now);
     }
@@ -84,7 +87,7 @@
         self.sampled = 0;
     }
 
-    /// From the next usual patience down to this one.
+    /// The difference between the next higher usual patience and this one.
     fn age(&self, patience: Duration) -> Duration {
         let own = steps(patience);
         match self.usual.range(own..).next() {
