--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -9,11 +9,11 @@
 use micaspool_types::{Cost, CustomerName, HallMask, Moment, OrderNumber, RequestId, Weight};
 use std::collections::{BTreeMap, HashMap};
 
-/// The limit for a customer that the settings in force here do not name yet.
+/// The limit for a customer that is not in the settings yet.
 const UNLISTED_MAX_WAITING: u32 = 64;
 
-/// The place of a ticket in its customer's queue: priority, then arrival. Tickets that two
-/// dispatchers numbered may have the same order number, so the request tells them apart.
+/// The position of a ticket in its customer's queue, ordered by priority and arrival. Tickets numbered
+/// by different dispatchers may share an order number, so the request id breaks ties.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct QueuePlace {
     pub priority: u8,
@@ -30,28 +30,28 @@
     pub account: ServiceAccount,
     pub estimator: CostEstimator,
     pub queue: BTreeMap<QueuePlace, RequestId>,
-    /// The prompt tokens of the queue; requests where they have none.
+    /// The load of the queue: prompt tokens, or requests without any.
     pub queued_load: u64,
-    /// The same of all its tickets that came, a second.
+    /// Load of all submitted tickets per second.
     pub demand_rate: DecayingRate,
-    /// The same of its grants, a second.
+    /// Load of the granted tickets per second.
     pub grant_rate: DecayingRate,
-    /// What became of its tickets.
+    /// Counters of granted and refused tickets.
     pub counters: CustomerCounters,
-    /// What its tickets bear.
+    /// How long the customer's requests are able to wait.
     pub tolerance: WaitTolerance,
     pub running: u32,
-    /// What this shard has delivered to the customer since it began.
+    /// The cost that this shard has delivered to the customer since it started.
     pub served: Cost,
-    /// The halls and rank under which the customer stands in the index.
+    /// The halls and rank under which the customer is in the rank index.
     pub indexed: Option<(HallMask, Rank)>,
-    /// The order number of the newest grant whose level is in the account.
+    /// The order number of the latest grant whose level the account includes.
     pub level_order: OrderNumber,
-    /// When a ticket of it was last refused because it had waited for too long.
+    /// When one of its tickets was last refused as overdue.
     pub refused_at: Option<Moment>,
 }
 
-/// Every customer that the shard has met.
+/// All customers known to the shard.
 #[derive(Debug)]
 pub(super) struct CustomerTable {
     states: Vec<CustomerState>,
@@ -80,8 +80,8 @@
         &mut self.states[index.0 as usize]
     }
 
-    /// The customer with this name. One that the settings do not name yet may use no hall, so
-    /// that its tickets wait until newer settings arrive.
+    /// The index of the customer with this name. An unknown customer is added without halls, so its
+    /// tickets wait until newer settings arrive.
     pub fn ensure(&mut self, name: &CustomerName) -> CustomerIndex {
         if let Some(index) = self.names.get(name) {
             return *index;
@@ -109,7 +109,7 @@
         index
     }
 
-    /// Takes over weights, halls and limits; customers that are no longer named lose all halls.
+    /// Applies weights, halls and limits; customers that are missing from the settings lose all halls.
     pub fn adopt(&mut self, specs: &[ShardCustomer], present: HallMask, policy: &dyn OrderPolicy) {
         for state in &mut self.states {
             state.halls = HallMask::EMPTY;
@@ -125,12 +125,12 @@
 }
 
 impl CustomerState {
-    /// The level with everything charged so far.
+    /// The level including all charges so far.
     pub fn level(&self, policy: &dyn OrderPolicy) -> ServiceLevel {
         self.account.base().plus(policy.level(&self.account))
     }
 
-    /// Takes a ticket out of the queue.
+    /// Removes a ticket from the queue.
     pub fn take_from_queue(&mut self, ticket: &WaitingTicket) {
         if self.queue.remove(&ticket.place).is_some() {
             self.queued_load -= ticket.prompt.load();
@@ -143,7 +143,7 @@
         self.served = self.served.plus(after.minus(before));
     }
 
-    /// Keeps what was received under the old weight and counts on under the new one.
+    /// Changes the weight and keeps the level reached so far.
     fn change_weight(&mut self, weight: Weight, policy: &dyn OrderPolicy) {
         if weight == self.account.weight() {
             return;
