--- a/crates/micaspool-dispatch/src/shard/advice.rs
+++ b/crates/micaspool-dispatch/src/shard/advice.rs
@@ -1,7 +1,8 @@
-//! What endpoints asked of single routers, and what becomes of tickets by it.
+//! Advice that endpoints gave to single routers, and its effect on tickets.
 //!
-//! The router itself keeps the promise and gives a grant back that it may not use. What is known of it here spares that
-//! round trip, and refuses a ticket that no endpoint wants in time from its router.
+//! A router follows the advice itself and returns a grant that it may not use. Applying it here saves
+//! that round trip, and lets the shard refuse a ticket that no endpoint will accept from its router in
+//! time.
 
 use super::endpoints::EndpointIndex;
 use super::overdue::RefusalCause;
@@ -13,7 +14,8 @@
 use micaspool_types::{AdviceRecord, HallMask, Moment, RequestId};
 
 impl ShardCore {
-    /// Takes in what endpoints asked of a router, and refuses its tickets that can't be served in time by that.
+    /// Records the advice that endpoints gave to a router, and refuses the router's tickets that can no
+    /// longer be served in time.
     pub(super) fn apply_advice(
         &mut self,
         now: Moment,
@@ -26,8 +28,8 @@
         self.refuse_resting(now, router, actions);
     }
 
-    /// Takes in what endpoints asked of a router. One that leaves says so to whoever asks, and is closed for all routers;
-    /// a rest was asked of this one alone.
+    /// Records the advice that endpoints gave to a router. An endpoint that is leaving tells everyone
+    /// and is closed for all routers; a rest applies to this router only.
     pub(super) fn record_advice(&mut self, now: Moment, router: RouterIndex, advice: &[AdviceRecord]) {
         for record in advice {
             let endpoint = self.endpoints.ensure(&record.endpoint);
@@ -40,7 +42,8 @@
         }
     }
 
-    /// Refuses the waiting tickets of a router whose time is over before the first endpoint wants them again.
+    /// Refuses the router's waiting tickets whose time ends before the first endpoint accepts requests
+    /// from it again.
     pub(super) fn refuse_resting(
         &mut self,
         now: Moment,
@@ -55,7 +58,8 @@
         }
     }
 
-    /// Refuses a waiting ticket whose time is over before the first endpoint wants it again.
+    /// Refuses a waiting ticket whose time ends before the first endpoint accepts requests from its
+    /// router again.
     pub(super) fn refuse_resting_ticket(
         &mut self,
         now: Moment,
@@ -75,8 +79,8 @@
         }
     }
 
-    /// The soonest moment at which any endpoint in these halls wants something from a router again; `None` while one of
-    /// them wants it now.
+    /// The earliest moment at which an endpoint in these halls accepts requests from the router again;
+    /// `None` if one does now.
     pub(super) fn rest_end(&self, now: Moment, router: RouterIndex, halls: HallMask) -> Option<Moment> {
         if !self.routers.has_rests(router) {
             return None;
@@ -93,13 +97,14 @@
         soonest
     }
 
-    /// True when a router may send nothing to an endpoint now: it does not hold it, or was asked for rest.
+    /// True if the router may send nothing to the endpoint now, because it does not hold the endpoint
+    /// or was asked to rest.
     pub(super) fn is_blocked_for(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> bool {
         self.routers.lacks_endpoint(now, router, endpoint)
             || self.routers.rests_until(now, router, endpoint).is_some()
     }
 
-    /// True while no endpoint that a ticket may use wants anything from its router.
+    /// True while all endpoints that the ticket may use have asked its router to rest.
     pub(super) fn is_resting(&self, now: Moment, ticket: &WaitingTicket) -> bool {
         let halls = self.customers.get(ticket.customer).halls;
         self.rest_end(now, ticket.router, halls).is_some()
--- a/crates/micaspool-dispatch/src/shard/copies.rs
+++ b/crates/micaspool-dispatch/src/shard/copies.rs
@@ -1,11 +1,12 @@
-//! How often each thing that is asked for waits and runs.
+//! Counts the waiting and running copies of each request.
 
 use super::endpoints::EndpointIndex;
 use micaspool_types::RequestDigest;
 use std::collections::HashMap;
 
-/// The copies of each request, by what it asks for. Counted for all: looked for among 16,000 that run on 320 engines, each
-/// ticket in doubt would cost some 90 us, when the ends of many engines bring thousands into doubt at once.
+/// The copies of each request by its digest, kept for all requests. Searching 16,000 running requests
+/// on 320 engines takes some 90 us per ticket in doubt, and the crash of many engines brings thousands
+/// into doubt at once.
 #[derive(Debug, Default)]
 pub(super) struct CopyCounts {
     waiting: HashMap<RequestDigest, u32>,
@@ -53,7 +54,7 @@
         self.running.contains_key(&digest)
     }
 
-    /// Where copies of a request run.
+    /// The endpoints on which copies of a request run.
     pub fn running_on(&self, digest: RequestDigest) -> &[EndpointIndex] {
         self.running.get(&digest).map(Vec::as_slice).unwrap_or_default()
     }
--- a/crates/micaspool-dispatch/src/shard/evacuation.rs
+++ b/crates/micaspool-dispatch/src/shard/evacuation.rs
@@ -1,8 +1,8 @@
-//! What becomes of tickets while data halls are evacuated.
+//! Tickets during the evacuation of data halls.
 //!
-//! The closed endpoints count for nothing where waits are estimated, so most that can't be served is refused on arrival
-//! as at any other loss of capacity. A ticket that only closed endpoints could run would wait for an operator's word:
-//! it is refused at once.
+//! Closed endpoints don't count when waits are estimated, so most tickets that can't be served are
+//! refused on arrival, as after any other loss of capacity. A ticket that can only run in evacuated
+//! halls is refused at once, since it would otherwise wait until an operator reopens one.
 
 use super::endpoints::EndpointTable;
 use super::overdue::RefusalCause;
@@ -11,7 +11,7 @@
 use micaspool_types::{HallMask, Moment, RequestId};
 
 impl EndpointTable {
-    /// True when there are endpoints in these halls, and all of them stand in evacuated ones.
+    /// True if there are endpoints in these halls and all of them are in evacuated ones.
     pub fn all_evacuated(&self, halls: HallMask) -> bool {
         let mut some = false;
         for state in self.iter() {
@@ -26,7 +26,7 @@
 }
 
 impl ShardCore {
-    /// Refuses the waiting tickets that only endpoints in evacuated halls could run.
+    /// Refuses the waiting tickets that can only run in evacuated halls.
     pub(super) fn refuse_evacuated(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         if !self.endpoints.iter().any(|state| state.availability.evacuated) {
             return;
--- a/crates/micaspool-dispatch/src/shard/routers.rs
+++ b/crates/micaspool-dispatch/src/shard/routers.rs
@@ -1,4 +1,4 @@
-//! The routers of a shard, their streams and what they hold.
+//! The routers of a shard, their sessions and the requests they hold.
 
 use super::endpoints::EndpointIndex;
 use crate::event::{RouterHello, SessionId};
@@ -6,11 +6,12 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
 
-/// How long a router is given no grant for an endpoint that it does not hold. One that has just started hears of
-/// all within some 100 ms; one that is cut off from a keeper may go on without.
+/// How long a router gets no grants for an endpoint that it does not hold. A router that has just
+/// started learns of all endpoints within some 100 ms; one that is cut off from a keeper may go on
+/// without it.
 const NOT_HELD_PERIOD: Duration = Duration::from_millis(100);
 
-/// The position of a router in its shard's list.
+/// The key of a router in the router table.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub(super) struct RouterIndex(u32);
 
@@ -22,13 +23,13 @@
     last_heard: Moment,
     heartbeat: u64,
     requests: HashSet<RequestId>,
-    /// Endpoints that it does not hold as serving, and until when that is believed.
+    /// Endpoints that it reported as not held, and until when this is assumed.
     not_held: HashMap<EndpointIndex, Moment>,
-    /// Endpoints that asked it for rest, and until when.
+    /// Endpoints that asked it to rest, and until when.
     rests: HashMap<EndpointIndex, Moment>,
 }
 
-/// Every router that has joined and whose lease has not ended.
+/// All routers that have joined and whose lease has not ended.
 #[derive(Debug, Default)]
 pub(super) struct RouterTable {
     states: HashMap<RouterIndex, RouterState>,
@@ -39,7 +40,7 @@
 }
 
 impl RouterTable {
-    /// Notes a sign of life; false when the stream belongs to no router.
+    /// Records that a router is alive; false if the session is unknown.
     pub fn note_contact(&mut self, session: SessionId, now: Moment) -> bool {
         let Some(router) = self.sessions.get(&session) else { return false };
         if let Some(state) = self.states.get_mut(router) {
@@ -48,15 +49,15 @@
         true
     }
 
-    /// Notes a heartbeat number.
+    /// Records the number of a heartbeat.
     pub fn note_heartbeat(&mut self, session: SessionId, number: u64) {
         if let Some(state) = self.sessions.get(&session).and_then(|router| self.states.get_mut(router)) {
             state.heartbeat = state.heartbeat.max(number);
         }
     }
 
-    /// Binds a stream to a router. The same life of a router keeps what it held; an earlier life
-    /// loses its stream and ends with its lease.
+    /// Binds a session to a router. The same incarnation keeps its requests; an earlier incarnation
+    /// loses its session and is dropped when its lease ends.
     pub fn attach(&mut self, now: Moment, session: SessionId, hello: &RouterHello) -> RouterIndex {
         self.detach_earlier_incarnations(hello);
         let router = self.find(hello).unwrap_or_else(|| self.add(hello, now));
@@ -102,7 +103,7 @@
         router
     }
 
-    /// Ends a stream; what the router holds stays until its lease ends.
+    /// Ends a session; the router's requests stay until its lease ends.
     pub fn detach(&mut self, session: SessionId) {
         if let Some(state) = self.sessions.remove(&session).and_then(|router| self.states.get_mut(&router)) {
             state.session = None;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Notes that a router does not hold an endpoint. It is the only one that this keeps from the endpoint.
+    /// Records that a router does not hold an endpoint. Only this router gets no grants for it.
     pub fn note_not_held(&mut self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) {
         if let Some(state) = self.states.get_mut(&router) {
             state.not_held.retain(|_, until| now < *until);
@@ -145,13 +146,14 @@
         }
     }
 
-    /// True while a router is believed not to hold an endpoint.
+    /// True while the router is assumed not to hold the endpoint.
     pub fn lacks_endpoint(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> bool {
         let until = self.states.get(&router).and_then(|state| state.not_held.get(&endpoint));
         until.is_some_and(|until| now < *until)
     }
 
-    /// Notes until when an endpoint wants nothing from a router; what was noted before is prolonged, never shortened.
+    /// Records that an endpoint asked a router to rest until a moment. An existing rest is extended but
+    /// never shortened.
     pub fn note_rest(&mut self, router: RouterIndex, endpoint: EndpointIndex, until: Moment) {
         if let Some(state) = self.states.get_mut(&router) {
             let noted = state.rests.entry(endpoint).or_insert(until);
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Forgets the rests that are over; true when there were any, so that what waited for them may run.
+    /// Removes rests that have ended; true if any ended, so that waiting tickets may become eligible.
     pub fn end_rests(&mut self, now: Moment) -> bool {
         if self.rest_ends.first().is_none_or(|end| now < *end) {
             return false;
@@ -177,18 +179,18 @@
         self.rest_ends.first().copied()
     }
 
-    /// True when any endpoint asked a router for rest.
+    /// True if any endpoint asked the router to rest.
     pub fn has_rests(&self, router: RouterIndex) -> bool {
         self.states.get(&router).is_some_and(|state| !state.rests.is_empty())
     }
 
-    /// Until when an endpoint wants nothing from a router; `None` when it takes requests.
+    /// Until when a router may send nothing to an endpoint; `None` if it may.
     pub fn rests_until(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> Option<Moment> {
         let until = self.states.get(&router).and_then(|state| state.rests.get(&endpoint)).copied();
         until.filter(|until| now < *until)
     }
 
-    /// The endpoints that rest, once for each router that was asked.
+    /// The endpoints that asked for rest, once for each router asked.
     pub fn resting(&self, now: Moment) -> impl Iterator<Item = EndpointIndex> + '_ {
         let rests = self.states.values().flat_map(|state| &state.rests);
         rests.filter(move |(_, until)| now < **until).map(|(endpoint, _)| *endpoint)
@@ -213,7 +215,7 @@
         routers
     }
 
-    /// Removes a router and gives the requests that it held.
+    /// Removes a router and returns its requests.
     pub fn forget(&mut self, router: RouterIndex) -> Vec<RequestId> {
         let requests = self.held(router);
         if let Some(session) = self.states.remove(&router).and_then(|state| state.session) {
@@ -222,7 +224,7 @@
         requests
     }
 
-    /// True when each of these routers has a stream.
+    /// True if each of these routers has a session.
     pub fn all_joined(&self, names: &BTreeSet<InstanceName>) -> bool {
         let joined = |name: &InstanceName| {
             self.states.values().any(|state| state.name == *name && state.session.is_some())
