--- a/crates/micaspool-dispatch/src/shard/engine_queues.rs
+++ b/crates/micaspool-dispatch/src/shard/engine_queues.rs
@@ -1,19 +1,20 @@
-//! Which tickets wait for an engine that they chose though it is not free.
+//! Tickets that wait for a busy engine of their choice.
 //!
-//! Engines that keep a prompt's parts are worth a wait, but each of them reads for one ticket after the other.
-//! A ticket therefore counts those that chose the same engine before it.
+//! Waiting for an engine can pay off if it caches parts of the prompt, but each engine prefills one
+//! prompt after the other. A ticket therefore accounts for the tickets that chose the same engine
+//! earlier.
 
 use super::endpoints::EndpointIndex;
 use micaspool_types::RequestId;
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// What chose an engine before a ticket did.
+/// The work queued for an engine ahead of a ticket.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct WorkAhead {
-    /// How many tickets.
+    /// The number of tickets.
     pub tickets: u32,
-    /// What the engine has to read for them.
+    /// The tokens that the engine has to prefill for them.
     pub tokens: u64,
 }
 
@@ -21,19 +22,19 @@
 #[derive(Debug, Clone, Copy)]
 struct AwaitingTicket {
     request: RequestId,
-    /// What the engine has to read for it.
+    /// The tokens that the engine has to prefill for it.
     tokens: u64,
 }
 
-/// For each engine the tickets that wait for it, in the order in which they chose it. Choices are made while the
-/// shard is searched for the next grant, so a queue changes behind a shared reference.
+/// The tickets waiting for each engine, in the order of their choices. Choices are made during the
+/// search for the next grant, which borrows the shard immutably; hence the `RefCell`.
 #[derive(Debug, Default)]
 pub(super) struct EngineQueues {
     queues: RefCell<HashMap<EndpointIndex, Vec<AwaitingTicket>>>,
 }
 
 impl EngineQueues {
-    /// The tickets that chose an engine before this one.
+    /// The work queued for an engine ahead of this ticket.
     pub fn ahead_of(&self, engine: EndpointIndex, request: RequestId) -> WorkAhead {
         let queues = self.queues.borrow();
         let Some(queue) = queues.get(&engine) else { return WorkAhead::default() };
@@ -44,7 +45,7 @@
         })
     }
 
-    /// A ticket waits for an engine; it keeps its place if it did before.
+    /// Adds a ticket to an engine's queue, or updates it in its place.
     pub fn join(&self, engine: EndpointIndex, request: RequestId, tokens: u64) {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(engine).or_default();
@@ -54,7 +55,7 @@
         }
     }
 
-    /// A ticket no longer waits for an engine.
+    /// Removes a ticket from an engine's queue.
     pub fn leave(&self, engine: EndpointIndex, request: RequestId) {
         let mut queues = self.queues.borrow_mut();
         let Some(queue) = queues.get_mut(&engine) else { return };
--- a/crates/micaspool-dispatch/src/shard/holders.rs
+++ b/crates/micaspool-dispatch/src/shard/holders.rs
@@ -1,22 +1,23 @@
-//! Which engines keep a prompt part, so that choosing one need not look at all of them.
+//! Index of the engines that cache each prompt part, so that choosing an engine need not search all of
+//! them.
 
 use super::endpoints::EndpointIndex;
 use super::engine::PartChange;
 use std::collections::HashMap;
 
-/// The engines that keep each part, the one that kept it first in front.
+/// The engines that cache each part, in the order in which they cached it.
 #[derive(Debug, Default)]
 pub(super) struct PartHolders {
     engines: HashMap<u64, Vec<EndpointIndex>>,
 }
 
 impl PartHolders {
-    /// The engines that keep a part.
+    /// The engines that cache a part.
     pub fn of(&self, prefix: u64) -> &[EndpointIndex] {
         self.engines.get(&prefix).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes over what changed at one engine.
+    /// Applies the changes of one engine's cache and clears `changes`.
     pub fn take(&mut self, engine: EndpointIndex, changes: &mut Vec<PartChange>) {
         for change in changes.drain(..) {
             match change {
--- a/crates/micaspool-dispatch/src/shard/parts.rs
+++ b/crates/micaspool-dispatch/src/shard/parts.rs
@@ -1,9 +1,9 @@
-//! Which prompt parts an engine probably keeps in memory.
+//! Model of the prompt parts that an engine has cached.
 
 use super::engine::PartChange;
 use std::collections::{BTreeMap, HashMap};
 
-/// Kept parts; the ones unused the longest go first.
+/// Cached parts with least recently used eviction.
 #[derive(Debug, Default)]
 pub(super) struct PartCache {
     parts: HashMap<u64, PartEntry>,
@@ -40,7 +40,7 @@
         self.recency.insert(last_used, prefix);
     }
 
-    /// Forgets a part.
+    /// Removes a part.
     pub fn drop(&mut self, prefix: u64, changes: &mut Vec<PartChange>) {
         let Some(part) = self.parts.remove(&prefix) else { return };
         self.recency.remove(&part.last_used);
@@ -48,7 +48,7 @@
         changes.push(PartChange::Dropped(prefix));
     }
 
-    /// Forgets every part.
+    /// Removes all parts.
     pub fn clear(&mut self, changes: &mut Vec<PartChange>) {
         self.shrink(0, changes);
     }
--- a/crates/micaspool-dispatch/src/shard/prefixes.rs
+++ b/crates/micaspool-dispatch/src/shard/prefixes.rs
@@ -1,44 +1,45 @@
-//! Which endpoint is thought to hold a prompt prefix in its cache.
+//! Index of the endpoints that are assumed to have a prompt prefix cached.
 
 use super::endpoints::EndpointIndex;
 use std::collections::{HashMap, VecDeque};
 
-/// Prefix hashes and the endpoint that used each last; the oldest entries go first.
+/// The last endpoint that used each prefix, by hash. When full, the entry that was added first is
+/// evicted.
 #[derive(Debug)]
 pub(super) struct PrefixIndex {
     holders: HashMap<u64, EndpointIndex>,
-    recency: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
     capacity: usize,
 }
 
 impl PrefixIndex {
     pub fn new(capacity: usize) -> PrefixIndex {
-        PrefixIndex { holders: HashMap::new(), recency: VecDeque::new(), capacity }
+        PrefixIndex { holders: HashMap::new(), insertion_order: VecDeque::new(), capacity }
     }
 
     pub fn holder(&self, prefix: u64) -> Option<EndpointIndex> {
         self.holders.get(&prefix).copied()
     }
 
-    /// Notes that an endpoint holds these prefixes.
+    /// Records that an endpoint has these prefixes cached.
     pub fn remember(&mut self, prefixes: &[u64], endpoint: EndpointIndex) {
         for prefix in prefixes {
             if self.holders.insert(*prefix, endpoint).is_none() {
-                self.recency.push_back(*prefix);
+                self.insertion_order.push_back(*prefix);
             }
         }
-        while self.recency.len() > self.capacity {
-            let oldest = self.recency.pop_front().expect("the list is longer than its capacity");
+        while self.insertion_order.len() > self.capacity {
+            let oldest = self.insertion_order.pop_front().expect("the list is longer than its capacity");
             self.holders.remove(&oldest);
         }
     }
 
-    /// Notes that an endpoint no longer holds these prefixes.
+    /// Records that an endpoint no longer has these prefixes cached.
     pub fn drop_from(&mut self, prefixes: &[u64], endpoint: EndpointIndex) {
         for prefix in prefixes {
             if self.holders.get(prefix) == Some(&endpoint) {
                 self.holders.remove(prefix);
-                self.recency.retain(|other| other != prefix);
+                self.insertion_order.retain(|other| other != prefix);
             }
         }
     }
