--- a/crates/micaspool-dispatch/src/shard/counters.rs
+++ b/crates/micaspool-dispatch/src/shard/counters.rs
@@ -1,17 +1,17 @@
-//! What became of a customer's tickets.
+//! Counters of a customer's granted and refused tickets.
 
 use std::time::Duration;
 
-/// What became of a customer's tickets since the shard began.
+/// Counters of a customer's tickets since the shard started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CustomerCounters {
     /// Tickets that were granted.
     pub granted: u64,
-    /// Their prompt tokens; requests where they have none.
+    /// The load of the granted tickets: prompt tokens, or requests without any.
     pub granted_load: u64,
-    /// Tickets that were refused when they came.
+    /// Tickets that were refused on arrival.
     pub refused_on_arrival: u64,
-    /// Tickets that were refused after a wait.
+    /// Tickets that were refused after waiting.
     pub refused_after_wait: u64,
 }
 
@@ -21,7 +21,7 @@
         self.refused_on_arrival + self.refused_after_wait
     }
 
-    /// What came since an earlier look.
+    /// The increase since an earlier snapshot.
     pub fn since(&self, before: &CustomerCounters) -> CustomerCounters {
         CustomerCounters {
             granted: self.granted - before.granted,
--- a/crates/micaspool-dispatch/src/shard/grant_throughput.rs
+++ b/crates/micaspool-dispatch/src/shard/grant_throughput.rs
@@ -1,18 +1,18 @@
-//! How fast the shard grants, to tell refused callers when to come back.
+//! The rate of grants, from which the retry times of refused callers follow.
 
 use micaspool_types::Moment;
 use std::time::Duration;
 
-/// The span over which grants are counted.
+/// The window over which grants are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// The share of the newest span in the average, as a divisor.
+/// Divisor for the weight of the latest window in the average.
 const SMOOTHING: u64 = 4;
-/// Rates are kept in thousandths of a grant a second.
+/// Rates are stored in units of 1/1,000 grant per second.
 const RATE_SCALE: u64 = 1_000;
 const MIN_WAIT: Duration = Duration::from_secs(1);
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A moving average of grants a second.
+/// A moving average of grants per second.
 #[derive(Debug)]
 pub(super) struct GrantThroughput {
     window_start: Moment,
@@ -30,7 +30,7 @@
         self.counted += 1;
     }
 
-    /// Moves the average on when a span has passed.
+    /// Updates the average when a window has ended.
     pub fn advance(&mut self, now: Moment) {
         let elapsed = now.since(self.window_start);
         if elapsed < WINDOW {
@@ -43,7 +43,7 @@
         self.counted = 0;
     }
 
-    /// How long this many grants take at the present pace.
+    /// The time that this many grants take at the current rate.
     pub fn wait_for(&self, grants: usize) -> Duration {
         if self.rate == 0 {
             return MIN_WAIT;
--- a/crates/micaspool-dispatch/src/shard/rate.rs
+++ b/crates/micaspool-dispatch/src/shard/rate.rs
@@ -1,12 +1,12 @@
-//! A rate that forgets.
+//! An exponentially decaying rate.
 
 use micaspool_types::Moment;
 
-/// How fast a rate forgets, in microseconds: long enough for some grants of a small customer, short enough to
-/// follow one that is served less from one second to the next.
+/// Time constant of the decay in microseconds: long enough to cover several grants of a small customer,
+/// short enough to follow a customer whose service drops from one second to the next.
 const TIME_CONSTANT: f64 = 500_000.0;
 
-/// An amount a second, weighted towards the newest.
+/// An amount per second, weighted towards the most recent additions.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DecayingRate {
     amount: f64,
@@ -20,7 +20,7 @@
         self.newest = now;
     }
 
-    /// The rate as of a moment.
+    /// The rate at a moment.
     pub fn per_second(&self, now: Moment) -> f64 {
         self.decayed(now) * 1_000_000.0 / TIME_CONSTANT
     }
--- a/crates/micaspool-dispatch/src/shard/retries.rs
+++ b/crates/micaspool-dispatch/src/shard/retries.rs
@@ -1,18 +1,18 @@
-//! Budgets that keep retries from multiplying an outage.
+//! Retry budgets, which keep retries from amplifying an outage.
 
 use micaspool_fair::CustomerIndex;
 use std::collections::HashMap;
 
-/// What one first attempt adds to a budget, in thousandths of a retry.
+/// The credit per first attempt, in thousandths of a retry.
 const RETRY_CREDIT: u32 = 100;
-/// What one retry takes from a budget.
+/// The cost of one retry, in the same unit.
 const RETRY_COST: u32 = 1_000;
-/// The most that a customer's budget holds.
+/// The maximum budget of a customer.
 const MAX_CUSTOMER_BUDGET: u32 = 10 * RETRY_COST;
-/// The most that the shard's budget holds.
+/// The maximum budget of the shard.
 const MAX_SHARD_BUDGET: u32 = 100 * RETRY_COST;
 
-/// One budget for each customer and one for the shard; a retry needs both.
+/// One budget per customer and one for the shard; a retry is charged to both.
 #[derive(Debug)]
 pub(super) struct RetryBudgets {
     customers: HashMap<CustomerIndex, u32>,
@@ -26,7 +26,7 @@
 }
 
 impl RetryBudgets {
-    /// True when the attempt may wait: first attempts always, retries while there is budget.
+    /// Returns whether the attempt is allowed: first attempts always, retries within both budgets.
     pub fn admit(&mut self, customer: CustomerIndex, attempt: u32) -> bool {
         let own = self.customers.entry(customer).or_insert(MAX_CUSTOMER_BUDGET);
         if attempt == 0 {
--- a/crates/micaspool-dispatch/src/shard/retry_after.rs
+++ b/crates/micaspool-dispatch/src/shard/retry_after.rs
@@ -1,4 +1,4 @@
-//! When refused callers shall come back.
+//! When refused callers should retry.
 
 use super::customers::CustomerState;
 use super::ShardCore;
@@ -6,15 +6,15 @@
 use micaspool_types::Moment;
 use std::time::Duration;
 
-/// The span for which what a customer asks for is compared with what it is served.
+/// The period whose demand is compared with the service rate.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
-/// The longest time that is told by that: nobody knows how much is asked for by then.
+/// The longest retry time derived from that, because demand can't be predicted further ahead.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
 impl ShardCore {
-    /// When a refused request of the customer may find room: once the waiting tickets before it are granted, and not
-    /// before what the customer asks for in a span has been served. Queues stay short while all that comes is
-    /// refused; the second time grows as capacity falls.
+    /// When a refused request of the customer may be accepted: once the tickets queued before it are
+    /// granted, and no earlier than `DEMAND_WINDOW` of the customer's demand takes to serve. Queues
+    /// stay short while everything is refused on arrival; the second time grows as capacity falls.
     pub(super) fn retry_after(&self, now: Moment, customer: CustomerIndex) -> Duration {
         let state = self.customers.get(customer);
         let ahead = state.queue.len() + 1;
@@ -22,7 +22,7 @@
         queue.max(self.demand_service_time(now, state))
     }
 
-    /// How long a customer is served what it asks for in a span.
+    /// How long it takes to serve the customer's demand of one window.
     fn demand_service_time(&self, now: Moment, state: &CustomerState) -> Duration {
         let asked = state.demand_rate.per_second(now) * DEMAND_WINDOW.as_secs_f64();
         let seconds = asked / self.service_rate(now, state);
--- a/crates/micaspool-dispatch/src/shard/service_time.rs
+++ b/crates/micaspool-dispatch/src/shard/service_time.rs
@@ -1,24 +1,25 @@
-//! How long endpoints without an engine work on a request.
+//! Service times of endpoints without an engine.
 
 use std::time::Duration;
 
-/// What one observation moves the mean, as a part of the distance.
+/// The weight of one observation in the mean.
 const GAIN: f64 = 1.0 / 32.0;
 
-/// How many mean deviations above the mean most requests stay, as for retransmission time-outs (Jacobson, 1988).
+/// How many mean deviations above the mean the upper estimate lies, as for retransmission time-outs
+/// (Jacobson, 1988).
 const DEVIATIONS: f64 = 2.0;
 
-/// A mean that follows the newest requests.
+/// A moving average of service times and their deviation.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ServiceTime {
-    /// In seconds; `None` before the first request ended.
+    /// In seconds; `None` before the first observation.
     mean: Option<f64>,
-    /// How far requests lie from the mean, in seconds.
+    /// Mean absolute deviation, in seconds.
     deviation: f64,
 }
 
 impl ServiceTime {
-    /// Takes in how long a request took from its grant to its end.
+    /// Records a service time.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         let distance = self.mean.map_or(took / 2.0, |mean| (took - mean).abs());
@@ -27,17 +28,18 @@
         self.mean = Some(mean);
     }
 
-    /// The mean; zero before any request ended.
+    /// The mean; zero before the first observation.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean.unwrap_or_default())
     }
 
-    /// What most requests take at most; zero before any request ended.
+    /// A bound that most requests stay below; zero before the first observation.
     pub fn upper_estimate(&self) -> Duration {
         self.mean() + Duration::from_secs_f64(self.deviation * DEVIATIONS)
     }
 
-    /// How many requests a second so many slots take; infinite before any request ended.
+    /// The number of requests per second that `slots` slots complete; infinite before the first
+    /// observation.
     pub fn requests_per_second(&self, slots: u32) -> f64 {
         let mean = self.mean.unwrap_or_default();
         if mean > 0.0 {
--- a/crates/micaspool-dispatch/src/shard/sharing.rs
+++ b/crates/micaspool-dispatch/src/shard/sharing.rs
@@ -1,7 +1,8 @@
-//! Service that other regions deliver to the same customers.
+//! Accounts for service that other regions deliver to the same customers.
 //!
-//! The shards of a service in different regions tell each other what they have delivered. What a
-//! customer receives elsewhere raises its level here, so that levels compare whole customers.
+//! The shards of a service in different regions exchange the cost that they have delivered. What a
+//! customer receives in another region raises its level here, so that levels cover all of a customer's
+//! service.
 
 use super::ShardCore;
 use crate::event::{CustomerTotal, RegionTotals};
@@ -9,11 +10,12 @@
 use micaspool_types::{Cost, CustomerName, Incarnation, RegionName};
 use std::collections::HashMap;
 
-/// One message raises a customer's level by at most this many of the largest request. After a long
-/// cut the rest is forgotten, so that a customer that the other region served does not starve here.
+/// The most that one message raises a customer's level, in requests of maximum cost. After a long
+/// partition the rest is ignored, so that a customer that was served by the other region does not
+/// starve here.
 const MAX_RAISE_REQUESTS: u64 = 16;
 
-/// The newest sums of other regions.
+/// The latest totals of other regions.
 #[derive(Debug, Default)]
 pub(super) struct RemoteTotals {
     regions: HashMap<RegionName, RemoteRegion>,
@@ -26,8 +28,8 @@
 }
 
 impl RemoteTotals {
-    /// Notes a region's sums and gives what is new. The first sums of a dispatcher's life only set
-    /// the start.
+    /// Records a region's totals and returns their increases. The first totals of an incarnation only
+    /// set the baseline.
     fn increase(&mut self, totals: &RegionTotals) -> Vec<CustomerTotal> {
         let region = self.regions.entry(totals.region.clone()).or_insert_with(|| RemoteRegion::new(totals));
         if region.incarnation != totals.incarnation {
@@ -52,7 +54,7 @@
 }
 
 impl ShardCore {
-    /// What this shard has delivered to each customer since it began.
+    /// The cost that this shard has delivered to each customer since it started.
     pub fn totals(&self) -> Vec<CustomerTotal> {
         let served = self.customers.iter().filter(|state| state.served > Cost(0));
         served.map(|state| CustomerTotal { customer: state.name.clone(), served: state.served }).collect()
--- a/crates/micaspool-dispatch/src/shard/tolerance.rs
+++ b/crates/micaspool-dispatch/src/shard/tolerance.rs
@@ -1,32 +1,32 @@
-//! How long the requests of one queue bear to wait.
+//! How long the requests of one queue can wait.
 
 use micaspool_types::Moment;
 use std::time::Duration;
 
-/// The span after which what a request bore begins to be forgotten; it is gone after two. Long enough to see each
-/// kind of request that comes some times a second, short enough for a queue to grow again when the impatient have
-/// left.
+/// The length of a window. A value counts for the rest of its window and the next one: long enough to
+/// see each kind of request that arrives several times a second, short enough for a queue to grow again
+/// once impatient requests have ceased.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The shortest wait that any request of the last one to two seconds bore.
+/// The shortest tolerated wait among the requests of the last one to two windows.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct WaitTolerance {
-    /// Of the span before.
+    /// The shortest one of the previous window.
     previous: Option<Duration>,
-    /// Of this span.
+    /// The shortest one of the current window.
     current: Option<Duration>,
-    /// When this span began.
+    /// The start of the current window.
     since: Moment,
 }
 
 impl WaitTolerance {
-    /// Takes in what a request bears.
+    /// Records the wait that a request tolerates.
     pub fn note(&mut self, now: Moment, wait: Duration) {
         self.rotate(now);
         self.current = Some(self.current.map_or(wait, |shortest| shortest.min(wait)));
     }
 
-    /// What the least patient bears; without a limit when none came.
+    /// The shortest tolerated wait; `Duration::MAX` without recent requests.
     pub fn shortest(&mut self, now: Moment) -> Duration {
         self.rotate(now);
         self.previous.into_iter().chain(self.current).min().unwrap_or(Duration::MAX)
