--- a/crates/micaspool-dispatch/src/candidates.rs
+++ b/crates/micaspool-dispatch/src/candidates.rs
@@ -1,36 +1,37 @@
-//! To which of its ranked dispatchers a router speaks.
+//! Chooses which of its ranked dispatchers a router connects to.
 //!
-//! A router uses the first that it can reach. While it uses a lower-ranked one it watches the higher-ranked
-//! ones, and moves once the best of those that answer has done so for the whole hold-down time.
+//! A router uses the first candidate that it can reach. While it uses a lower-ranked one, it watches
+//! the higher-ranked ones and switches once the best of those that answer has done so for the whole
+//! hold-down time.
 //!
-//! The load this is made for is a whole fleet that returns at once: all dispatchers were gone, each
-//! router serves with its last resort, and each reaches the returning dispatchers in an order of
-//! its own. Moving to the first that answers would start a shard on each of them, and all routers
-//! would move a second time. So a dispatcher that was lost has to answer for a while first, and the
-//! best of those that answer is waited for. What is known of a candidate from elsewhere is used
-//! instead of asking it: 295 routers that each ask four candidates for two services twice a second
-//! are 4,720 calls a second on new connections, more than five dispatchers with 0.3 of a core bear.
+//! The hold-down is designed for the return of all dispatchers at once. Until then each router uses its
+//! last resort, and each reaches the returning dispatchers in a different order. If routers connected
+//! to the first one that answers, each dispatcher would start a shard and all routers would have to
+//! switch again. A lost dispatcher therefore has to answer for some time before it is used, and routers
+//! wait for the best of those that answer. If the health of a candidate is known from another stream,
+//! it is not probed: 295 routers that each probe four candidates for two services twice a second make
+//! 4,720 calls per second on new connections, more than five dispatchers with 0.3 of a core can handle.
 
 use micaspool_types::{stable_hash, InstanceName, Moment};
 use std::time::Duration;
 
-/// Times of a [`CandidateChoice`].
+/// Timing of a [`CandidateChoice`].
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceOptions {
-    /// The first pause before an unreachable candidate is tried again; it doubles.
+    /// The backoff after the first failure of a candidate; it doubles with each further one.
     pub initial_backoff: Duration,
-    /// The longest pause.
+    /// The longest backoff.
     pub max_backoff: Duration,
-    /// For how long a higher-ranked candidate must answer before the router moves to it.
+    /// How long a higher-ranked candidate must answer before the router switches to it.
     pub hold_down: Duration,
-    /// The same for a router that uses its last resort, which serves worse than any other.
+    /// The same time for a router on its last resort, which serves worse than any other candidate.
     pub last_resort_hold_down: Duration,
-    /// For how long a router that has just started waits for better candidates that it has not
-    /// heard of yet.
+    /// How long a router that has just started waits for higher-ranked candidates that are still
+    /// pending.
     pub startup_wait: Duration,
-    /// For how long a followed candidate is lost before its stream is given up as well.
+    /// How long an observed candidate must be lost before the stream to it is given up.
     pub loss_timeout: Duration,
-    /// How often higher-ranked candidates are asked.
+    /// The interval between probes of higher-ranked candidates.
     pub probe_interval: Duration,
 }
 
@@ -48,12 +49,12 @@
     }
 }
 
-/// Over how long the moves of all routers are spread, so that a dispatcher does not take in a whole
-/// fleet within one of its time slices.
+/// The period over which routers spread their switches, so that a dispatcher does not accept a whole
+/// fleet within one scheduler time slice.
 const SWITCH_SPREAD: Duration = Duration::from_millis(500);
 
 impl ChoiceOptions {
-    /// The defaults with hold-down times that differ from router to router.
+    /// The default options with hold-down times that vary by router.
     pub fn spread_for(router: &InstanceName) -> ChoiceOptions {
         const PARTS: u64 = 64;
         let part = stable_hash(router.as_str().bytes()) % PARTS;
@@ -67,40 +68,41 @@
     }
 }
 
-/// What another stream to the same process tells of a candidate.
+/// The health of a candidate, observed on another stream to the same process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CandidateHealth {
-    /// No try has come to an end yet.
+    /// No attempt to reach it has completed yet.
     Pending,
-    /// The process speaks to this router.
+    /// The process sends messages to this router.
     Answering,
-    /// It should have spoken and has not; it is used on, and no router moves to it. When all dispatchers lose
-    /// power, a router finds out that its own is gone before the others count as lost; tried one after the
-    /// other until they were back, they took in 182, 66, 30 and 14 of 295 routers.
+    /// A message from it is overdue. A router that uses it stays, and no router switches to it. When
+    /// all dispatchers lose power, a router notices the loss of its own before the others count as
+    /// lost. When routers then tried the others one after the other until they were back, these took in
+    /// 182, 66, 30 and 14 of 295 routers.
     Unresponsive,
-    /// The process is not reached, or no more.
+    /// The process can't be reached, or no longer.
     Lost,
 }
 
-/// How a router knows whether a candidate answers.
+/// How a router learns whether a candidate answers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CandidateKind {
-    /// It asks.
+    /// The router probes it.
     Probed,
-    /// Another stream to the same process tells.
+    /// The router observes another stream to the same process.
     Observed(CandidateHealth),
-    /// It is inside the router's own process and always answers; it comes last.
+    /// It runs inside the router's own process and always answers; it is ranked last.
     LastResort,
 }
 
-/// What a router should do about its dispatcher.
+/// The next step of a router in the choice of its dispatcher.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ChoiceStep {
     /// Open a stream to the candidate of this rank.
     Connect(usize),
-    /// See whether the candidate of this rank answers, and keep the present stream.
+    /// Probe the candidate of this rank and keep the current stream.
     Probe(usize),
-    /// Nothing before this moment.
+    /// Do nothing before this moment.
     Wait(Moment),
 }
 
@@ -111,7 +113,7 @@
     retry_at: Moment,
     answering_since: Option<Moment>,
     lost_since: Option<Moment>,
-    /// True once it was lost: what returns has to answer for a while before it is used.
+    /// True once it was lost; it then has to answer for some time before it is used.
     was_lost: bool,
     probe_at: Moment,
 }
@@ -131,7 +133,7 @@
         state
     }
 
-    /// Takes in what is known from elsewhere.
+    /// Updates the kind and what follows from an observed health.
     fn update_kind(&mut self, now: Moment, kind: CandidateKind) {
         self.kind = kind;
         match kind {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// True when it answers as far as is known at this moment.
+    /// True if it answers according to the latest information.
     fn is_answering(&self) -> bool {
         self.answering_since.is_some() && self.kind != CandidateKind::Observed(CandidateHealth::Unresponsive)
     }
@@ -157,7 +159,7 @@
         self.is_answering() && self.answering_since.is_some_and(|since| now.since(since) >= time)
     }
 
-    /// When a router without a stream may use it; `None` while that can't be said.
+    /// When a router without a stream may use it; `None` if that is not known yet.
     fn usable_at(&self, options: &ChoiceOptions) -> Option<Moment> {
         match self.kind {
             CandidateKind::Observed(CandidateHealth::Answering) if self.was_lost => {
@@ -172,7 +174,7 @@
     }
 }
 
-/// Chooses among ranked candidates; the caller reports what came of each step.
+/// Chooses among ranked candidates; the caller reports the result of each step.
 #[derive(Clone, Debug)]
 pub struct CandidateChoice {
     options: ChoiceOptions,
@@ -182,19 +184,20 @@
 }
 
 impl CandidateChoice {
-    /// A choice among this many candidates, all of which have to be asked.
+    /// Creates a choice among `count` candidates, all of which are probed.
     pub fn new(count: usize, options: ChoiceOptions) -> CandidateChoice {
         CandidateChoice::of(Moment(0), vec![CandidateKind::Probed; count], options)
     }
 
-    /// A choice among candidates of these kinds, in the order of their rank.
+    /// Creates a choice among candidates of these kinds, in order of rank.
     pub fn of(now: Moment, kinds: Vec<CandidateKind>, options: ChoiceOptions) -> CandidateChoice {
         let candidates = kinds.into_iter().map(|kind| CandidateState::new(now, kind)).collect();
         CandidateChoice { options, started_at: now, candidates, current: None }
     }
 
-    /// Takes a changed list over: each candidate's rank before, and what is known of it now. What was
-    /// seen of a candidate stays with it; the present one is dropped when it is no longer listed.
+    /// Replaces the list of candidates. Each entry has the candidate's previous rank, if any, and its
+    /// kind. The state of known candidates is kept; the current one is dropped if it is no longer
+    /// listed.
     pub fn update(&mut self, now: Moment, changes: &[(Option<usize>, CandidateKind)]) {
         let state = |(before, kind): &(Option<usize>, CandidateKind)| match before {
             Some(rank) => {
@@ -210,18 +213,18 @@
         self.candidates = candidates;
     }
 
-    /// The rank of the candidate that is used now.
+    /// The rank of the candidate in use.
     pub fn current(&self) -> Option<usize> {
         self.current
     }
 
-    /// True when the process of the present candidate has been lost for long enough to leave it.
+    /// True if the process of the current candidate has been lost for long enough to leave it.
     pub fn has_lost_current(&self, now: Moment) -> bool {
         let lost = self.current.and_then(|rank| self.candidates[rank].lost_since);
         lost.is_some_and(|since| now.since(since) >= self.options.loss_timeout)
     }
 
-    /// What to do next.
+    /// The next step.
     pub fn next(&self, now: Moment) -> ChoiceStep {
         match self.current {
             None => self.next_connect(now),
@@ -229,14 +232,14 @@
         }
     }
 
-    /// The stream to this candidate is open.
+    /// Records that the stream to this candidate is open.
     pub fn connected(&mut self, rank: usize) {
         self.candidates[rank].failures = 0;
         self.candidates[rank].answering_since = None;
         self.current = Some(rank);
     }
 
-    /// The candidate could not be reached, or its stream ended.
+    /// Records that the candidate could not be reached, or that its stream ended.
     pub fn failed(&mut self, now: Moment, rank: usize) {
         let state = &mut self.candidates[rank];
         let backoff = self.options.initial_backoff * (1 << state.failures.min(8));
@@ -248,14 +251,14 @@
         }
     }
 
-    /// The candidate asked to be connected to again; it has not failed.
+    /// Records that the candidate asked the router to reconnect, which is not a failure.
     pub fn left(&mut self, rank: usize) {
         if self.current == Some(rank) {
             self.current = None;
         }
     }
 
-    /// A probe of this candidate has ended.
+    /// Records the result of a probe.
     pub fn probed(&mut self, now: Moment, rank: usize, answered: bool) {
         let state = &mut self.candidates[rank];
         state.probe_at = now + self.options.probe_interval;
@@ -296,8 +299,9 @@
         ChoiceStep::Wait(next.unwrap_or(now + self.options.probe_interval))
     }
 
-    /// The better candidate to move to now. The best of those that answer is waited for, unless it
-    /// keeps coming and going while another one has answered for twice the time.
+    /// The higher-ranked candidate to switch to now. This is the best one that answers; another one is
+    /// chosen only if it has answered for twice the hold-down time while the best one has not answered
+    /// without interruption.
     fn better_candidate(&self, now: Moment, rank: usize) -> Option<usize> {
         let hold_down = match self.candidates[rank].kind {
             CandidateKind::LastResort => self.options.last_resort_hold_down,
--- a/crates/micaspool-dispatch/src/ranking.rs
+++ b/crates/micaspool-dispatch/src/ranking.rs
@@ -1,11 +1,11 @@
-//! In which order routers prefer the dispatchers for a service.
+//! The order in which routers prefer the dispatchers of a service.
 //!
 //! Candidates are ranked by rendezvous hashing over the instances that run a dispatcher, so that
-//! routers that reach the same ones choose the same one without talking to each other.
+//! routers which reach the same instances choose the same one without coordination.
 
 use micaspool_types::{rendezvous_score, InstanceName, ServiceName};
 
-/// The dispatchers for a service, the first choice first.
+/// The dispatchers for a service in order of preference.
 pub fn rank_candidates(service: &ServiceName, dispatchers: &[InstanceName]) -> Vec<InstanceName> {
     let mut ranked: Vec<(u64, InstanceName)> = dispatchers
         .iter()
@@ -16,10 +16,11 @@
     ranked.into_iter().map(|(_, name)| name).collect()
 }
 
-/// The dispatchers for one of several services, the first choice first. Services have different first
-/// choices while there are enough dispatchers: with two services and five dispatchers both would be at the same one
-/// on every fifth deployment, and the heartbeats and requests of the smaller one take a fifth of a dispatcher's
-/// processor share from the larger (0.06 of 0.3 of a core with 295 routers and 600 requests a second).
+/// The dispatchers for one of several services in order of preference. Services get different first
+/// choices as long as there are enough dispatchers. Otherwise two services would share one of five
+/// dispatchers in every fifth deployment, and the heartbeats and requests of the smaller service would
+/// take a fifth of that dispatcher's processor share (0.06 of 0.3 of a core with 295 routers and 600
+/// requests per second).
 pub fn rank_distinct(
     service: &ServiceName,
     services: &[ServiceName],
@@ -40,7 +41,7 @@
     ranked
 }
 
-/// The best candidate that no other service has.
+/// The most preferred candidate that no other service has claimed.
 fn first_free(ranked: &[InstanceName], claimed: &[InstanceName]) -> Option<InstanceName> {
     ranked.iter().find(|name| !claimed.contains(name)).cloned()
 }
