--- a/crates/micaspool-dispatch/src/throttle.rs
+++ b/crates/micaspool-dispatch/src/throttle.rs
@@ -1,44 +1,45 @@
-//! Which requests a router does not take to its dispatcher at all.
+//! Client-side throttling of requests from a router to its dispatcher.
 //!
-//! The load this is made for is a customer that asks for many times its share, through all routers at
-//! once. The shard turns nearly all of it away on arrival, and each such request still costs it a message in
-//! and one out: at 1,100 requests a second that were served and 3,500 that were not, the dispatcher's 0.3 of
-//! a core were used up, and with them the time of everyone else's requests.
+//! A customer may request many times its share through all routers at once. The shard refuses nearly
+//! all of these requests on arrival, but each one still costs it an incoming and an outgoing message.
+//! With 1,100 requests per second that were served and 3,500 that were not, the dispatcher used up its
+//! 0.3 of a core, which delayed the requests of all customers.
 //!
-//! A router therefore turns a part of such a customer's requests away itself. The part follows from what the
-//! dispatcher lately took of what was asked: it is sent about twice what it takes, so its queue stays full
-//! and it goes on to choose what is served. This is client-side throttling as in chapter 21 of *Site
-//! Reliability Engineering* (Beyer et al., 2016).
+//! A router therefore refuses a part of such a customer's requests itself. The part follows from the
+//! recent ratio of accepted to submitted requests: the dispatcher is sent about twice as many as it
+//! accepts, so its queue stays full and it still chooses which requests are served. This is client-side
+//! throttling as in chapter 21 of *Site Reliability Engineering* (Beyer et al., 2016).
 //!
-//! The limits keep it from refusing what could be served. It acts on a customer that was refused a moment
-//! ago only, so it ends half a second after the last refusal. A customer with a few requests a second at a
-//! router is never throttled there.
+//! The limits prevent the refusal of requests that could be served. Only customers with a very recent
+//! refusal are throttled, so throttling ends half a second after the last one. A customer with a few
+//! requests per second at a router is never throttled there.
 
 use micaspool_types::{CustomerName, Moment};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// For how long what was asked and taken counts, as the time in which it fades to a third: long enough to see
-/// some requests of a customer that spreads thousands a second over hundreds of routers.
+/// Time constant after which counts have decayed to about a third. It is long enough to see several
+/// requests of a customer that spreads thousands per second over hundreds of routers.
 const TIME_CONSTANT: Duration = Duration::from_secs(2);
-/// How many times what the dispatcher takes it is sent. Below two its queue might run empty between two
-/// requests; far above, little is kept from it.
+/// How many times the accepted requests are sent to the dispatcher. Below two its queue might run empty
+/// between two requests; a much larger value would throttle little.
 const OVERCOMMIT: f64 = 2.0;
-/// How many requests within the memory are never throttled.
+/// How many requests within the time constant are never throttled.
 const FREE_REQUESTS: f64 = 2.0;
-/// How long after a refusal a customer may be throttled. Its next request is taken to the dispatcher then.
+/// How long a customer may be throttled after a refusal by the dispatcher. After that its next request
+/// is sent to the dispatcher.
 const REFUSAL_LIFETIME: Duration = Duration::from_millis(500);
-/// How many customers are remembered; those that were quiet for longest are forgotten beyond that.
+/// The maximum number of customers tracked; beyond it the least recently active one is evicted.
 const MAX_CUSTOMERS: usize = 1_024;
 
-/// What was asked for a customer here and what the dispatcher took of it, fading.
+/// Decaying counts of a customer's requests here and of those that the dispatcher accepted.
 #[derive(Clone, Copy, Debug)]
 struct RequestRecord {
     requests: f64,
     accepts: f64,
     at: Moment,
     refused_at: Option<Moment>,
-    /// When a refused request may come back, as the dispatcher said last.
+    /// When a refused request may be retried, according to the dispatcher's latest refusal.
     retry_after: Duration,
 }
 
@@ -54,7 +55,7 @@
         self.at = now;
     }
 
-    /// The part of the customer's requests that is turned away here.
+    /// The probability that a request of the customer is refused here.
     fn refusal_probability(&self, now: Moment) -> f64 {
         if self.refused_at.is_none_or(|at| now.since(at) >= REFUSAL_LIFETIME) {
             return 0.0;
@@ -64,15 +65,15 @@
     }
 }
 
-/// Keeps from a dispatcher what it would refuse.
+/// Refuses requests that the dispatcher would probably refuse.
 #[derive(Clone, Debug, Default)]
 pub struct RequestThrottle {
     customers: HashMap<CustomerName, RequestRecord>,
 }
 
 impl RequestThrottle {
-    /// Notes a request and says whether it is taken to the dispatcher; else when it may come back. `draw` is
-    /// uniform from 0 to 1.
+    /// Counts a request and decides whether it is sent to the dispatcher; the error is the time after
+    /// which to retry. `draw` is uniform between 0 and 1.
     pub fn admit(&mut self, now: Moment, customer: &CustomerName, draw: f64) -> Result<(), Duration> {
         self.evict_oldest(customer);
         let record = self.customers.entry(customer.clone()).or_insert_with(|| RequestRecord::new(now));
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The dispatcher granted a request.
+    /// Records a request that the dispatcher granted.
     pub fn note_granted(&mut self, now: Moment, customer: &CustomerName) {
         if let Some(record) = self.customers.get_mut(customer) {
             record.decay(now);
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The dispatcher refused a request.
+    /// Records a refusal by the dispatcher.
     pub fn note_refused(&mut self, now: Moment, customer: &CustomerName, retry_after: Duration) {
         if let Some(record) = self.customers.get_mut(customer) {
             record.refused_at = Some(now);
