--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -1,4 +1,4 @@
-//! Grants: giving free slots to waiting tickets, charging, and ending grants.
+//! Grants: assigns free slots to waiting tickets, charges their cost and ends grants.
 
 use super::choice::EngineQuery;
 use super::endpoints::EndpointIndex;
@@ -8,20 +8,21 @@
 use super::tickets::{EngineChoice, WaitingTicket};
 use super::ShardCore;
 use crate::action::ShardAction;
-use crate::event::{CacheNews, GrantFate, SessionId};
+use crate::event::{CacheUpdate, GrantOutcome, SessionId};
 use micaspool_fair::{CustomerIndex, Rank};
 use micaspool_types::{Cost, Moment, OrderNumber, RequestDigest, RequestId};
 use std::time::Duration;
 
-/// How many tickets of a customer are looked at for one that a free endpoint suits. The first may wait
-/// for an engine that keeps its prompt's parts.
+/// How many tickets of a customer are considered when looking for one that can run on a free endpoint.
+/// The first ones may be waiting for a busy engine that caches parts of their prompts.
 const LOOK_AHEAD: usize = 16;
 
-/// How often all tickets are looked at, even when no endpoint has become free, those that wait for an engine of
-/// their choice among them. No more often than that either: engines tell of their caches hundreds of times a second.
-const FILL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between passes over all tickets, including those that wait for a busy engine. A pass runs
+/// even if no endpoint has become free. Cache updates trigger no additional pass within the interval,
+/// because engines send hundreds of them per second.
+const PASS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request that runs, or is about to.
+/// A request that is running or has just been granted.
 #[derive(Debug, Clone)]
 pub(super) struct RunningGrant {
     pub customer: CustomerIndex,
@@ -34,45 +35,46 @@
     pub order: OrderNumber,
     pub priority: u8,
     pub prompt: PromptShape,
-    /// True until its first event has come.
-    pub unread: bool,
-    /// When it was granted here; `None` for one that another dispatcher granted.
+    /// True until the first event of its response arrives.
+    pub awaits_first_event: bool,
+    /// When this shard granted it; `None` if another dispatcher did.
     pub since: Option<Moment>,
 }
 
 impl ShardCore {
-    /// Gives every free slot to the lowest-ranked customer that may use it.
-    pub(super) fn fill(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
+    /// Assigns every free slot to the lowest-ranked customer that may use it.
+    pub(super) fn grant_free_slots(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         if self.recovering_until.is_some() {
             return;
         }
-        self.endpoints.take_opened();
-        if now >= self.fill_due {
-            self.fill_due = now + FILL_INTERVAL;
-            self.next_round = self.fill_due;
-            self.choice_round += 1;
+        self.endpoints.take_became_free();
+        if now >= self.next_pass_due {
+            self.next_pass_due = now + PASS_INTERVAL;
+            self.earliest_pass = self.next_pass_due;
+            self.pass_number += 1;
         }
-        while let Some((request, endpoint)) = self.next_pair(now) {
+        while let Some((request, endpoint)) = self.next_grant(now) {
             self.grant(now, request, endpoint, actions);
         }
     }
 
-    /// Fills when an endpoint has become free, when tickets have moved up in a queue, or when it was not done for a
-    /// while. Other steps leave no pair behind: a new ticket is looked at when it is taken.
-    pub(super) fn fill_if_due(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
-        let moved_up = std::mem::take(&mut self.moved_up);
-        if self.endpoints.take_opened() || moved_up || now >= self.fill_due {
-            self.fill(now, actions);
+    /// Assigns free slots if an endpoint has become free, a ticket has left a queue without a grant, or
+    /// a pass is due. No other step leaves a free slot next to an eligible ticket, because a new ticket
+    /// is tried as soon as it is accepted.
+    pub(super) fn grant_if_due(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
+        let queue_advanced = std::mem::take(&mut self.queue_advanced);
+        if self.endpoints.take_became_free() || queue_advanced || now >= self.next_pass_due {
+            self.grant_free_slots(now, actions);
         }
     }
 
-    /// Grants a ticket that has just begun to wait, if a free endpoint suits it.
+    /// Grants a newly queued ticket if a suitable endpoint is free.
     pub(super) fn grant_new(&mut self, now: Moment, request: RequestId, actions: &mut Vec<ShardAction>) {
         if self.recovering_until.is_some() {
             return;
         }
         let Some(ticket) = self.waiting.get(&request) else { return };
-        if !self.looked_at(now, ticket.customer).any(|id| *id == request) {
+        if !self.candidate_tickets(now, ticket.customer).any(|id| *id == request) {
             return;
         }
         if let Some(endpoint) = self.choose_endpoint(now, ticket) {
@@ -80,8 +82,8 @@
         }
     }
 
-    /// The next ticket to run and where; `None` when no free slot has an eligible ticket.
-    pub(super) fn next_pair(&self, now: Moment) -> Option<(RequestId, EndpointIndex)> {
+    /// The next ticket to run and its endpoint; `None` if no free slot has an eligible ticket.
+    pub(super) fn next_grant(&self, now: Moment) -> Option<(RequestId, EndpointIndex)> {
         let free = self.endpoints.free_halls();
         if free.is_empty() {
             return None;
@@ -89,22 +91,23 @@
         self.index.find(free, |customer| self.choose_ticket(now, customer))
     }
 
-    /// The tickets of a customer that are looked at for one that a free endpoint suits. Those of routers whose
-    /// stream is lost are passed over, and don't count: they stay for the lease, and would stand before everyone
-    /// else's. It is the same for those of routers from which no endpoint wants anything for now.
-    fn looked_at(&self, now: Moment, customer: CustomerIndex) -> impl Iterator<Item = &RequestId> {
+    /// The first tickets of a customer that are considered for a free endpoint. Tickets of disconnected
+    /// routers are skipped without being counted: they stay queued until the lease ends and would block
+    /// the customer's other tickets. The same holds for routers that all usable endpoints have asked to
+    /// back off.
+    fn candidate_tickets(&self, now: Moment, customer: CustomerIndex) -> impl Iterator<Item = &RequestId> {
         let queue = self.customers.get(customer).queue.values();
         let usable = queue.filter(move |request| {
             let ticket = &self.waiting[*request];
-            self.routers.session(ticket.router).is_some() && !self.is_unwanted(now, ticket)
+            self.routers.session(ticket.router).is_some() && !self.is_resting(now, ticket)
         });
         usable.take(LOOK_AHEAD)
     }
 
     fn choose_ticket(&self, now: Moment, customer: CustomerIndex) -> Option<(RequestId, EndpointIndex)> {
-        self.looked_at(now, customer).find_map(|request| {
+        self.candidate_tickets(now, customer).find_map(|request| {
             let ticket = &self.waiting[request];
-            if self.still_waits(ticket) {
+            if self.awaits_busy_engine(ticket) {
                 return None;
             }
             let endpoint = self.choose_endpoint(now, ticket)?;
@@ -112,25 +115,25 @@
         })
     }
 
-    /// True while the engine that a ticket chose in this round is not free yet. Looking again at every opening
-    /// of an engine would cost more than it finds.
-    fn still_waits(&self, ticket: &WaitingTicket) -> bool {
+    /// True while the engine that the ticket chose in the current pass is still busy. Choosing again
+    /// each time any engine becomes free would cost more than it gains.
+    fn awaits_busy_engine(&self, ticket: &WaitingTicket) -> bool {
         let Some(choice) = ticket.waits_for.get() else { return false };
         let halls = self.customers.get(ticket.customer).halls;
-        choice.round == self.choice_round && !self.endpoints.is_free(choice.engine, halls)
+        choice.pass == self.pass_number && !self.endpoints.is_free(choice.engine, halls)
     }
 
-    /// The engine that would begin first, once it is free; for others the free endpoint with the longest known
-    /// prefix of the prompt, else the least loaded.
+    /// The engine with the earliest expected first event, provided it is free. Without engines, the
+    /// free endpoint that holds the longest known prefix of the prompt, otherwise the least loaded one.
     fn choose_endpoint(&self, now: Moment, ticket: &WaitingTicket) -> Option<EndpointIndex> {
-        let apart = self.kept_apart(now, ticket)?;
+        let excluded = self.isolation_exclusions(now, ticket)?;
         let halls = self.customers.get(ticket.customer).halls;
         let is_excluded = |endpoint| {
             ticket.avoided(now) == Some(endpoint)
-                || apart.contains(&endpoint)
-                || self.may_not_use(now, ticket.router, endpoint)
+                || excluded.contains(&endpoint)
+                || self.is_blocked_for(now, ticket.router, endpoint)
         };
-        let before = |engine| self.waits.before(engine, ticket.place.request);
+        let before = |engine| self.engine_queues.ahead_of(engine, ticket.place.request);
         let query = EngineQuery {
             prompt: &ticket.prompt,
             halls,
@@ -149,24 +152,24 @@
         cached.or_else(|| self.endpoints.least_loaded(halls, is_excluded))
     }
 
-    /// Notes for which engine a ticket waits, if for any. Later tickets count it: else all prompts that begin
-    /// alike crowd at the few engines that keep that beginning.
+    /// Records which engine the ticket waits for, if any. Later tickets take it into account; otherwise
+    /// all prompts with a common prefix would queue for the few engines that cache it.
     fn note_choice(&self, ticket: &WaitingTicket, engine: Option<EndpointIndex>) {
         let request = ticket.place.request;
-        let choice = engine.map(|engine| EngineChoice { engine, round: self.choice_round });
+        let choice = engine.map(|engine| EngineChoice { engine, pass: self.pass_number });
         let before = ticket.waits_for.replace(choice);
         if let Some(left) = before.filter(|before| Some(before.engine) != engine) {
-            self.waits.leave(left.engine, request);
+            self.engine_queues.leave(left.engine, request);
         }
         if let Some(engine) = engine {
-            self.waits.join(engine, request, self.endpoints.missing(engine, &ticket.prompt));
+            self.engine_queues.join(engine, request, self.endpoints.uncached_tokens(engine, &ticket.prompt));
         }
     }
 
-    /// A ticket waits for no engine any more.
+    /// Removes the ticket from the queue of the engine it waits for.
     pub(super) fn forget_choice(&self, ticket: &WaitingTicket) {
         if let Some(choice) = ticket.waits_for.get() {
-            self.waits.leave(choice.engine, ticket.place.request);
+            self.engine_queues.leave(choice.engine, ticket.place.request);
         }
     }
 
@@ -185,7 +188,7 @@
         let state = self.customers.get_mut(ticket.customer);
         state.take_from_queue(&ticket);
         state.grant_rate.add(now, ticket.prompt.load());
-        state.flow.note_grant(ticket.prompt.load());
+        state.counters.note_grant(ticket.prompt.load());
         let served_rank = state.indexed.map(|(_, rank)| rank).unwrap_or_default();
         let estimate = state.estimator.predict(ticket.hint);
         state.account.charge_grant(estimate);
@@ -197,7 +200,7 @@
         self.endpoints.admit(now, endpoint, request, &ticket.prompt);
         self.endpoints.occupy(endpoint);
         self.prefixes.remember(&ticket.prompt.prefixes, endpoint);
-        self.pace.count();
+        self.throughput.count();
         if let Some(session) = self.routers.session(ticket.router) {
             actions.push(ShardAction::Grant {
                 session,
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Charges what a running request has delivered so far.
+    /// Charges the cost that a running request has delivered so far.
     pub(super) fn progress(
         &mut self,
         now: Moment,
@@ -240,81 +243,90 @@
         let (customer, estimate, before) = (grant.customer, grant.estimate, grant.delivered);
         grant.delivered = delivered;
         let (endpoint, since) = (grant.endpoint, grant.since);
-        let begins = std::mem::take(&mut grant.unread);
-        if begins {
+        let is_first_event = std::mem::take(&mut grant.awaits_first_event);
+        if is_first_event {
             self.endpoints.begin(now, endpoint, request);
             since.into_iter().for_each(|since| self.endpoints.note_answer(endpoint, now.since(since)));
         }
         self.delivered.add(now, delivered.minus(before).0);
         self.customers.get_mut(customer).note_delivered(estimate, before, delivered);
         self.reindex(customer);
-        self.hear_endpoint(now, endpoint, actions);
+        self.note_endpoint_response(now, endpoint, actions);
     }
 
-    /// Ends a grant as its router says.
+    /// Ends a grant with the outcome that its router reports.
     pub(super) fn settle(
         &mut self,
         now: Moment,
         session: SessionId,
         request: RequestId,
         cost: Cost,
-        fate: GrantFate,
+        fate: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
         let owner = self.routers.by_session(session);
         let own = self.running.get(&request).filter(|grant| Some(grant.router) == owner);
         let Some(ended) = own.map(EndedRun::of) else { return };
         self.end_grant(now, request, Some(cost), fate);
-        self.judge(now, &ended, fate, actions);
+        self.record_outcome(now, &ended, fate, actions);
     }
 
-    /// Ends a grant, if the request has one; without a cost, what was delivered counts.
-    pub(super) fn end_grant(&mut self, now: Moment, request: RequestId, cost: Option<Cost>, fate: GrantFate) {
+    /// Ends the request's grant, if it has one. Without a final `cost`, the cost delivered so far is
+    /// charged.
+    pub(super) fn end_grant(
+        &mut self,
+        now: Moment,
+        request: RequestId,
+        cost: Option<Cost>,
+        fate: GrantOutcome,
+    ) {
         let Some(grant) = self.running.remove(&request) else { return };
         self.copies.end_running(grant.digest, grant.endpoint);
         self.routers.release(grant.router, request);
-        if grant.unread {
+        if grant.awaits_first_event {
             self.endpoints.withdraw(now, grant.endpoint, request);
         }
         self.endpoints.vacate(now, grant.endpoint, fate);
-        if let Some(since) = grant.since.filter(|_| matches!(fate, GrantFate::Done | GrantFate::Abandoned)) {
+        if let Some(since) =
+            grant.since.filter(|_| matches!(fate, GrantOutcome::Done | GrantOutcome::Abandoned))
+        {
             let took = now.since(since);
             self.endpoints.note_service(grant.endpoint, took);
-            if grant.unread {
+            if grant.awaits_first_event {
                 self.endpoints.note_answer(grant.endpoint, took);
             }
         }
-        if fate == GrantFate::NotHeld {
-            self.routers.note_lacking(now, grant.router, grant.endpoint);
+        if fate == GrantOutcome::NotHeld {
+            self.routers.note_not_held(now, grant.router, grant.endpoint);
         }
         let state = self.customers.get_mut(grant.customer);
         state.running -= 1;
         match fate {
-            GrantFate::Done | GrantFate::Abandoned | GrantFate::Broken | GrantFate::Severed => {
+            GrantOutcome::Done | GrantOutcome::Abandoned | GrantOutcome::Broken | GrantOutcome::Severed => {
                 let cost = cost.unwrap_or(grant.delivered);
                 state.account.charge_end(grant.estimate, grant.delivered, cost);
                 state.served = state.served.plus(cost.minus(grant.delivered));
                 self.delivered.add(now, cost.minus(grant.delivered).0);
-                if matches!(fate, GrantFate::Done | GrantFate::Abandoned) && cost > Cost(0) {
+                if matches!(fate, GrantOutcome::Done | GrantOutcome::Abandoned) && cost > Cost(0) {
                     state.estimator.learn(grant.hint, cost);
                 }
             }
-            GrantFate::Refused
-            | GrantFate::Unreachable
-            | GrantFate::Draining
-            | GrantFate::Unsent
-            | GrantFate::NotHeld => {
+            GrantOutcome::Refused
+            | GrantOutcome::Unreachable
+            | GrantOutcome::Draining
+            | GrantOutcome::Unsent
+            | GrantOutcome::NotHeld => {
                 state.account.revoke_grant(grant.estimate, grant.delivered);
             }
         }
         self.reindex(grant.customer);
     }
 
-    pub(super) fn learn_cache(&mut self, news: &CacheNews) {
-        let Some(endpoint) = self.endpoints.by_name(&news.endpoint) else { return };
-        self.prefixes.remember(&news.stored, endpoint);
-        self.prefixes.drop_from(&news.dropped, endpoint);
-        self.endpoints.learn_kept(endpoint, news);
+    pub(super) fn learn_cache(&mut self, update: &CacheUpdate) {
+        let Some(endpoint) = self.endpoints.by_name(&update.endpoint) else { return };
+        self.prefixes.remember(&update.stored, endpoint);
+        self.prefixes.drop_from(&update.dropped, endpoint);
+        self.endpoints.learn_kept(endpoint, update);
     }
 }
 
@@ -331,7 +343,7 @@
             order: ticket.place.order,
             priority: ticket.place.priority,
             prompt: ticket.prompt,
-            unread: true,
+            awaits_first_event: true,
             since: Some(now),
         }
     }
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -1,34 +1,36 @@
 //! The state machine of one shard.
 //!
-//! A step has three parts: take the event in, wake what was waiting for time to pass, and give
-//! every free slot to the lowest-ranked customer that may use it. After each step no slot is free
-//! that a waiting ticket may use.
+//! A step applies an event, handles what has become due, and assigns every free slot to the
+//! lowest-ranked customer that may use it. After each step no slot is free that a waiting ticket may
+//! use.
 
 mod advice;
+mod availability;
+mod caller_attempts;
 mod choice;
 mod cold;
-mod come_back;
 mod copies;
+mod counters;
 mod customers;
-mod doors;
 mod endpoints;
 mod engine;
+mod engine_queues;
 mod evacuation;
 mod evidence;
-mod flow;
+mod grant_throughput;
 mod grants;
 mod holders;
 mod joining;
-mod lag;
+mod level_floor;
 mod overdue;
-mod pace;
 mod parts;
 mod pauses;
+mod prefill;
 mod prefixes;
 mod rate;
-mod reading;
 mod reports;
 mod retries;
+mod retry_after;
 mod routers;
 mod service_time;
 mod sharing;
@@ -36,76 +38,76 @@
 mod suspects;
 mod tickets;
 mod tolerance;
-mod tries;
-mod waits;
 
-pub use flow::CustomerFlow;
-pub use status::{CustomerStatus, EndpointClosure, EndpointStatus, PaceStatus, ShardStatus, SuspectStatus};
+pub use counters::CustomerCounters;
+pub use status::{
+    CustomerStatus, EndpointClosure, EndpointStatus, PrefillStatus, ShardStatus, SuspectStatus,
+};
 
 use crate::action::ShardAction;
-use crate::event::{GrantFate, SessionId, ShardEvent, ShardPolicy};
+use crate::event::{GrantOutcome, SessionId, ShardEvent, ShardPolicy};
 use crate::options::ShardOptions;
+use caller_attempts::FirstAttempts;
 use copies::CopyCounts;
 use customers::CustomerTable;
 use endpoints::EndpointTable;
+use engine_queues::EngineQueues;
+use grant_throughput::GrantThroughput;
 use grants::RunningGrant;
 use micaspool_fair::{Rank, RankIndex};
 use micaspool_types::{Cost, HallMask, HallName, Moment, OrderNumber, RequestId, Revision};
-use pace::GrantPace;
-use prefixes::PrefixMemory;
-use rate::FadingRate;
+use prefixes::PrefixIndex;
+use rate::DecayingRate;
 use retries::RetryBudgets;
 use routers::RouterTable;
 use sharing::RemoteTotals;
 use std::collections::{BTreeSet, HashMap};
-use suspects::SuspectWatch;
+use suspects::SuspectTracker;
 use tickets::WaitingTicket;
-use tries::FirstTries;
-use waits::EngineWaits;
 
-/// One shard: every waiting ticket and every slot of one service in one region.
+/// One shard: all waiting tickets and all slots of one service in one region.
 #[derive(Debug)]
 pub struct ShardCore {
     options: ShardOptions,
     revision: Revision,
     idle_credit: Cost,
     halls: Vec<HallName>,
-    /// For each hall the highest rank that was served there; idle customers start from it.
+    /// The highest rank served in each hall; customers that were idle start relative to it.
     floors: Vec<Rank>,
     customers: CustomerTable,
     endpoints: EndpointTable,
     routers: RouterTable,
     waiting: HashMap<RequestId, WaitingTicket>,
-    /// Which of them wait for an engine that is not free.
-    waits: EngineWaits,
-    /// The waiting tickets that may not wait for ever, by the moment at which they are refused.
+    /// The waiting tickets that chose a busy engine, by engine.
+    engine_queues: EngineQueues,
+    /// The waiting tickets with a limited wait, by the moment at which they are refused.
     overdue: BTreeSet<(Moment, RequestId)>,
     running: HashMap<RequestId, RunningGrant>,
     index: RankIndex,
-    prefixes: PrefixMemory,
+    prefixes: PrefixIndex,
     retries: RetryBudgets,
-    first_tries: FirstTries,
+    first_attempts: FirstAttempts,
     remote: RemoteTotals,
-    suspects: SuspectWatch,
+    suspects: SuspectTracker,
     copies: CopyCounts,
-    pace: GrantPace,
-    /// The cost that is delivered to all customers.
-    delivered: FadingRate,
+    throughput: GrantThroughput,
+    /// The rate of cost delivered to all customers.
+    delivered: DecayingRate,
     next_order: OrderNumber,
-    /// When all tickets are looked at again in any case.
-    fill_due: Moment,
-    /// True when a ticket has left a queue without a grant, so that one behind it may be looked at.
-    moved_up: bool,
-    /// Before this moment they are not, whatever may have changed for them.
-    next_round: Moment,
-    /// Counts the times that all tickets were looked at, whatever they had chosen before.
-    choice_round: u64,
-    /// Until when a new shard collects what routers hold; `None` once it grants.
+    /// When the next pass over all tickets is due.
+    next_pass_due: Moment,
+    /// True if a ticket has left a queue without a grant, which may make a later one a candidate.
+    queue_advanced: bool,
+    /// An event that makes tickets eligible triggers a pass no earlier than this.
+    earliest_pass: Moment,
+    /// The number of passes over all tickets so far.
+    pass_number: u64,
+    /// Until when a new shard collects the state held by routers; `None` once it grants.
     recovering_until: Option<Moment>,
 }
 
 impl ShardCore {
-    /// A shard that knows nothing yet and grants nothing before its recovery window has passed.
+    /// Creates an empty shard, which grants nothing until its recovery window ends.
     pub fn new(now: Moment, options: ShardOptions) -> ShardCore {
         ShardCore {
             revision: Revision(0),
@@ -113,62 +115,62 @@
             halls: Vec::new(),
             floors: Vec::new(),
             customers: CustomerTable::new(options.cost_ceiling),
-            endpoints: EndpointTable::new(options.tolerated_breaks, options.first_share),
+            endpoints: EndpointTable::new(options.tolerated_breaks, options.initial_share),
             routers: RouterTable::default(),
             waiting: HashMap::new(),
-            waits: EngineWaits::default(),
+            engine_queues: EngineQueues::default(),
             overdue: BTreeSet::new(),
             running: HashMap::new(),
             index: RankIndex::default(),
-            prefixes: PrefixMemory::new(options.prefix_capacity),
+            prefixes: PrefixIndex::new(options.prefix_capacity),
             retries: RetryBudgets::default(),
-            first_tries: FirstTries::default(),
+            first_attempts: FirstAttempts::default(),
             remote: RemoteTotals::default(),
-            suspects: SuspectWatch::new(options.quarantine),
+            suspects: SuspectTracker::new(options.quarantine),
             copies: CopyCounts::default(),
-            pace: GrantPace::new(now),
-            delivered: FadingRate::default(),
+            throughput: GrantThroughput::new(now),
+            delivered: DecayingRate::default(),
             next_order: OrderNumber(1),
-            fill_due: now,
-            moved_up: false,
-            next_round: now,
-            choice_round: 0,
+            next_pass_due: now,
+            queue_advanced: false,
+            earliest_pass: now,
+            pass_number: 0,
             recovering_until: Some(now + options.recovery_window),
             options,
         }
     }
 
-    /// Takes one event in and adds what follows from it to `actions`.
+    /// Applies one event and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Moment, event: ShardEvent, actions: &mut Vec<ShardAction>) {
-        if let Some(session) = session_of(&event) {
-            if !self.routers.hear(session, now) {
+        if let Some(session) = source_session(&event) {
+            if !self.routers.note_contact(session, now) {
                 actions.push(ShardAction::Rejoin { session });
                 return;
             }
         }
         if self.routers.end_rests(now) || changes_eligibility(&event) {
-            self.fill_due = self.fill_due.min(now.max(self.next_round));
+            self.next_pass_due = self.next_pass_due.min(now.max(self.earliest_pass));
         }
-        self.take(now, event, actions);
+        self.apply(now, event, actions);
         self.end_recovery(now);
         self.endpoints.wake(now);
-        self.fill_if_due(now, actions);
+        self.grant_if_due(now, actions);
         self.refuse_overdue(now, actions);
-        self.fill_if_due(now, actions);
+        self.grant_if_due(now, actions);
     }
 
-    /// When something will be due without any event.
+    /// When the next step is needed without an event; `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Moment> {
         let overdue = self.overdue.first().map(|(at, _)| *at);
         [overdue, self.endpoints.next_wake(), self.routers.next_rest_end()].into_iter().flatten().min()
     }
 
-    fn take(&mut self, now: Moment, event: ShardEvent, actions: &mut Vec<ShardAction>) {
+    fn apply(&mut self, now: Moment, event: ShardEvent, actions: &mut Vec<ShardAction>) {
         match event {
             ShardEvent::Policy(policy) => self.adopt(now, policy, actions),
             ShardEvent::Joined(session, hello) => self.join(now, session, hello, actions),
             ShardEvent::Left(session) => self.routers.detach(session),
-            ShardEvent::Goodbye(session) => self.dismiss(now, session),
+            ShardEvent::Goodbye(session) => self.remove_router(now, session),
             ShardEvent::Submit(session, ticket) => self.submit(now, session, ticket, actions),
             ShardEvent::Cancel(session, request) => self.cancel(now, session, request),
             ShardEvent::Progress(session, request, delivered) => {
@@ -178,18 +180,18 @@
                 self.settle(now, session, request, cost, fate, actions)
             }
             ShardEvent::Heartbeat(session, number) => {
-                self.routers.beat(session, number);
+                self.routers.note_heartbeat(session, number);
                 actions.push(ShardAction::Pulse { session, heartbeat: number });
             }
-            ShardEvent::Advised(session, advice) => self.heed(now, session, &advice, actions),
+            ShardEvent::Advised(session, advice) => self.apply_advice(now, session, &advice, actions),
             ShardEvent::Load(report) => {
                 self.endpoints.report(now, &report);
-                self.hear_report(now, &report, actions);
+                self.note_load_response(now, &report, actions);
             }
             ShardEvent::Unreachable(endpoint) => self.endpoints.fail_probe(now, &endpoint),
-            ShardEvent::Listed(leaving) => self.endpoints.list_leaving(&leaving),
+            ShardEvent::Listed(leaving) => self.endpoints.set_listed(&leaving),
             ShardEvent::Cache(news) => self.learn_cache(&news),
-            ShardEvent::Shared(totals) => self.take_shared(&totals),
+            ShardEvent::Shared(totals) => self.apply_region_totals(&totals),
             ShardEvent::Tick => {
                 self.expire(now);
                 self.expire_suspects(now, actions);
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Puts newer settings in force; older ones are ignored.
+    /// Applies settings unless they are older than those in force.
     fn adopt(&mut self, now: Moment, policy: ShardPolicy, actions: &mut Vec<ShardAction>) {
         if policy.revision < self.revision {
             return;
@@ -230,16 +232,16 @@
         self.floors = halls.iter().map(floor_of).collect();
     }
 
-    /// Frees what belongs to routers that were silent for longer than the lease.
+    /// Drops the tickets and grants of routers that were silent for longer than the lease.
     fn expire(&mut self, now: Moment) {
         for router in self.routers.expired(now, self.options.lease) {
             for request in self.routers.forget(router) {
                 self.drop_waiting(request);
-                self.end_grant(now, request, None, GrantFate::Abandoned);
+                self.end_grant(now, request, None, GrantOutcome::Abandoned);
             }
         }
-        self.endpoints.forget_old_reports(now);
-        self.pace.pass(now);
+        self.endpoints.expire_reports(now);
+        self.throughput.advance(now);
     }
 
     fn end_recovery(&mut self, now: Moment) {
@@ -248,16 +250,16 @@
             && self.routers.all_joined(&self.options.expected_routers);
         if now >= until || all_joined {
             self.recovering_until = None;
-            self.fill_due = now;
-            self.narrow_levels();
+            self.next_pass_due = now;
+            self.bring_levels_together();
         }
     }
 
-    fn dismiss(&mut self, now: Moment, session: SessionId) {
+    fn remove_router(&mut self, now: Moment, session: SessionId) {
         if let Some(router) = self.routers.by_session(session) {
             for request in self.routers.forget(router) {
                 self.drop_waiting(request);
-                self.end_grant(now, request, None, GrantFate::Abandoned);
+                self.end_grant(now, request, None, GrantOutcome::Abandoned);
             }
         }
     }
@@ -266,7 +268,7 @@
         actions.extend(self.routers.sessions().map(|session| ShardAction::Rejoin { session }));
     }
 
-    /// The lowest level at which a customer that comes back from idle time may start.
+    /// The lowest rank at which a customer that was idle may start.
     fn floor_for(&self, halls: HallMask) -> Option<Rank> {
         if let Some(rank) = self.index.lowest_sharing(halls) {
             return Some(rank);
@@ -275,14 +277,13 @@
     }
 }
 
-/// True for events after which tickets may run that could not before, though no endpoint has become
-/// free.
+/// True for events that may make tickets eligible without an endpoint becoming free.
 fn changes_eligibility(event: &ShardEvent) -> bool {
     matches!(event, ShardEvent::Policy(_) | ShardEvent::Joined(..) | ShardEvent::Cache(_))
 }
 
-/// The stream that an event came from, when it must be a known one.
-fn session_of(event: &ShardEvent) -> Option<SessionId> {
+/// The session of an event that is only accepted from a known session; `None` for other events.
+fn source_session(event: &ShardEvent) -> Option<SessionId> {
     match event {
         ShardEvent::Goodbye(session)
         | ShardEvent::Submit(session, _)
--- a/crates/micaspool-dispatch/src/shard/reports.rs
+++ b/crates/micaspool-dispatch/src/shard/reports.rs
@@ -1,86 +1,87 @@
-//! What endpoints say of their load, and for how long it counts.
+//! Load reports of endpoints, and how long each is valid.
 
 use super::endpoints::EndpointTable;
 use crate::event::LoadReport;
 use micaspool_types::{EndpointName, Moment};
 use std::time::Duration;
 
-/// How long a load report counts at least.
-const REPORT_LIFE: Duration = Duration::from_secs(3);
-/// How many intervals between two reports the later one counts, so that one may be missing. The more engines
-/// there are, the more seldom each is asked: 320 every 3.2 s, 600 every 6 s.
-const LIFE_INTERVALS: u32 = 2;
-/// An interval longer than this says that the endpoint was not heard for a while, not how often it is asked.
-const LONGEST_INTERVAL: Duration = Duration::from_secs(8);
+/// The minimum lifetime of a load report.
+const MIN_LIFETIME: Duration = Duration::from_secs(3);
+/// The lifetime of a report in intervals between two reports, which allows one to be lost. The more
+/// engines there are, the less often each is polled: 320 every 3.2 s, 600 every 6 s.
+const LIFETIME_INTERVALS: u32 = 2;
+/// A longer interval does not show how often the endpoint is polled, only that it was out of reach.
+const MAX_INTERVAL: Duration = Duration::from_secs(8);
 
-/// What the newest load report of an endpoint said of others' requests.
+/// The requests of others at an endpoint according to its latest load report.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SeenSurplus {
-    /// The requests there beyond those of this shard.
+pub(super) struct ReportedSurplus {
+    /// Requests at the endpoint beyond those of this shard.
     requests: u32,
     at: Moment,
-    /// How long it counts.
-    life: Duration,
+    /// How long the report is valid.
+    lifetime: Duration,
 }
 
-impl SeenSurplus {
-    /// What a report says, after the one before it.
-    fn new(now: Moment, requests: u32, before: Option<SeenSurplus>) -> SeenSurplus {
-        let interval = before.map(|before| now.since(before.at)).filter(|gap| *gap <= LONGEST_INTERVAL);
-        let life = interval.map_or(LONGEST_INTERVAL, |interval| REPORT_LIFE.max(interval * LIFE_INTERVALS));
-        SeenSurplus { requests, at: now, life }
+impl ReportedSurplus {
+    /// Creates a record from a report and the one before it.
+    fn new(now: Moment, requests: u32, before: Option<ReportedSurplus>) -> ReportedSurplus {
+        let interval = before.map(|before| now.since(before.at)).filter(|gap| *gap <= MAX_INTERVAL);
+        let lifetime =
+            interval.map_or(MAX_INTERVAL, |interval| MIN_LIFETIME.max(interval * LIFETIME_INTERVALS));
+        ReportedSurplus { requests, at: now, lifetime }
     }
 
-    fn counts(&self, now: Moment) -> bool {
-        now.since(self.at) < self.life
+    fn is_current(&self, now: Moment) -> bool {
+        now.since(self.at) < self.lifetime
     }
 }
 
 impl EndpointTable {
-    /// Takes a load report in. Slots count as used by others only when two reports in a row
-    /// agree, since a report may be older than our newest grants.
+    /// Applies a load report. Slots count as used by others only if two successive reports agree,
+    /// because a report may be older than the latest grants.
     pub fn report(&mut self, now: Moment, report: &LoadReport) {
         let Some(endpoint) = self.by_name(&report.endpoint) else { return };
         let state = self.state_mut(endpoint);
         let surplus = report.running.saturating_sub(state.busy);
-        let before = state.last_surplus.filter(|seen| seen.counts(now));
+        let before = state.last_surplus.filter(|seen| seen.is_current(now));
         state.foreign = before.map_or(0, |seen| seen.requests.min(surplus));
         let (busy, foreign) = (state.busy, state.foreign);
-        state.last_surplus = Some(SeenSurplus::new(now, surplus, before));
+        state.last_surplus = Some(ReportedSurplus::new(now, surplus, before));
         if let Some(engine) = &mut state.engine {
             engine.note_waiting(now, report.waiting);
             if before.is_some() {
-                engine.share_with(busy, foreign);
+                engine.update_share(busy, foreign);
             }
         }
         if report.draining {
-            state.doors.draining_since = Some(now);
-        } else if state.doors.draining_since.is_some_and(|since| report.asked_at > since) {
-            state.doors.draining_since = None;
+            state.availability.draining_since = Some(now);
+        } else if state.availability.draining_since.is_some_and(|since| report.requested_at > since) {
+            state.availability.draining_since = None;
         }
-        self.watch_reading(now, endpoint);
+        self.update_prefill_limit(now, endpoint);
         self.reindex(endpoint);
     }
 
-    /// Forgets what reports said of others' requests where no report followed: an endpoint that is not heard any
-    /// more would stay full for ever.
-    pub fn forget_old_reports(&mut self, now: Moment) {
-        let first_share = self.first_share;
+    /// Discards load reports that were not followed by another one. Otherwise an endpoint that stops
+    /// reporting would stay full for ever.
+    pub fn expire_reports(&mut self, now: Moment) {
+        let initial_share = self.initial_share;
         for endpoint in self.indices() {
             let state = self.state_mut(endpoint);
-            if state.last_surplus.is_none_or(|seen| seen.counts(now)) {
+            if state.last_surplus.is_none_or(|seen| seen.is_current(now)) {
                 continue;
             }
             state.last_surplus = None;
             state.foreign = 0;
             if let Some(engine) = &mut state.engine {
-                engine.assume_share(first_share);
+                engine.reset_share(initial_share);
             }
             self.reindex(endpoint);
         }
     }
 
-    /// An endpoint did not answer when asked for its load.
+    /// Handles an endpoint that did not answer a load request.
     pub fn fail_probe(&mut self, now: Moment, name: &EndpointName) {
         if let Some(endpoint) = self.by_name(name) {
             self.state_mut(endpoint).foreign = 0;
--- a/crates/micaspool-dispatch/src/shard/suspects.rs
+++ b/crates/micaspool-dispatch/src/shard/suspects.rs
@@ -1,8 +1,8 @@
-//! Requests under which endpoints end: who is held off, kept apart or shut out.
+//! Requests during which endpoints crash: limits their copies, isolates them and quarantines them.
 //!
-//! A fault that travels with a request meets each place anew, unless one place adds up what all have seen. Every
-//! ticket of a service passes its shard, so the shard does. Routers keep what they saw themselves and what is shut out,
-//! and tell the next dispatcher.
+//! A request that crashes its endpoint does so on each new one, unless its crashes are counted in one
+//! place. Every ticket of a service passes through its shard, so the shard counts them. Routers keep
+//! the records of crashes they saw and of quarantined requests, and send them to the next dispatcher.
 
 use super::endpoints::EndpointIndex;
 use super::evidence::REPORT_WINDOW;
@@ -11,7 +11,7 @@
 use super::status::SuspectStatus;
 use super::tickets::WaitingTicket;
 use super::ShardCore;
-use crate::action::{ReleaseReason, ShardAction};
+use crate::action::{RefusalReason, ShardAction};
 use crate::event::{RequestTicket, SessionId};
 use micaspool_fair::CustomerIndex;
 use micaspool_quarantine::{CrashRecord, CrashTable, QuarantineOptions, RequestStanding, TableChange};
@@ -19,34 +19,35 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// When a copy of a request in doubt may come back; a run takes a second or two.
+/// When a copy of a doubted or suspected request may be retried; a run takes a second or two.
 const COPY_WAIT: Duration = Duration::from_secs(1);
-/// When one may come back that was just shut out: it may turn out that an endpoint is alive.
-const UNPROVEN_WAIT: Duration = Duration::from_secs(2);
+/// When a request may be retried that was quarantined a moment ago: the endpoint may turn out to be
+/// alive.
+const FRESH_QUARANTINE_WAIT: Duration = Duration::from_secs(2);
 
 /// The routers that hold a record of a request.
 #[derive(Debug)]
 pub(super) enum RecordHolders {
-    /// Those that saw an endpoint end under it.
+    /// Those that saw an endpoint crash while it ran the request.
     Witnesses(BTreeSet<RouterIndex>),
-    /// All, since it is or was shut out.
+    /// All routers, because the request is or was quarantined.
     All,
 }
 
-/// The requests in doubt, and who has to hear of changes.
+/// The requests in doubt, and the routers to notify of changes.
 #[derive(Debug)]
-pub(super) struct SuspectWatch {
+pub(super) struct SuspectTracker {
     pub(super) table: CrashTable,
     pub(super) holders: HashMap<RequestDigest, RecordHolders>,
     pub(super) next_expiry: Moment,
 }
 
-impl SuspectWatch {
-    pub fn new(options: QuarantineOptions) -> SuspectWatch {
-        SuspectWatch { table: CrashTable::new(options), holders: HashMap::new(), next_expiry: Moment(0) }
+impl SuspectTracker {
+    pub fn new(options: QuarantineOptions) -> SuspectTracker {
+        SuspectTracker { table: CrashTable::new(options), holders: HashMap::new(), next_expiry: Moment(0) }
     }
 
-    /// How a request stands; clear when its router does not tell what it asks for.
+    /// The standing of a request; clear if its router sends no digest.
     pub fn standing(&self, now: Moment, digest: Option<RequestDigest>) -> RequestStanding {
         match digest {
             Some(digest) if !self.table.is_empty() => self.table.standing(now, digest),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// What is known of the requests that are suspected or shut out.
+    /// The suspected and quarantined requests.
     pub fn suspected(&self, now: Moment) -> Vec<SuspectStatus> {
         let suspects = self.table.suspects(now).into_iter();
         let status = |(standing, record)| SuspectStatus {
@@ -68,7 +69,8 @@
         suspects.map(status).collect()
     }
 
-    /// Forgets who holds records that the full table has pushed out, which would else add up without a bound.
+    /// Drops the holders of records that were evicted from the full table; otherwise they would
+    /// accumulate without a bound.
     pub fn forget_holders(&mut self) {
         let table = &self.table;
         self.holders.retain(|digest, _| table.contains(*digest));
@@ -82,7 +84,7 @@
     }
 }
 
-/// A grant that has ended, as far as it concerns what it asked for.
+/// The parts of an ended grant that the crash records need.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedRun {
     pub digest: Option<RequestDigest>,
@@ -102,14 +104,14 @@
     }
 }
 
-/// Why a ticket is not taken, and when its caller may come back.
+/// Why a ticket is refused, and when its caller may retry.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct KeepOut {
-    reason: ReleaseReason,
+pub(super) struct TicketRefusal {
+    reason: RefusalReason,
     retry_after: Duration,
 }
 
-impl KeepOut {
+impl TicketRefusal {
     pub fn action(self, session: SessionId, ticket: &RequestTicket) -> ShardAction {
         ShardAction::Refuse {
             session,
@@ -125,56 +127,63 @@
 }
 
 impl ShardCore {
-    /// Why a ticket is not taken for what it asks for. Without this one request ended 34 to 82 endpoints in 40 s,
-    /// at most four with it (nine endpoints, one to eight callers that repeat it). With copies side by side up to six.
-    pub(super) fn reason_to_keep_out(&self, now: Moment, ticket: &RequestTicket) -> Option<KeepOut> {
+    /// Why a ticket is refused because of the crashes of its request. Measured on nine endpoints with
+    /// one to eight callers that repeat a crashing request: without this check it ended 34 to 82
+    /// endpoints in 40 s, with it at most four, and up to six if copies run side by side.
+    pub(super) fn quarantine_refusal(&self, now: Moment, ticket: &RequestTicket) -> Option<TicketRefusal> {
         let digest = ticket.digest?;
         let standing = self.suspects.standing(now, Some(digest));
         match standing {
             RequestStanding::Clear => None,
             RequestStanding::Quarantined { until } => {
-                let retry_after = self.wait_for_end(now, digest, until);
-                Some(KeepOut { reason: ReleaseReason::Quarantined, retry_after })
+                let retry_after = self.quarantine_retry_after(now, digest, until);
+                Some(TicketRefusal { reason: RefusalReason::Quarantined, retry_after })
             }
-            // Its router would send it on from the endpoint that has just ended.
+            // Its router would send it on from the endpoint that has just crashed.
             RequestStanding::Suspected if ticket.attempt > 0 => {
-                Some(KeepOut { reason: ReleaseReason::Quarantined, retry_after: COPY_WAIT })
+                Some(TicketRefusal { reason: RefusalReason::Quarantined, retry_after: COPY_WAIT })
             }
             RequestStanding::Doubted | RequestStanding::Suspected => {
-                let copies = self.copies.runs(digest) || self.copies.waits(digest);
-                copies.then_some(KeepOut { reason: ReleaseReason::CopyRunning, retry_after: COPY_WAIT })
+                let copies = self.copies.is_running(digest) || self.copies.is_waiting(digest);
+                copies.then_some(TicketRefusal { reason: RefusalReason::CopyRunning, retry_after: COPY_WAIT })
             }
         }
     }
 
-    fn wait_for_end(&self, now: Moment, digest: RequestDigest, until: Moment) -> Duration {
+    fn quarantine_retry_after(&self, now: Moment, digest: RequestDigest, until: Moment) -> Duration {
         let newest = self.suspects.table.newest_crash(digest);
         let is_fresh = newest.is_some_and(|newest| now.since(newest) < REPORT_WINDOW);
         if is_fresh {
-            return UNPROVEN_WAIT;
+            return FRESH_QUARANTINE_WAIT;
         }
         until.since(now)
     }
 
-    /// The endpoints that a ticket is kept from for what it asks for; `None` when it may not run now. Suspected
-    /// requests never share an endpoint: whoever ran beside the guilty one is told apart by its next end. Sharing
-    /// shuts a harmless request out in 12 of 300 draws (nine endpoints with thirty runs each, whose callers
-    /// repeat at once), in none so.
-    pub(super) fn kept_apart(&self, now: Moment, ticket: &WaitingTicket) -> Option<BTreeSet<EndpointIndex>> {
+    /// The endpoints that a ticket must avoid because of the crashes of its request; `None` if it may
+    /// not run now. Suspected requests never share an endpoint, so the next crash tells the cause from
+    /// a request that ran beside it. If they share, a harmless request is quarantined in 12 of 300
+    /// draws (nine endpoints with thirty runs each, whose callers retry at once); if they don't, in
+    /// none.
+    pub(super) fn isolation_exclusions(
+        &self,
+        now: Moment,
+        ticket: &WaitingTicket,
+    ) -> Option<BTreeSet<EndpointIndex>> {
         let standing = self.suspects.standing(now, ticket.digest);
         match (standing, ticket.digest) {
             (RequestStanding::Clear, _) | (_, None) => Some(BTreeSet::new()),
             (RequestStanding::Quarantined { .. }, _) => None,
-            (_, Some(digest)) if self.copies.runs(digest) => None,
+            (_, Some(digest)) if self.copies.is_running(digest) => None,
             (RequestStanding::Doubted, _) => Some(BTreeSet::new()),
             (RequestStanding::Suspected, _) => {
                 let suspected = self.suspects.table.suspected();
-                Some(suspected.flat_map(|other| self.copies.places(other).iter().copied()).collect())
+                Some(suspected.flat_map(|other| self.copies.running_on(other).iter().copied()).collect())
             }
         }
     }
 
-    /// Refuses waiting copies of a request: all once it is shut out, else all but one.
+    /// Refuses waiting copies of a request: all of them once it is quarantined, otherwise all but one;
+    /// that one too while a copy runs.
     pub(super) fn refuse_copies(
         &mut self,
         now: Moment,
@@ -182,7 +191,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let digest = change.digest;
-        if !self.copies.waits(digest) {
+        if !self.copies.is_waiting(digest) {
             return;
         }
         let copies = self.waiting.iter().filter(|(_, ticket)| ticket.digest == Some(digest));
@@ -190,8 +199,8 @@
             copies.map(|(request, ticket)| (ticket.place.order, *request)).collect();
         copies.sort_unstable();
         let (reason, kept, retry_after) = match change.after {
-            RequestStanding::Quarantined { .. } => (ReleaseReason::Quarantined, 0, UNPROVEN_WAIT),
-            _ => (ReleaseReason::CopyRunning, usize::from(!self.copies.runs(digest)), COPY_WAIT),
+            RequestStanding::Quarantined { .. } => (RefusalReason::Quarantined, 0, FRESH_QUARANTINE_WAIT),
+            _ => (RefusalReason::CopyRunning, usize::from(!self.copies.is_running(digest)), COPY_WAIT),
         };
         for (_, request) in copies.into_iter().skip(kept) {
             let Some(ticket) = self.drop_waiting(request) else { continue };
@@ -209,8 +218,8 @@
         }
     }
 
-    /// Tells the routers that hold a record of a request what is known now.
-    pub(super) fn tell_holders(&self, now: Moment, change: &TableChange, actions: &mut Vec<ShardAction>) {
+    /// Sends the current record of a request to the routers that hold one.
+    pub(super) fn notify_holders(&self, now: Moment, change: &TableChange, actions: &mut Vec<ShardAction>) {
         let mut sessions: Vec<SessionId> = match self.suspects.holders.get(&change.digest) {
             Some(RecordHolders::All) => self.routers.sessions().collect(),
             Some(RecordHolders::Witnesses(routers)) => {
@@ -218,15 +227,15 @@
             }
             None => Vec::new(),
         };
-        // In a fixed order, so that the same events give the same actions.
+        // Sorted, so that the same events give the same actions.
         sessions.sort_unstable();
         let record = self.record_of(now, change.digest, &change.customer);
         actions.extend(
-            sessions.into_iter().map(|session| ShardAction::TellRecord { session, record: record.clone() }),
+            sessions.into_iter().map(|session| ShardAction::SendRecord { session, record: record.clone() }),
         );
     }
 
-    /// What is known of a request; without crashes when nothing is held against it.
+    /// The record of a request; without crashes if there is none.
     pub(super) fn record_of(
         &self,
         now: Moment,
--- a/crates/micaspool-dispatch/src/shard/tickets.rs
+++ b/crates/micaspool-dispatch/src/shard/tickets.rs
@@ -1,10 +1,10 @@
-//! Waiting tickets: taking them in, ranking their customers, giving them up.
+//! Waiting tickets: admission, queueing and cancellation, and the index of waiting customers by rank.
 
 use super::customers::QueuePlace;
 use super::overdue::WaitEstimate;
 use super::routers::RouterIndex;
 use super::ShardCore;
-use crate::action::{ReleaseReason, ShardAction};
+use crate::action::{RefusalReason, ShardAction};
 use crate::event::{RequestTicket, SessionId};
 use crate::shard::endpoints::EndpointIndex;
 use crate::shard::engine::PromptShape;
@@ -13,13 +13,13 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// How long a ticket stays away from the endpoint that failed it.
-const AVOIDANCE: Duration = Duration::from_secs(5);
+/// How long a ticket avoids the endpoint that failed it.
+const AVOIDANCE_PERIOD: Duration = Duration::from_secs(5);
 
-/// What is left of an objective that has passed.
-const LEAST_OBJECTIVE: Duration = Duration::from_millis(1);
+/// Remaining objective of a ticket whose objective has already passed.
+const MIN_OBJECTIVE: Duration = Duration::from_millis(1);
 
-/// A ticket that waits.
+/// A ticket in the queue.
 #[derive(Debug, Clone)]
 pub(super) struct WaitingTicket {
     pub customer: CustomerIndex,
@@ -27,32 +27,32 @@
     pub digest: Option<RequestDigest>,
     pub hint: Cost,
     pub place: QueuePlace,
-    /// When it began to wait here.
+    /// When it was queued here.
     pub since: Moment,
     pub avoid: Option<Avoidance>,
     pub prompt: PromptShape,
-    /// What was left of the time within which its first event is wanted, when it came.
+    /// The time within which the first event was due when the ticket arrived.
     pub objective: Option<Duration>,
-    /// How long it would wait, as far as could be told when it came.
+    /// The wait that was expected when the ticket arrived.
     pub expected_wait: Duration,
-    /// When its first event is wanted; `None` for whenever it comes.
+    /// When the first event is due; `None` without an objective.
     pub wanted_by: Option<Moment>,
-    /// When it is refused, since it can't begin in time any more; `None` for never.
-    pub ends: Option<Moment>,
-    /// When its caller leaves; `None` if it did not say.
-    pub leaves: Option<Moment>,
-    /// The engine that suits it best though it is not free.
+    /// When the ticket is refused because it can no longer begin in time; `None` for never.
+    pub refuse_at: Option<Moment>,
+    /// When its caller gives up; `None` if unknown.
+    pub caller_leaves_at: Option<Moment>,
+    /// The busy engine that the ticket waits for, if any.
     pub waits_for: Cell<Option<EngineChoice>>,
 }
 
-/// The engine that a ticket waits for, and in which round of looking at all tickets it was chosen.
+/// The engine that a ticket waits for, and the number of the pass that chose it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineChoice {
     pub engine: EndpointIndex,
-    pub round: u64,
+    pub pass: u64,
 }
 
-/// The endpoint that a ticket stays away from, and until when.
+/// The endpoint that a ticket avoids, and until when.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Avoidance {
     pub endpoint: EndpointIndex,
@@ -60,21 +60,21 @@
 }
 
 impl WaitingTicket {
-    /// The endpoint that the ticket stays away from at this moment.
+    /// The endpoint that the ticket avoids at this moment.
     pub fn avoided(&self, now: Moment) -> Option<EndpointIndex> {
         self.avoid.filter(|avoid| now < avoid.until).map(|avoid| avoid.endpoint)
     }
 }
 
 impl WaitingTicket {
-    /// The latest moment at which it may begin to run; `None` when nobody told.
-    pub fn latest(&self) -> Option<Moment> {
-        self.ends.or(self.leaves)
+    /// The latest moment at which the request may begin to run; `None` if unknown.
+    pub fn latest_start(&self) -> Option<Moment> {
+        self.refuse_at.or(self.caller_leaves_at)
     }
 }
 
 impl ShardCore {
-    /// Accepts a ticket or refuses it at once.
+    /// Queues a ticket or refuses it at once.
     pub(super) fn submit(
         &mut self,
         now: Moment,
@@ -86,20 +86,20 @@
         let known = self.waiting.contains_key(&request) || self.running.contains_key(&request);
         let Some(router) = self.routers.by_session(session).filter(|_| !known) else { return };
         let customer = self.customers.ensure(&ticket.customer);
-        if let Some(refusal) = self.reason_to_keep_out(now, &ticket) {
+        if let Some(refusal) = self.quarantine_refusal(now, &ticket) {
             actions.push(refusal.action(session, &ticket));
             return;
         }
         let load = PromptShape::load_of(&ticket);
-        self.customers.get_mut(customer).ask_rate.add(now, load);
-        let age = self.age_of(now, &ticket);
-        let is_first_try = age.is_zero() && ticket.attempt == 0;
-        let objective = ticket.objective.map(|objective| objective.saturating_sub(age).max(LEAST_OBJECTIVE));
+        self.customers.get_mut(customer).demand_rate.add(now, load);
+        let age = self.caller_age(now, &ticket);
+        let is_first_attempt = age.is_zero() && ticket.attempt == 0;
+        let objective = ticket.objective.map(|objective| objective.saturating_sub(age).max(MIN_OBJECTIVE));
         let ticket = RequestTicket { objective, ..ticket };
-        let wait = self.wait_estimate(now, customer, &ticket, is_first_try);
+        let wait = self.wait_estimate(now, customer, &ticket, is_first_attempt);
         if let Some(reason) = self.reason_to_refuse(now, customer, &ticket, wait) {
-            self.first_tries.note_refused(now);
-            self.customers.get_mut(customer).flow.note_refusal(Duration::ZERO);
+            self.first_attempts.note_refused(now);
+            self.customers.get_mut(customer).counters.note_refusal(Duration::ZERO);
             actions.push(ShardAction::Refuse {
                 session,
                 request,
@@ -113,19 +113,20 @@
             return;
         }
         self.enqueue(now, router, customer, ticket, wait);
-        self.refuse_unwanted_ticket(now, request, actions);
+        self.refuse_resting_ticket(now, request, actions);
         self.grant_new(now, request, actions);
         if let Some(ticket) = self.waiting.get(&request) {
             actions.push(ShardAction::Accepted { session, request, order: ticket.place.order });
         }
     }
 
-    /// How long ago the caller first tried. It is taken off the objective: an answer is wanted within a time from then
-    /// on. Otherwise callers who come back take the place of others, and are late.
-    fn age_of(&mut self, now: Moment, ticket: &RequestTicket) -> Duration {
+    /// How long ago the caller made its first attempt. The objective is reduced by this age because the
+    /// caller wants a response within the objective of its first attempt. Otherwise retrying callers
+    /// would displace others and still be late.
+    fn caller_age(&mut self, now: Moment, ticket: &RequestTicket) -> Duration {
         match (ticket.objective, ticket.patience) {
             (Some(objective), Some(patience)) if ticket.attempt == 0 => {
-                self.first_tries.take(now, objective, patience)
+                self.first_attempts.estimate_age(now, objective, patience)
             }
             _ => Duration::ZERO,
         }
@@ -137,26 +138,27 @@
         customer: CustomerIndex,
         ticket: &RequestTicket,
         wait: WaitEstimate,
-    ) -> Option<ReleaseReason> {
+    ) -> Option<RefusalReason> {
         let state = self.customers.get(customer);
         if self.endpoints.all_evacuated(state.halls) {
-            return Some(ReleaseReason::HallsEvacuated);
+            return Some(RefusalReason::HallsEvacuated);
         }
         if self.waiting.len() >= self.options.max_waiting {
-            return Some(ReleaseReason::ShardFull);
+            return Some(RefusalReason::ShardFull);
         }
         if state.queue.len() >= state.max_waiting as usize {
-            return Some(ReleaseReason::CustomerFull);
+            return Some(RefusalReason::CustomerFull);
         }
-        if self.comes_too_late(customer, ticket, wait) {
+        if self.exceeds_wait_bound(customer, ticket, wait) {
             self.customers.get_mut(customer).refused_at = Some(now);
-            return Some(ReleaseReason::Overdue);
+            return Some(RefusalReason::Overdue);
         }
         let allowed = self.retries.admit(customer, ticket.attempt);
-        (!allowed).then_some(ReleaseReason::RetryBudget)
+        (!allowed).then_some(RefusalReason::RetryBudget)
     }
 
-    /// Puts a ticket into its customer's queue, at its old place if it had one.
+    /// Puts a ticket into its customer's queue, at its previous place if it already has an order
+    /// number.
     pub(super) fn enqueue(
         &mut self,
         now: Moment,
@@ -177,12 +179,12 @@
             hint: ticket.hint,
             place,
             since: now,
-            avoid: avoid.map(|endpoint| Avoidance { endpoint, until: now + AVOIDANCE }),
+            avoid: avoid.map(|endpoint| Avoidance { endpoint, until: now + AVOIDANCE_PERIOD }),
             objective: ticket.objective,
             expected_wait: wait.expected,
             wanted_by: ticket.objective.map(|objective| now + objective),
-            ends: wait.longest.map(|longest| now + longest),
-            leaves: ticket.patience.map(|patience| now + patience),
+            refuse_at: wait.max_wait.map(|max_wait| now + max_wait),
+            caller_leaves_at: ticket.patience.map(|patience| now + patience),
             prompt,
             waits_for: Cell::new(None),
         };
@@ -191,13 +193,13 @@
 
     pub(super) fn insert_waiting(&mut self, now: Moment, request: RequestId, ticket: WaitingTicket) {
         let customer = ticket.customer;
-        self.lift(now, customer);
+        self.raise_to_floor(now, customer);
         self.routers.hold(ticket.router, request);
         let state = self.customers.get_mut(customer);
         state.queue.insert(ticket.place, request);
         state.queued_load += ticket.prompt.load();
         self.copies.begin_waiting(ticket.digest);
-        self.overdue.extend(ticket.ends.map(|ends| (ends, request)));
+        self.overdue.extend(ticket.refuse_at.map(|refuse_at| (refuse_at, request)));
         self.waiting.insert(request, ticket);
         self.reindex(customer);
     }
@@ -207,7 +209,7 @@
         self.next_order = self.next_order.max(OrderNumber(order.0 + 1));
     }
 
-    /// Gives a waiting ticket up.
+    /// Cancels a waiting ticket. If it has been granted in the meantime, ends the grant as unsent.
     pub(super) fn cancel(&mut self, now: Moment, session: SessionId, request: RequestId) {
         let owner = self.routers.by_session(session);
         if self.waiting.get(&request).is_some_and(|ticket| Some(ticket.router) == owner) {
@@ -216,31 +218,32 @@
         }
         let granted = self.running.get(&request).is_some_and(|grant| Some(grant.router) == owner);
         if granted {
-            self.end_grant(now, request, None, crate::event::GrantFate::Unsent);
+            self.end_grant(now, request, None, crate::event::GrantOutcome::Unsent);
         }
     }
 
-    /// Removes a ticket from the queue, if it waits.
+    /// Removes a ticket from its queue and returns it, if it is waiting.
     pub(super) fn drop_waiting(&mut self, request: RequestId) -> Option<WaitingTicket> {
         let ticket = self.waiting.remove(&request)?;
         self.copies.end_waiting(ticket.digest);
         self.forget_overdue(request, &ticket);
         self.forget_choice(&ticket);
         self.customers.get_mut(ticket.customer).take_from_queue(&ticket);
-        self.moved_up = true;
+        self.queue_advanced = true;
         self.routers.release(ticket.router, request);
         self.reindex(ticket.customer);
         Some(ticket)
     }
 
-    /// Takes a customer out of the index.
+    /// Removes a customer from the rank index.
     pub(super) fn unindex(&mut self, customer: CustomerIndex) {
         if let Some((halls, rank)) = self.customers.get_mut(customer).indexed.take() {
             self.index.remove(halls, rank, customer);
         }
     }
 
-    /// Puts a customer into the index at its present rank, when it waits and may use a hall.
+    /// Puts a customer into the rank index at its current rank if it has a waiting ticket and may use a
+    /// hall.
     pub(super) fn reindex(&mut self, customer: CustomerIndex) {
         let state = self.customers.get(customer);
         let head = state.queue.first_key_value().filter(|_| !state.halls.is_empty());
--- a/crates/micaspool-dispatch/src/shard/tolerance.rs
+++ b/crates/micaspool-dispatch/src/shard/tolerance.rs
@@ -1,43 +1,43 @@
-//! How long the requests of one queue bear to wait.
+//! How long the requests of one queue can wait.
 
 use micaspool_types::Moment;
 use std::time::Duration;
 
-/// The span after which what a request bore begins to be forgotten; it is gone after two. Long enough to see each
-/// kind of request that comes some times a second, short enough for a queue to grow again when the impatient have
-/// left.
-const SPAN: Duration = Duration::from_secs(1);
+/// The length of a window. A value counts for the rest of its window and the next one: long enough to
+/// see each kind of request that arrives several times a second, short enough for a queue to grow again
+/// once impatient requests have ceased.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// The shortest wait that any request of the last one to two seconds bore.
+/// The shortest tolerated wait among the requests of the last one to two windows.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct SharedTolerance {
-    /// Of the span before.
-    before: Option<Duration>,
-    /// Of this span.
-    newest: Option<Duration>,
-    /// When this span began.
+pub(super) struct WaitTolerance {
+    /// The shortest one of the previous window.
+    previous: Option<Duration>,
+    /// The shortest one of the current window.
+    current: Option<Duration>,
+    /// The start of the current window.
     since: Moment,
 }
 
-impl SharedTolerance {
-    /// Takes in what a request bears.
+impl WaitTolerance {
+    /// Records the wait that a request tolerates.
     pub fn note(&mut self, now: Moment, wait: Duration) {
-        self.pass(now);
-        self.newest = Some(self.newest.map_or(wait, |shortest| shortest.min(wait)));
+        self.rotate(now);
+        self.current = Some(self.current.map_or(wait, |shortest| shortest.min(wait)));
     }
 
-    /// What the least patient bears; without a limit when none came.
+    /// The shortest tolerated wait; `Duration::MAX` without recent requests.
     pub fn shortest(&mut self, now: Moment) -> Duration {
-        self.pass(now);
-        self.before.into_iter().chain(self.newest).min().unwrap_or(Duration::MAX)
+        self.rotate(now);
+        self.previous.into_iter().chain(self.current).min().unwrap_or(Duration::MAX)
     }
 
-    fn pass(&mut self, now: Moment) {
-        let passed = now.since(self.since);
-        if passed < SPAN {
+    fn rotate(&mut self, now: Moment) {
+        let elapsed = now.since(self.since);
+        if elapsed < WINDOW {
             return;
         }
-        self.before = self.newest.take().filter(|_| passed < SPAN * 2);
+        self.previous = self.current.take().filter(|_| elapsed < WINDOW * 2);
         self.since = now;
     }
 }
--- a/crates/micaspool-dispatch/tests/shard/bench.rs
+++ b/crates/micaspool-dispatch/tests/shard/bench.rs
@@ -1,8 +1,9 @@
 //! A shard with hand-made routers, endpoints and customers.
 
 use micaspool_dispatch::{
-    ColdTerms, EndpointSpec, GrantFate, HeldGrant, HeldTotal, LoadReport, ReleaseReason, RequestTicket,
-    RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
+    ColdStartLimits, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, LoadReport, RefusalReason,
+    RequestTicket, RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions,
+    ShardPolicy,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_types::{
@@ -122,7 +123,7 @@
             revision: Revision(1),
             idle_credit: Cost(0),
             planned_pace: 0.0,
-            cold: ColdTerms::default(),
+            cold: ColdStartLimits::default(),
             halls: (0..3).map(|number| HallName::parse(&format!("h{number}")).expect("a name")).collect(),
             endpoints: specs.collect(),
             customers: named.collect(),
@@ -154,12 +155,13 @@
         self.step(ShardEvent::Submit(SessionId(session), ticket));
     }
 
-    pub fn settle(&mut self, session: u64, request: u128, cost: u64, fate: GrantFate) {
+    pub fn settle(&mut self, session: u64, request: u128, cost: u64, fate: GrantOutcome) {
         self.step(ShardEvent::Settle(SessionId(session), id(request), Cost(cost), fate));
     }
 
     pub fn load(&mut self, on: usize, running: u32, draining: bool) {
-        let report = LoadReport { endpoint: endpoint(on), running, waiting: 0, draining, asked_at: self.now };
+        let report =
+            LoadReport { endpoint: endpoint(on), running, waiting: 0, draining, requested_at: self.now };
         self.step(ShardEvent::Load(report));
     }
 
@@ -196,7 +198,7 @@
     }
 
     /// The refusals since the grants were last taken.
-    pub fn refused(&self) -> Vec<(u128, ReleaseReason)> {
+    pub fn refused(&self) -> Vec<(u128, RefusalReason)> {
         let refusals = self.seen.iter().filter_map(|action| match action {
             ShardAction::Refuse { request, reason, .. } => Some((request.0, *reason)),
             _ => None,
--- a/crates/micaspool-dispatch/tests/shard/evacuation.rs
+++ b/crates/micaspool-dispatch/tests/shard/evacuation.rs
@@ -1,7 +1,7 @@
 //! Data halls that are evacuated while requests wait, and taken back while queues are full.
 
 use crate::bench::{endpoint, hello, id, ticket, Bench};
-use micaspool_dispatch::{EndpointClosure, GrantFate, ReleaseReason};
+use micaspool_dispatch::{EndpointClosure, GrantOutcome, RefusalReason};
 use std::time::Duration;
 
 fn evacuate(bench: &mut Bench, halls: &[usize]) {
@@ -38,7 +38,7 @@
     evacuate(&mut bench, &[1]);
     bench.submit(1, ticket(9, "a", 10));
     for number in 0..3 {
-        bench.settle(1, number, 1, GrantFate::Done);
+        bench.settle(1, number, 1, GrantOutcome::Done);
     }
     let grants = bench.grants();
     assert!(grants.iter().any(|grant| grant.request == id(9) && grant.endpoint != endpoint(1)), "{grants:?}");
@@ -52,13 +52,13 @@
     bench.submit(1, ticket(1, "a", 10));
     bench.submit(1, ticket(2, "a", 10));
     evacuate(&mut bench, &[0]);
-    assert_eq!(bench.refused(), [(2, ReleaseReason::HallsEvacuated)], "it waited");
+    assert_eq!(bench.refused(), [(2, RefusalReason::HallsEvacuated)], "it waited");
     bench.seen.clear();
     bench.submit(1, ticket(3, "a", 10));
-    assert_eq!(bench.refused(), [(3, ReleaseReason::HallsEvacuated)], "it came later");
+    assert_eq!(bench.refused(), [(3, RefusalReason::HallsEvacuated)], "it came later");
     bench.seen.clear();
     evacuate(&mut bench, &[]);
-    bench.settle(1, 1, 1, GrantFate::Done);
+    bench.settle(1, 1, 1, GrantOutcome::Done);
     bench.submit(1, ticket(4, "a", 10));
     assert_eq!(bench.granted_requests(), [4]);
 }
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -9,7 +9,9 @@
 //! kinds of streams at 116 and 119, from the first second to the last.
 
 use crate::bench::{endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{CacheNews, GrantFate, KeptPart, RequestTicket, SessionId, ShardAction, ShardEvent};
+use micaspool_dispatch::{
+    CacheUpdate, CachedPart, GrantOutcome, RequestTicket, SessionId, ShardAction, ShardEvent,
+};
 use micaspool_types::{Cost, EndpointName, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -83,7 +85,7 @@
                     self.bench.step(begun);
                     self.due.insert((now + RUN, number), Step::End(number));
                 }
-                Step::End(number) => self.bench.settle(1, number, 10_000, GrantFate::Done),
+                Step::End(number) => self.bench.settle(1, number, 10_000, GrantOutcome::Done),
             }
         }
         self.bench.step(ShardEvent::Wake);
@@ -144,9 +146,9 @@
     const HOLDERS: usize = 20;
     const BUSY: usize = 17;
     let mut fleet = EngineFleet::new(40);
-    let part = KeptPart { prefix: 7, tokens: 10_000 };
+    let part = CachedPart { prefix: 7, tokens: 10_000 };
     for engine in 0..HOLDERS {
-        let news = CacheNews {
+        let news = CacheUpdate {
             endpoint: endpoint(engine),
             stored: Vec::new(),
             dropped: Vec::new(),
--- a/crates/micaspool-dispatch/tests/shard/limits.rs
+++ b/crates/micaspool-dispatch/tests/shard/limits.rs
@@ -2,13 +2,13 @@
 
 use crate::bench::{hello, ticket, Bench};
 use micaspool_dispatch::{
-    GrantFate, ReleaseReason, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
+    GrantOutcome, RefusalReason, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn refusals(bench: &Bench) -> Vec<(u128, ReleaseReason, Duration)> {
+fn refusals(bench: &Bench) -> Vec<(u128, RefusalReason, Duration)> {
     let refused = bench.seen.iter().filter_map(|action| match action {
         ShardAction::Refuse { request, reason, retry_after, .. } => Some((request.0, *reason, *retry_after)),
         _ => None,
@@ -25,7 +25,7 @@
         bench.submit(1, ticket(number, "flood", 10));
     }
     assert_eq!(refusals(&bench).len(), 189, "one runs and ten wait");
-    assert!(refusals(&bench).iter().all(|(_, reason, _)| *reason == ReleaseReason::CustomerFull));
+    assert!(refusals(&bench).iter().all(|(_, reason, _)| *reason == RefusalReason::CustomerFull));
     bench.seen.clear();
     bench.submit(1, ticket(1_000, "farm", 10));
     assert!(refusals(&bench).is_empty());
@@ -71,7 +71,7 @@
             ends.iter().filter(|(_, end)| **end == now + 1_000_000).map(|(request, _)| *request).collect();
         for request in due {
             ends.remove(&request);
-            bench.settle(1, request, 1, GrantFate::Done);
+            bench.settle(1, request, 1, GrantOutcome::Done);
         }
     }
     assert!(in_time > 700, "{in_time} of {asked} in time, of 800 that the endpoints do");
@@ -89,7 +89,7 @@
         bench.pass_with(50, &[1]);
         bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(1)));
         bench.pass_with(2_000, &[1]);
-        bench.settle(1, number, 9, GrantFate::Done);
+        bench.settle(1, number, 9, GrantOutcome::Done);
     }
     bench.submit(1, ticket(10, "a", 1));
     bench.seen.clear();
@@ -120,7 +120,7 @@
             bench.pass_with(40, &[1]);
             ended += running.len();
             for request in running {
-                bench.settle(1, request, 1, GrantFate::Done);
+                bench.settle(1, request, 1, GrantOutcome::Done);
             }
         }
         assert_eq!(ended, 24, "round {round}");
@@ -136,7 +136,7 @@
         bench.submit(1, ticket(number, "a", 10));
     }
     for number in 0..10 {
-        bench.settle(1, number, 10, GrantFate::Done);
+        bench.settle(1, number, 10, GrantOutcome::Done);
         bench.pass_with(500, &[1]);
     }
     bench.seen.clear();
@@ -159,8 +159,8 @@
     for number in 0..10 {
         bench.submit(1, ticket(number, "a", 10));
     }
-    let reasons: Vec<ReleaseReason> = refusals(&bench).into_iter().map(|(_, reason, _)| reason).collect();
-    assert_eq!(reasons, vec![ReleaseReason::ShardFull; 4]);
+    let reasons: Vec<RefusalReason> = refusals(&bench).into_iter().map(|(_, reason, _)| reason).collect();
+    assert_eq!(reasons, vec![RefusalReason::ShardFull; 4]);
 }
 
 #[test]
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{endpoint, hello, ticket, Bench};
 use micaspool_dispatch::{
-    GrantFate, LoadReport, PaceStatus, RequestTicket, SessionId, ShardEvent, ShardOptions,
+    GrantOutcome, LoadReport, PrefillStatus, RequestTicket, SessionId, ShardEvent, ShardOptions,
 };
 use micaspool_types::{Cost, RequestId};
 use std::collections::{BTreeMap, HashMap};
@@ -109,7 +109,7 @@
                 }
                 Step::End(number, tokens) => {
                     self.running -= 1;
-                    self.bench.settle(1, number, tokens, GrantFate::Done);
+                    self.bench.settle(1, number, tokens, GrantOutcome::Done);
                 }
             }
         }
@@ -126,12 +126,12 @@
     }
 
     fn report(&mut self, running: u32) {
-        let asked_at = self.bench.now;
-        let report = LoadReport { endpoint: endpoint(0), running, waiting: 0, draining: false, asked_at };
+        let requested_at = self.bench.now;
+        let report = LoadReport { endpoint: endpoint(0), running, waiting: 0, draining: false, requested_at };
         self.bench.step(ShardEvent::Load(report));
     }
 
-    fn pace(&self) -> PaceStatus {
+    fn pace(&self) -> PrefillStatus {
         self.bench.core.status(self.bench.now).endpoints[0].pace.expect("it is an engine")
     }
 }
@@ -214,7 +214,7 @@
 /// Two shards on one engine: neither starves, and together they leave it little more to read.
 #[test]
 fn two_shards_share_an_engine() {
-    let late = ShardOptions::builder().first_share(20).build();
+    let late = ShardOptions::builder().initial_share(20).build();
     let mut shards = [BusyShard::new(0, ShardOptions::default(), 48.0), BusyShard::new(1, late, 48.0)];
     let mut engine = EngineModel::new(80.0);
     play(&mut shards, &mut engine, &[], 15_000);
@@ -240,7 +240,7 @@
     for (place, step) in due.iter().enumerate() {
         let (Step::Begin(number, tokens) | Step::End(number, tokens)) = *step;
         if place % 2 == 0 {
-            shard.bench.settle(1, number, 0, GrantFate::Broken);
+            shard.bench.settle(1, number, 0, GrantOutcome::Broken);
         } else {
             shard.bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(tokens)));
         }
--- a/crates/micaspool-dispatch/tests/shard/poison.rs
+++ b/crates/micaspool-dispatch/tests/shard/poison.rs
@@ -4,7 +4,7 @@
 //! refused" and "shard decisions" told of the load alone, and grants went on as ever.
 
 use crate::bench::{endpoint, hello, ticket, Bench};
-use micaspool_dispatch::{EndpointSpec, GrantFate, ReleaseReason, RequestTicket, ShardAction, ShardEvent};
+use micaspool_dispatch::{EndpointSpec, GrantOutcome, RefusalReason, RequestTicket, ShardAction, ShardEvent};
 use micaspool_types::{EndpointName, Moment, RequestDigest};
 use rand::Rng;
 use rand::SeedableRng;
@@ -127,13 +127,13 @@
                 ShardAction::Refuse { request, reason, .. } => {
                     let (digest, _) = self.asked.remove(&request.0).expect("it was asked for");
                     self.refused += 1;
-                    self.wronged += usize::from(reason == ReleaseReason::Quarantined && digest != FATAL);
+                    self.wronged += usize::from(reason == RefusalReason::Quarantined && digest != FATAL);
                 }
                 _ => {}
             }
         }
         for request in unreachable {
-            self.settle(request, GrantFate::Unreachable);
+            self.settle(request, GrantOutcome::Unreachable);
         }
     }
 
@@ -141,7 +141,7 @@
         self.away.iter().any(|(number, _)| number_of(endpoint) == *number)
     }
 
-    fn settle(&mut self, request: u128, fate: GrantFate) {
+    fn settle(&mut self, request: u128, fate: GrantOutcome) {
         let run = self.running.remove(&request).expect("it runs");
         self.bench.settle(run.session, request, 10, fate);
         self.take_actions();
@@ -166,7 +166,7 @@
             .collect();
         done.sort_unstable();
         for request in done {
-            self.settle(request, GrantFate::Done);
+            self.settle(request, GrantOutcome::Done);
             self.served += 1;
         }
         self.return_endpoints();
@@ -187,7 +187,7 @@
             if digest != FATAL {
                 self.repeats.push((self.bench.now + REPEAT_PAUSE, digest));
             }
-            self.settle(request, GrantFate::Severed);
+            self.settle(request, GrantOutcome::Severed);
         }
         self.bench.step(ShardEvent::Unreachable(ended.clone()));
         self.take_actions();
--- a/crates/micaspool-dispatcher/src/customer_log.rs
+++ b/crates/micaspool-dispatcher/src/customer_log.rs
@@ -1,7 +1,7 @@
 //! What a shard granted and refused its customers lately: a line each for those that were refused most and for the one
 //! that was served most, from which an unfair share can be told and explained.
 
-use micaspool_dispatch::{CustomerFlow, CustomerStatus};
+use micaspool_dispatch::{CustomerCounters, CustomerStatus};
 use micaspool_fair::LEVEL_SCALE;
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_types::{CustomerName, ServiceName};
@@ -14,13 +14,13 @@
 #[derive(Debug)]
 pub(crate) struct CustomerLog {
     service: ServiceName,
-    told: HashMap<CustomerName, CustomerFlow>,
+    told: HashMap<CustomerName, CustomerCounters>,
 }
 
 /// A customer and what became of its tickets since the last lines.
 struct RecentFlow<'a> {
     status: &'a CustomerStatus,
-    flow: CustomerFlow,
+    flow: CustomerCounters,
 }
 
 impl CustomerLog {
@@ -38,12 +38,12 @@
         let served = recent.iter().max_by_key(|customer| customer.flow.granted_load);
         let unnamed = served.filter(|served| !named.is_empty() && !named.contains(&&served.status.name));
         unnamed.into_iter().for_each(|customer| self.write(customer));
-        self.told = customers.iter().map(|status| (status.name.clone(), status.flow)).collect();
+        self.told = customers.iter().map(|status| (status.name.clone(), status.counters)).collect();
     }
 
     fn recent<'a>(&self, status: &'a CustomerStatus) -> RecentFlow<'a> {
         let before = self.told.get(&status.name).copied().unwrap_or_default();
-        RecentFlow { status, flow: status.flow.since(&before) }
+        RecentFlow { status, flow: status.counters.since(&before) }
     }
 
     fn write(&self, customer: &RecentFlow<'_>) {
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -9,7 +9,7 @@
 use async_std::channel::{unbounded, Receiver, Sender};
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    CacheNews, CustomerTotal, LoadReport, SessionId, ShardAction, ShardCore, ShardEvent, ShardStatus,
+    CacheUpdate, CustomerTotal, LoadReport, SessionId, ShardAction, ShardCore, ShardEvent, ShardStatus,
 };
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_telemetry::spans::HopSpan;
@@ -196,7 +196,7 @@
         for action in actions.drain(..) {
             self.end_span(&action);
             self.tally.count(&action);
-            if let ShardAction::AskEndpoint { endpoint } = &action {
+            if let ShardAction::ProbeEndpoint { endpoint } = &action {
                 self.ask(endpoint);
             }
             let Some((session, message)) = action_message(action, self.options.incarnation) else { continue };
@@ -312,7 +312,7 @@
     probed: ProbedEndpoint,
     inputs: Sender<ShardInput>,
 ) {
-    let asked_at = clock.now();
+    let requested_at = clock.now();
     let endpoint = probed.name.clone();
     let Some(answer) = options.probe.ask(&probed).await else {
         if !options.silence_counts {
@@ -330,11 +330,11 @@
         running: answer.running,
         waiting: answer.waiting,
         draining: answer.draining,
-        asked_at,
+        requested_at,
     };
     let _ = inputs.send(ShardInput::Event(ShardEvent::Load(report))).await;
     if !answer.stored.is_empty() || !answer.dropped.is_empty() {
-        let news = CacheNews {
+        let news = CacheUpdate {
             endpoint,
             stored: answer.stored,
             dropped: answer.dropped,
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -6,7 +6,7 @@
 use crate::objectives::ObjectiveTally;
 use crate::standings::StandingLog;
 use micaspool_clock::BootInstant;
-use micaspool_dispatch::{EndpointClosure, EndpointStatus, PaceStatus, ShardAction, ShardStatus};
+use micaspool_dispatch::{EndpointClosure, EndpointStatus, PrefillStatus, ShardAction, ShardStatus};
 use micaspool_telemetry::events::{self, field, record, EventField};
 use micaspool_types::ServiceName;
 use micaspool_wire::convert::reason_text;
@@ -74,7 +74,7 @@
                     self.tell_refusal(action);
                 }
             }
-            ShardAction::NoteStanding { record, before, after, cause } => {
+            ShardAction::ReportStanding { record, before, after, cause } => {
                 self.standings.tell(record, *before, *after, *cause)
             }
             _ => {}
@@ -175,7 +175,7 @@
         field("endpoints_draining", count(|endpoint| endpoint.closure == Some(EndpointClosure::Draining))),
         field("endpoints_evacuated", count(|endpoint| endpoint.closure == Some(EndpointClosure::Evacuated))),
         field("endpoints_cold", count(|endpoint| !endpoint.cold.is_zero())),
-        field("endpoints_resting", count(|endpoint| endpoint.rests_for > 0)),
+        field("endpoints_resting", count(|endpoint| endpoint.resting_routers > 0)),
         field("endpoints_free", count(|endpoint| endpoint.free)),
         field("endpoints_reading", count(|endpoint| endpoint.reading)),
         field("endpoints_failing", count(|endpoint| endpoint.failures > 0)),
@@ -186,7 +186,7 @@
 /// What is known of the paces of engines.
 fn pace_fields(status: &ShardStatus) -> Vec<EventField> {
     let paces = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
-    let observed: Vec<PaceStatus> = paces.filter(|pace| pace.age.is_some()).collect();
+    let observed: Vec<PrefillStatus> = paces.filter(|pace| pace.age.is_some()).collect();
     let speeds = || observed.iter().map(|pace| pace.tokens_per_milli);
     let latencies: Duration = observed.iter().map(|pace| pace.latency).sum();
     let engines = u32::try_from(observed.len()).unwrap_or(u32::MAX).max(1);
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -3,7 +3,7 @@
 use async_std::channel::Receiver;
 use async_trait::async_trait;
 use micaspool_client::{FleetMirror, KeeperReach, KeeperSight, PeerDirectory};
-use micaspool_dispatch::{rank_apart, CandidateKind, CandidateReach};
+use micaspool_dispatch::{rank_distinct, CandidateHealth, CandidateKind};
 use micaspool_dispatcher::FleetDispatcher;
 use micaspool_router::{
     DispatcherAddress, DispatcherCandidate, DispatcherList, LocalDispatcher, MessageStream,
@@ -48,14 +48,14 @@
     fn candidate(&self, sight: &KeeperSight) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
         let reach = match sight.reach {
-            KeeperReach::Pending => CandidateReach::Pending,
-            KeeperReach::Reached if sight.quiet => CandidateReach::Quiet,
-            KeeperReach::Reached => CandidateReach::Answers,
-            KeeperReach::Lost => CandidateReach::Lost,
+            KeeperReach::Pending => CandidateHealth::Pending,
+            KeeperReach::Reached if sight.quiet => CandidateHealth::Unresponsive,
+            KeeperReach::Reached => CandidateHealth::Answering,
+            KeeperReach::Lost => CandidateHealth::Lost,
         };
         Some(DispatcherCandidate {
             address: DispatcherAddress::Remote(address),
-            kind: CandidateKind::Followed(reach),
+            kind: CandidateKind::Observed(reach),
         })
     }
 }
@@ -70,7 +70,7 @@
         let is_cut_off = |sight: &KeeperSight| sight.is_reached() && !sight.confirmed_lately;
         let chosen = sights.iter().filter(|sight| sight.wanted && is_cut_off(sight) == lacks_majority);
         let names: Vec<InstanceName> = chosen.map(|sight| sight.peer.name.clone()).collect();
-        rank_apart(service, services, &names)
+        rank_distinct(service, services, &names)
     };
     let names = ranked(false).into_iter().chain(ranked(true));
     names.filter_map(|name| sights.iter().find(|sight| sight.peer.name == name)).collect()
--- a/crates/micaspool-router/src/shard_client/held.rs
+++ b/crates/micaspool-router/src/shard_client/held.rs
@@ -7,7 +7,7 @@
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    AskThrottle, GrantFate, HeldGrant, HeldTotal, ReleaseReason, RequestTicket, RouterHello,
+    GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RequestThrottle, RequestTicket, RouterHello,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_quarantine::{CrashTable, QuarantineOptions};
@@ -68,7 +68,7 @@
     next_heartbeat: u64,
     last_pulse: BootInstant,
     /// Decides which requests are not taken to the dispatcher.
-    throttle: AskThrottle,
+    throttle: RequestThrottle,
     start: BootInstant,
     /// The requests of this router under which endpoints ended, and what dispatchers told of others'.
     crashes: CrashTable,
@@ -87,7 +87,7 @@
             heartbeats: VecDeque::new(),
             next_heartbeat: 1,
             last_pulse: now,
-            throttle: AskThrottle::default(),
+            throttle: RequestThrottle::default(),
             start: now,
             crashes: CrashTable::new(crash_options()),
             unanswered_since: None,
@@ -214,7 +214,7 @@
         if self.waiting.remove(&request).is_some() {
             self.send(Body::Cancel(v1::Cancel { request: request_bytes(request) }));
         } else if self.running.remove(&request).is_some() {
-            self.send_settle(request, Cost(0), GrantFate::Unsent);
+            self.send_settle(request, Cost(0), GrantOutcome::Unsent);
         }
     }
 
@@ -230,7 +230,7 @@
     }
 
     /// Ends a grant.
-    pub fn settle(&mut self, request: RequestId, cost: Cost, fate: GrantFate) {
+    pub fn settle(&mut self, request: RequestId, cost: Cost, fate: GrantOutcome) {
         if let Some(grant) = self.running.remove(&request) {
             self.learn(&grant, fate);
             self.send_settle(request, cost, fate);
@@ -238,14 +238,14 @@
     }
 
     /// Remembers under which requests endpoints seem to have ended, so that the next dispatcher hears of it.
-    fn learn(&mut self, grant: &HeldGrant, fate: GrantFate) {
+    fn learn(&mut self, grant: &HeldGrant, fate: GrantOutcome) {
         let Some(digest) = grant.digest else { return };
         let now = self.moment();
         match fate {
-            GrantFate::Severed => {
+            GrantOutcome::Severed => {
                 self.crashes.note_crash(now, digest, &grant.customer, &grant.endpoint);
             }
-            GrantFate::Done => {
+            GrantOutcome::Done => {
                 self.crashes.clear(now, digest);
             }
             _ => {}
@@ -260,7 +260,7 @@
         }
     }
 
-    fn send_settle(&mut self, request: RequestId, cost: Cost, fate: GrantFate) {
+    fn send_settle(&mut self, request: RequestId, cost: Cost, fate: GrantOutcome) {
         self.send(Body::Settle(settle_message(request, cost, fate)));
     }
 
@@ -294,13 +294,13 @@
         };
         let Some(entry) = self.waiting.remove(&request) else {
             if !self.running.contains_key(&request) {
-                self.send_settle(request, Cost(0), GrantFate::Unsent);
+                self.send_settle(request, Cost(0), GrantOutcome::Unsent);
             }
             return;
         };
         let order = OrderNumber(grant.order);
         let now = self.moment();
-        self.throttle.note_taken(now, &entry.ticket.customer);
+        self.throttle.note_granted(now, &entry.ticket.customer);
         self.note_total(&entry.ticket.customer, ServiceLevel(grant.level), order);
         let held = HeldGrant {
             request,
@@ -319,7 +319,7 @@
             expires: self.heartbeat_sent(grant.heartbeat).map(|at| at + lease),
         };
         if entry.waiter.try_send(Ok(terms)).is_err() {
-            self.settle(request, Cost(0), GrantFate::Unsent);
+            self.settle(request, Cost(0), GrantOutcome::Unsent);
         }
     }
 
@@ -339,14 +339,14 @@
         let entry = request_id(&refused.request).ok().and_then(|request| self.waiting.remove(&request));
         let Some(entry) = entry else { return };
         let kind = match release_reason(&refused.kind) {
-            ReleaseReason::CustomerFull => RefusalKind::CustomerBacklogFull,
-            ReleaseReason::ShardFull => RefusalKind::FleetBacklogFull,
-            ReleaseReason::RetryBudget => RefusalKind::RetriesExhausted,
-            ReleaseReason::Overdue => RefusalKind::Overloaded,
-            ReleaseReason::Quarantined => RefusalKind::Quarantined,
-            ReleaseReason::CopyRunning => RefusalKind::CopyRunning,
-            ReleaseReason::EndpointsRest => RefusalKind::EndpointsRest,
-            ReleaseReason::HallsEvacuated => RefusalKind::HallsEvacuated,
+            RefusalReason::CustomerFull => RefusalKind::CustomerBacklogFull,
+            RefusalReason::ShardFull => RefusalKind::FleetBacklogFull,
+            RefusalReason::RetryBudget => RefusalKind::RetriesExhausted,
+            RefusalReason::Overdue => RefusalKind::Overloaded,
+            RefusalReason::Quarantined => RefusalKind::Quarantined,
+            RefusalReason::CopyRunning => RefusalKind::CopyRunning,
+            RefusalReason::EndpointsRest => RefusalKind::EndpointsRest,
+            RefusalReason::HallsEvacuated => RefusalKind::HallsEvacuated,
         };
         let wait = Duration::from_millis(refused.retry_after_millis);
         let now = self.moment();
--- a/crates/micaspool-wire/src/convert.rs
+++ b/crates/micaspool-wire/src/convert.rs
@@ -13,8 +13,8 @@
 use crate::v1;
 use advice::advice_record;
 use micaspool_dispatch::{
-    CustomerTotal, GrantFate, HeldGrant, HeldTotal, RegionTotals, ReleaseReason, RequestTicket, RouterHello,
-    SessionId, ShardAction, ShardEvent,
+    CustomerTotal, GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RegionTotals, RequestTicket,
+    RouterHello, SessionId, ShardAction, ShardEvent,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_types::{
@@ -249,39 +249,39 @@
 }
 
 /// The end of a grant, as a message. What older processes don't tell apart is said beside the fate that they know.
-pub fn settle_message(request: RequestId, cost: Cost, fate: GrantFate) -> v1::Settle {
+pub fn settle_message(request: RequestId, cost: Cost, fate: GrantOutcome) -> v1::Settle {
     v1::Settle {
         request: request_bytes(request),
         cost: cost.0,
         fate: fate_message(fate).into(),
-        connection_ended: fate == GrantFate::Severed,
-        caller_left: fate == GrantFate::Abandoned,
+        connection_ended: fate == GrantOutcome::Severed,
+        caller_left: fate == GrantOutcome::Abandoned,
     }
 }
 
-fn fate_message(fate: GrantFate) -> v1::Fate {
+fn fate_message(fate: GrantOutcome) -> v1::Fate {
     match fate {
-        GrantFate::Done | GrantFate::Abandoned => v1::Fate::Done,
-        GrantFate::Refused => v1::Fate::Refused,
-        GrantFate::Unreachable => v1::Fate::Unreachable,
-        GrantFate::Draining => v1::Fate::Draining,
-        GrantFate::Broken | GrantFate::Severed => v1::Fate::Broken,
-        GrantFate::Unsent => v1::Fate::Unsent,
-        GrantFate::NotHeld => v1::Fate::NotHeld,
+        GrantOutcome::Done | GrantOutcome::Abandoned => v1::Fate::Done,
+        GrantOutcome::Refused => v1::Fate::Refused,
+        GrantOutcome::Unreachable => v1::Fate::Unreachable,
+        GrantOutcome::Draining => v1::Fate::Draining,
+        GrantOutcome::Broken | GrantOutcome::Severed => v1::Fate::Broken,
+        GrantOutcome::Unsent => v1::Fate::Unsent,
+        GrantOutcome::NotHeld => v1::Fate::NotHeld,
     }
 }
 
-fn grant_fate(settle: &v1::Settle) -> GrantFate {
+fn grant_fate(settle: &v1::Settle) -> GrantOutcome {
     match settle.fate() {
-        v1::Fate::Done if settle.caller_left => GrantFate::Abandoned,
-        v1::Fate::Done => GrantFate::Done,
-        v1::Fate::Refused => GrantFate::Refused,
-        v1::Fate::Unreachable => GrantFate::Unreachable,
-        v1::Fate::Draining => GrantFate::Draining,
-        v1::Fate::Broken if settle.connection_ended => GrantFate::Severed,
-        v1::Fate::Broken => GrantFate::Broken,
-        v1::Fate::Unsent => GrantFate::Unsent,
-        v1::Fate::NotHeld => GrantFate::NotHeld,
+        v1::Fate::Done if settle.caller_left => GrantOutcome::Abandoned,
+        v1::Fate::Done => GrantOutcome::Done,
+        v1::Fate::Refused => GrantOutcome::Refused,
+        v1::Fate::Unreachable => GrantOutcome::Unreachable,
+        v1::Fate::Draining => GrantOutcome::Draining,
+        v1::Fate::Broken if settle.connection_ended => GrantOutcome::Severed,
+        v1::Fate::Broken => GrantOutcome::Broken,
+        v1::Fate::Unsent => GrantOutcome::Unsent,
+        v1::Fate::NotHeld => GrantOutcome::NotHeld,
     }
 }
 
@@ -295,30 +295,30 @@
 const HALLS_EVACUATED: &str = "halls-evacuated";
 
 /// Why a ticket was refused, as text.
-pub fn reason_text(reason: ReleaseReason) -> &'static str {
+pub fn reason_text(reason: RefusalReason) -> &'static str {
     match reason {
-        ReleaseReason::CustomerFull => CUSTOMER_FULL,
-        ReleaseReason::ShardFull => SHARD_FULL,
-        ReleaseReason::RetryBudget => RETRY_BUDGET,
-        ReleaseReason::Overdue => OVERDUE,
-        ReleaseReason::Quarantined => QUARANTINED,
-        ReleaseReason::CopyRunning => COPY_RUNNING,
-        ReleaseReason::EndpointsRest => ENDPOINTS_REST,
-        ReleaseReason::HallsEvacuated => HALLS_EVACUATED,
+        RefusalReason::CustomerFull => CUSTOMER_FULL,
+        RefusalReason::ShardFull => SHARD_FULL,
+        RefusalReason::RetryBudget => RETRY_BUDGET,
+        RefusalReason::Overdue => OVERDUE,
+        RefusalReason::Quarantined => QUARANTINED,
+        RefusalReason::CopyRunning => COPY_RUNNING,
+        RefusalReason::EndpointsRest => ENDPOINTS_REST,
+        RefusalReason::HallsEvacuated => HALLS_EVACUATED,
     }
 }
 
 /// Why a ticket was refused, from text; an unknown text counts as a full shard.
-pub fn release_reason(text: &str) -> ReleaseReason {
+pub fn release_reason(text: &str) -> RefusalReason {
     match text {
-        CUSTOMER_FULL => ReleaseReason::CustomerFull,
-        RETRY_BUDGET => ReleaseReason::RetryBudget,
-        OVERDUE => ReleaseReason::Overdue,
-        QUARANTINED => ReleaseReason::Quarantined,
-        COPY_RUNNING => ReleaseReason::CopyRunning,
-        ENDPOINTS_REST => ReleaseReason::EndpointsRest,
-        HALLS_EVACUATED => ReleaseReason::HallsEvacuated,
-        _ => ReleaseReason::ShardFull,
+        CUSTOMER_FULL => RefusalReason::CustomerFull,
+        RETRY_BUDGET => RefusalReason::RetryBudget,
+        OVERDUE => RefusalReason::Overdue,
+        QUARANTINED => RefusalReason::Quarantined,
+        COPY_RUNNING => RefusalReason::CopyRunning,
+        ENDPOINTS_REST => RefusalReason::EndpointsRest,
+        HALLS_EVACUATED => RefusalReason::HallsEvacuated,
+        _ => RefusalReason::ShardFull,
     }
 }
 
@@ -367,8 +367,8 @@
         ShardAction::Pulse { session, heartbeat } => {
             (session, Body::Pulse(v1::Pulse { heartbeat, incarnation: incarnation.0 }))
         }
-        ShardAction::TellRecord { session, record } => (session, Body::CrashRecord(crash_message(&record))),
-        ShardAction::AskEndpoint { .. } | ShardAction::NoteStanding { .. } => return None,
+        ShardAction::SendRecord { session, record } => (session, Body::CrashRecord(crash_message(&record))),
+        ShardAction::ProbeEndpoint { .. } | ShardAction::ReportStanding { .. } => return None,
         ShardAction::Rejoin { session } => (session, Body::Moved(v1::Moved {})),
     };
     Some((session, v1::DispatcherMessage { body: Some(body) }))
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -5,8 +5,8 @@
 //! a request that arrives, at the usual rate of the users' grown site and at five times that.
 
 use micaspool::dispatch::{
-    CacheNews, ColdTerms, EndpointSpec, GrantFate, KeptPart, LoadReport, RequestTicket, RouterHello,
-    SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
+    CacheUpdate, CachedPart, ColdStartLimits, EndpointSpec, GrantOutcome, LoadReport, RequestTicket,
+    RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
 use micaspool::types::{
     Cost, CustomerName, EndpointName, HallMask, HallName, Incarnation, InstanceName, Moment, RequestDigest,
@@ -83,7 +83,7 @@
         revision: Revision(1),
         idle_credit: Cost(100_000),
         planned_pace: 0.0,
-        cold: ColdTerms::default(),
+        cold: ColdStartLimits::default(),
         halls: (0..3).map(|number| HallName::parse(&format!("hall-{number}")).expect("a name")).collect(),
         endpoints: specs.collect(),
         customers: named.collect(),
@@ -186,7 +186,10 @@
                 self.step(now, ShardEvent::Progress(SESSION, RequestId(request), Cost(4_000)));
             }
             Happening::End(request) => {
-                self.step(now, ShardEvent::Settle(SESSION, RequestId(request), Cost(4_240), GrantFate::Done));
+                self.step(
+                    now,
+                    ShardEvent::Settle(SESSION, RequestId(request), Cost(4_240), GrantOutcome::Done),
+                );
             }
             Happening::Reports => {
                 for number in 0..self.engines {
@@ -195,18 +198,18 @@
                         running: 4,
                         waiting: 0,
                         draining: false,
-                        asked_at: Moment(now),
+                        requested_at: Moment(now),
                     };
                     self.step(now, ShardEvent::Load(report));
                 }
                 self.agenda.push(Reverse((now + REPORT_INTERVAL, Happening::Reports)));
             }
             Happening::News(number) => {
-                let part = |place| KeptPart {
+                let part = |place| CachedPart {
                     prefix: 2_000_000 + scatter(u128::from(now + place), number as u64),
                     tokens: 3_000,
                 };
-                let news = CacheNews {
+                let news = CacheUpdate {
                     endpoint: engine(number),
                     stored: Vec::new(),
                     dropped: Vec::new(),
