--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -147,7 +147,7 @@
         let endpoint = self.endpoints.ensure(&held.endpoint);
         self.note_order(held.order);
         let state = self.customers.get_mut(customer);
-        state.account.charge_found(held.estimate, held.delivered);
+        state.account.charge_recovered(held.estimate, held.delivered);
         state.running += 1;
         self.reindex(customer);
         self.endpoints.occupy(endpoint);
@@ -191,7 +191,7 @@
     fn lower_to(&mut self, customer: CustomerIndex, lowest: ServiceLevel) {
         let state = self.customers.get(customer);
         let weight = state.account.weight();
-        let highest = lowest.plus(ServiceLevel::of(self.idle_credit, weight));
+        let highest = lowest.plus(ServiceLevel::from_cost(self.idle_credit, weight));
         let running = self.options.policy.level(&state.account);
         if state.level(self.options.policy.as_ref()) > highest {
             let base = ServiceLevel(highest.0.saturating_sub(running.0));
--- a/crates/micaspool-dispatch/src/shard/lag.rs
+++ b/crates/micaspool-dispatch/src/shard/lag.rs
@@ -21,7 +21,7 @@
     /// Raises the level of a customer that waits, so that it is not too far behind. One whose tickets were refused
     /// lately never ceased to wait, in effect, and may be further behind than one that was idle.
     pub(super) fn lift(&mut self, now: Moment, customer: CustomerIndex) {
-        if !self.options.policy.lifts() || self.recovering_until.is_some() {
+        if !self.options.policy.lifts_returning() || self.recovering_until.is_some() {
             return;
         }
         let state = self.customers.get(customer);
@@ -42,7 +42,7 @@
             return begins.then(|| self.floor_for(state.halls)).flatten().map(|floor| ServiceLevel(floor.0));
         }
         let credits = if never_ceased { REFUSED_CREDITS } else { 1 };
-        let credit = ServiceLevel::of(Cost(self.idle_credit.0 * credits), state.account.weight());
+        let credit = ServiceLevel::from_cost(Cost(self.idle_credit.0 * credits), state.account.weight());
         let lag = credit.min(self.even_share(now));
         let served = self.highest_served(state.halls)?;
         Some(ServiceLevel(served.0.saturating_sub(lag.0)))
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -268,7 +268,7 @@
 
     /// The lowest level at which a customer that comes back from idle time may start.
     fn floor_for(&self, halls: HallMask) -> Option<Rank> {
-        if let Some(rank) = self.index.lowest_sharing(halls) {
+        if let Some(rank) = self.index.lowest_rank(halls) {
             return Some(rank);
         }
         halls.indices().filter_map(|hall| self.floors.get(hall)).copied().min()
--- a/crates/micaspool-dispatch/src/shard/sharing.rs
+++ b/crates/micaspool-dispatch/src/shard/sharing.rs
@@ -64,8 +64,8 @@
         for growth in self.remote.growth(totals) {
             let customer = self.customers.ensure(&growth.customer);
             let state = self.customers.get_mut(customer);
-            let level = ServiceLevel::of(growth.served.min(most), state.account.weight());
-            state.account.raise(level);
+            let level = ServiceLevel::from_cost(growth.served.min(most), state.account.weight());
+            state.account.add_remote(level);
             self.reindex(customer);
         }
     }
--- a/crates/micaspool-dispatch/tests/shard/bound.rs
+++ b/crates/micaspool-dispatch/tests/shard/bound.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 const LARGEST: u64 = 100;
-const REST_PERCENT: u64 = 10;
+const REMAINING_PERCENT: u64 = 10;
 
 struct World {
     bench: Bench,
@@ -30,7 +30,7 @@
     fn new(seed: u64, customers: usize, endpoints: usize, slots: u32, weights: &[u32]) -> World {
         let names: Vec<String> = (0..customers).map(|number| format!("c{number}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let policy = Arc::new(ProgressCounters::with_rest_percent(REST_PERCENT));
+        let policy = Arc::new(ProgressCounters::with_remaining_percent(REMAINING_PERCENT));
         let options = ShardOptions::builder().policy(policy).cost_ceiling(Cost(LARGEST)).build();
         let mut bench = Bench::recovering(endpoints, slots, &names, options);
         bench.pass(1_000);
@@ -94,7 +94,7 @@
         let request = running[self.rng.random_range(0..running.len())];
         let (number, cost, done) = self.running[&request];
         let step = self.rng.random_range(1..=LARGEST / 4).min(cost - done);
-        self.meter.serve(number, Cost(step));
+        self.meter.record_service(number, Cost(step));
         if done + step == cost {
             self.running.remove(&request);
             self.step(ShardEvent::Settle(SessionId(1), id(request), Cost(cost), GrantFate::Done));
@@ -137,7 +137,7 @@
             }
         }
         let all_slots = (endpoints as u64 * u64::from(slots)) as f64;
-        let bound = 2.0 * (all_slots + 1.0) * LARGEST as f64 * (1.0 + REST_PERCENT as f64 / 100.0);
+        let bound = 2.0 * (all_slots + 1.0) * LARGEST as f64 * (1.0 + REMAINING_PERCENT as f64 / 100.0);
         let report = world.meter.report();
         prop_assert!(report.largest <= bound, "gap {} above {}", report.largest, bound);
     }
--- a/crates/micaspool-fair/src/account.rs
+++ b/crates/micaspool-fair/src/account.rs
@@ -11,7 +11,7 @@
 
 impl ServiceLevel {
     /// The level that a cost adds for a customer of this weight.
-    pub fn of(cost: Cost, weight: Weight) -> ServiceLevel {
+    pub fn from_cost(cost: Cost, weight: Weight) -> ServiceLevel {
         let scaled = u128::from(cost.0) * u128::from(LEVEL_SCALE) / u128::from(weight.get());
         ServiceLevel(u64::try_from(scaled).unwrap_or(u64::MAX))
     }
@@ -33,7 +33,7 @@
     granted_estimate: Cost,
     granted_count: u64,
     running_delivered: Cost,
-    running_rest: Cost,
+    running_remaining: Cost,
 }
 
 /// The part of an account that belongs to one running request.
@@ -53,7 +53,7 @@
             granted_estimate: Cost(0),
             granted_count: 0,
             running_delivered: Cost(0),
-            running_rest: Cost(0),
+            running_remaining: Cost(0),
         }
     }
 
@@ -78,8 +78,8 @@
     }
 
     /// What running requests are estimated to cost beyond what they delivered.
-    pub fn running_rest(&self) -> Cost {
-        self.running_rest
+    pub fn running_remaining(&self) -> Cost {
+        self.running_remaining
     }
 
     /// The sum of the estimates of all granted requests.
@@ -96,11 +96,11 @@
     pub fn charge_grant(&mut self, estimate: Cost) {
         self.granted_count += 1;
         self.granted_estimate = self.granted_estimate.plus(estimate);
-        self.running_rest = self.running_rest.plus(estimate);
+        self.running_remaining = self.running_remaining.plus(estimate);
     }
 
     /// Charges a request that was found running after a recovery.
-    pub fn charge_found(&mut self, estimate: Cost, delivered: Cost) {
+    pub fn charge_recovered(&mut self, estimate: Cost, delivered: Cost) {
         let charge = RunningCharge::new(estimate, delivered);
         self.granted_count += 1;
         self.granted_estimate = self.granted_estimate.plus(estimate);
@@ -135,7 +135,7 @@
     }
 
     /// Raises the base by service that was received elsewhere.
-    pub fn raise(&mut self, level: ServiceLevel) {
+    pub fn add_remote(&mut self, level: ServiceLevel) {
         self.base = self.base.plus(level);
     }
 
@@ -150,12 +150,12 @@
 
     fn add_running(&mut self, charge: RunningCharge) {
         self.running_delivered = self.running_delivered.plus(charge.delivered);
-        self.running_rest = self.running_rest.plus(charge.rest);
+        self.running_remaining = self.running_remaining.plus(charge.rest);
     }
 
     fn remove_running(&mut self, charge: RunningCharge) {
         self.running_delivered = self.running_delivered.minus(charge.delivered);
-        self.running_rest = self.running_rest.minus(charge.rest);
+        self.running_remaining = self.running_remaining.minus(charge.rest);
     }
 }
 
--- a/crates/micaspool-fair/src/gap.rs
+++ b/crates/micaspool-fair/src/gap.rs
@@ -77,7 +77,7 @@
     }
 
     /// Records service that a customer received.
-    pub fn serve(&mut self, customer: usize, cost: Cost) {
+    pub fn record_service(&mut self, customer: usize, cost: Cost) {
         let weight = self.customers[customer].weight;
         self.customers[customer].received += cost.0 as f64 / weight;
         for other in 0..self.customers.len() {
--- a/crates/micaspool-fair/src/index.rs
+++ b/crates/micaspool-fair/src/index.rs
@@ -34,7 +34,7 @@
     }
 
     /// The lowest rank of the customers that may use one of `halls`.
-    pub fn lowest_sharing(&self, halls: HallMask) -> Option<Rank> {
+    pub fn lowest_rank(&self, halls: HallMask) -> Option<Rank> {
         let sharing = self.classes.iter().filter(|(class, _)| !class.intersect(halls).is_empty());
         sharing.filter_map(|(_, class)| class.first()).map(|(rank, _)| *rank).min()
     }
@@ -58,7 +58,7 @@
     }
 
     /// True when a customer that may use one of `free` waits.
-    pub fn any_usable(&self, free: HallMask) -> bool {
+    pub fn has_usable_customer(&self, free: HallMask) -> bool {
         self.classes.keys().any(|halls| !halls.intersect(free).is_empty())
     }
 }
--- a/crates/micaspool-fair/src/policy/arrival.rs
+++ b/crates/micaspool-fair/src/policy/arrival.rs
@@ -20,7 +20,7 @@
         Rank(head.order.0)
     }
 
-    fn lifts(&self) -> bool {
+    fn lifts_returning(&self) -> bool {
         false
     }
 }
--- a/crates/micaspool-fair/src/policy/counters.rs
+++ b/crates/micaspool-fair/src/policy/counters.rs
@@ -5,7 +5,7 @@
 use micaspool_types::Cost;
 
 /// The part of a running request's estimated rest that is charged beforehand, in percent.
-const DEFAULT_REST_PERCENT: u64 = 10;
+const DEFAULT_REMAINING_PERCENT: u64 = 10;
 
 /// Charges what was delivered so far and a part of what running requests still need.
 ///
@@ -13,19 +13,19 @@
 /// estimate; charging none of it grants too many requests at once to a customer that starts.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressCounters {
-    rest_percent: u64,
+    remaining_percent: u64,
 }
 
 impl Default for ProgressCounters {
     fn default() -> Self {
-        ProgressCounters { rest_percent: DEFAULT_REST_PERCENT }
+        ProgressCounters { remaining_percent: DEFAULT_REMAINING_PERCENT }
     }
 }
 
 impl ProgressCounters {
     /// Counters that charge this part of the estimated rest, 0 to 100 percent.
-    pub fn with_rest_percent(rest_percent: u64) -> Self {
-        ProgressCounters { rest_percent: rest_percent.min(100) }
+    pub fn with_remaining_percent(remaining_percent: u64) -> Self {
+        ProgressCounters { remaining_percent: remaining_percent.min(100) }
     }
 }
 
@@ -35,9 +35,9 @@
     }
 
     fn level(&self, account: &ServiceAccount) -> ServiceLevel {
-        let rest = Cost(account.running_rest().0.saturating_mul(self.rest_percent) / 100);
+        let rest = Cost(account.running_remaining().0.saturating_mul(self.remaining_percent) / 100);
         let charged = account.settled().plus(account.running_delivered()).plus(rest);
-        ServiceLevel::of(charged, account.weight())
+        ServiceLevel::from_cost(charged, account.weight())
     }
 }
 
@@ -51,8 +51,8 @@
     }
 
     fn level(&self, account: &ServiceAccount) -> ServiceLevel {
-        let running = account.running_delivered().plus(account.running_rest());
-        ServiceLevel::of(account.settled().plus(running), account.weight())
+        let running = account.running_delivered().plus(account.running_remaining());
+        ServiceLevel::from_cost(account.settled().plus(running), account.weight())
     }
 }
 
@@ -66,7 +66,7 @@
     }
 
     fn level(&self, account: &ServiceAccount) -> ServiceLevel {
-        ServiceLevel::of(account.granted_estimate(), account.weight())
+        ServiceLevel::from_cost(account.granted_estimate(), account.weight())
     }
 }
 
@@ -80,6 +80,6 @@
     }
 
     fn level(&self, account: &ServiceAccount) -> ServiceLevel {
-        ServiceLevel::of(account.settled(), account.weight())
+        ServiceLevel::from_cost(account.settled(), account.weight())
     }
 }
--- a/crates/micaspool-fair/src/policy/mod.rs
+++ b/crates/micaspool-fair/src/policy/mod.rs
@@ -36,7 +36,7 @@
 
     /// True when a customer that comes back from idle time starts at the lowest level of those
     /// that wait.
-    fn lifts(&self) -> bool {
+    fn lifts_returning(&self) -> bool {
         true
     }
 }
--- a/crates/micaspool-fair/src/policy/rounds.rs
+++ b/crates/micaspool-fair/src/policy/rounds.rs
@@ -14,6 +14,6 @@
     }
 
     fn level(&self, account: &ServiceAccount) -> ServiceLevel {
-        ServiceLevel::of(Cost(account.granted_count()), account.weight())
+        ServiceLevel::from_cost(Cost(account.granted_count()), account.weight())
     }
 }
--- a/crates/micaspool-fair/tests/policies.rs
+++ b/crates/micaspool-fair/tests/policies.rs
@@ -91,25 +91,25 @@
     assert!(none.is_none());
     assert_eq!(seen, vec![4, 2, 3]);
     index.remove(HallMask(0b10), Rank(1), CustomerIndex(4));
-    assert_eq!(index.lowest_sharing(HallMask(0b11)), Some(Rank(3)));
+    assert_eq!(index.lowest_rank(HallMask(0b11)), Some(Rank(3)));
 }
 
 #[test]
 fn the_gap_counts_only_while_both_wait() {
     let mut meter =
         GapMeter::new(&[(weight(1), HallMask(1)), (weight(2), HallMask(1)), (weight(1), HallMask(2))]);
-    meter.serve(0, Cost(1_000));
+    meter.record_service(0, Cost(1_000));
     meter.set_waiting(0, true);
     meter.set_waiting(1, true);
     meter.set_waiting(2, true);
-    meter.serve(0, Cost(10));
-    meter.serve(1, Cost(60));
-    meter.serve(2, Cost(5_000));
+    meter.record_service(0, Cost(10));
+    meter.record_service(1, Cost(60));
+    meter.record_service(2, Cost(5_000));
     assert_eq!(meter.report().largest, 30.0);
     meter.set_waiting(1, false);
-    meter.serve(0, Cost(500));
+    meter.record_service(0, Cost(500));
     meter.set_waiting(1, true);
-    meter.serve(1, Cost(4));
+    meter.record_service(1, Cost(4));
     assert_eq!(meter.report().largest, 30.0);
 }
 
--- a/crates/micaspool-replay/src/run/measure.rs
+++ b/crates/micaspool-replay/src/run/measure.rs
@@ -109,9 +109,9 @@
     }
 
     pub fn serve(&mut self, customer: usize, cost: Cost) {
-        self.meter.serve(customer, cost);
+        self.meter.record_service(customer, cost);
         if let Some(meter) = &mut self.after_loss {
-            meter.serve(customer, cost);
+            meter.record_service(customer, cost);
         }
     }
 
