--- a/crates/micaspool-dispatch/tests/shard/advice.rs
+++ b/crates/micaspool-dispatch/tests/shard/advice.rs
@@ -4,7 +4,7 @@
 //! another router got there set the pause back. A router that had been asked for three seconds of rest so got a grant
 //! for that endpoint each half second: requests reached it after 0.41, 1.42 and 1.95 s.
 
-use crate::bench::{endpoint, hello, id, ticket, Bench};
+use crate::harness::{endpoint, hello, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{
     EndpointClosure, GrantFate, ReleaseReason, RequestTicket, RouterHello, SessionId, ShardAction,
     ShardEvent, ShardOptions,
@@ -23,8 +23,8 @@
     AdviceRecord { endpoint: endpoint(on), advice: EndpointAdvice { rest: Duration::ZERO, leaving: true } }
 }
 
-fn advise(bench: &mut Bench, session: u64, advice: Vec<AdviceRecord>) {
-    bench.step(ShardEvent::Advised(SessionId(session), advice));
+fn advise(harness: &mut ShardHarness, session: u64, advice: Vec<AdviceRecord>) {
+    harness.step(ShardEvent::Advised(SessionId(session), advice));
 }
 
 /// A ticket whose answer is wanted within this many milliseconds.
@@ -32,141 +32,141 @@
     RequestTicket { objective: Some(Duration::from_millis(millis)), ..ticket(number, name, 10) }
 }
 
-fn refusals(bench: &Bench) -> Vec<(u128, ReleaseReason, Duration)> {
+fn refusals(harness: &ShardHarness) -> Vec<(u128, ReleaseReason, Duration)> {
     let refusal = |action: &ShardAction| match action {
         ShardAction::Refuse { request, reason, retry_after, .. } => Some((request.0, *reason, *retry_after)),
         _ => None,
     };
-    bench.seen.iter().filter_map(refusal).collect()
+    harness.actions.iter().filter_map(refusal).collect()
 }
 
 /// Two endpoints of four slots, three routers.
-fn fleet() -> Bench {
-    let mut bench = Bench::new(2, 4, &["a", "b"]);
+fn fleet() -> ShardHarness {
+    let mut harness = ShardHarness::new(2, 4, &["a", "b"]);
     for session in 1..=3 {
-        bench.join(session, hello(&format!("r{session}"), 1));
+        harness.join(session, hello(&format!("r{session}"), 1));
     }
-    bench
+    harness
 }
 
 /// Submits a request, runs it to its end, and tells where it ran.
-fn run(bench: &mut Bench, session: u64, number: u128) -> usize {
-    bench.submit(session, ticket(number, "a", 10));
-    let at = bench.grants().pop().expect("it is granted").endpoint;
-    bench.settle(session, number, 10, GrantFate::Done);
+fn run(harness: &mut ShardHarness, session: u64, number: u128) -> usize {
+    harness.submit(session, ticket(number, "a", 10));
+    let at = harness.take_grants().pop().expect("it is granted").endpoint;
+    harness.settle(session, number, 10, GrantFate::Done);
     (0..2).find(|number| endpoint(*number) == at).expect("one of two")
 }
 
 #[test]
 fn an_endpoint_that_asked_a_router_for_rest_is_not_granted_to_it_until_then() {
-    let mut bench = fleet();
-    advise(&mut bench, 1, vec![rest(0, REST)]);
+    let mut harness = fleet();
+    advise(&mut harness, 1, vec![rest(0, REST)]);
     for number in 0..29 {
-        assert_eq!(run(&mut bench, 1, 2 * number), 1, "after {number} tenths of a second");
-        assert_eq!(run(&mut bench, 2, 2 * number + 1), 0, "others were not asked");
-        bench.pass_with(100, &[1, 2, 3]);
+        assert_eq!(run(&mut harness, 1, 2 * number), 1, "after {number} tenths of a second");
+        assert_eq!(run(&mut harness, 2, 2 * number + 1), 0, "others were not asked");
+        harness.advance_with_heartbeats(100, &[1, 2, 3]);
     }
-    bench.pass_with(200, &[1, 2, 3]);
-    assert_eq!(run(&mut bench, 1, 100), 0);
+    harness.advance_with_heartbeats(200, &[1, 2, 3]);
+    assert_eq!(run(&mut harness, 1, 100), 0);
 }
 
 #[test_case(1_000, 3_000; "a longer one follows")]
 #[test_case(3_000, 1_000; "a shorter one follows")]
 fn a_rest_is_prolonged_and_never_shortened(first: u64, second: u64) {
-    let mut bench = fleet();
-    advise(&mut bench, 1, vec![rest(0, Duration::from_millis(first))]);
-    advise(&mut bench, 1, vec![rest(0, Duration::from_millis(second))]);
-    bench.pass_with(2_900, &[1]);
-    assert_eq!(run(&mut bench, 1, 1), 1);
-    bench.pass_with(200, &[1]);
-    assert_eq!(run(&mut bench, 1, 2), 0);
+    let mut harness = fleet();
+    advise(&mut harness, 1, vec![rest(0, Duration::from_millis(first))]);
+    advise(&mut harness, 1, vec![rest(0, Duration::from_millis(second))]);
+    harness.advance_with_heartbeats(2_900, &[1]);
+    assert_eq!(run(&mut harness, 1, 1), 1);
+    harness.advance_with_heartbeats(200, &[1]);
+    assert_eq!(run(&mut harness, 1, 2), 0);
 }
 
 #[test]
 fn a_new_shard_hears_of_rests_with_the_hello() {
-    let mut bench = Bench::recovering(2, 4, &["a"], ShardOptions::default());
-    bench.join(1, RouterHello { advice: vec![rest(0, REST), leaving(1)], ..hello("r1", 1) });
-    bench.join(2, hello("r2", 1));
-    bench.pass_with(1_000, &[1, 2]);
-    assert_eq!(run(&mut bench, 2, 1), 0);
-    bench.submit(1, wanted(2, "a", 500));
-    assert_eq!(refusals(&bench), [(2, ReleaseReason::EndpointsRest, Duration::from_secs(2))]);
+    let mut harness = ShardHarness::recovering(2, 4, &["a"], ShardOptions::default());
+    harness.join(1, RouterHello { advice: vec![rest(0, REST), leaving(1)], ..hello("r1", 1) });
+    harness.join(2, hello("r2", 1));
+    harness.advance_with_heartbeats(1_000, &[1, 2]);
+    assert_eq!(run(&mut harness, 2, 1), 0);
+    harness.submit(1, wanted(2, "a", 500));
+    assert_eq!(refusals(&harness), [(2, ReleaseReason::EndpointsRest, Duration::from_secs(2))]);
 }
 
 #[test]
 fn a_ticket_that_no_endpoint_wants_in_time_is_refused_at_once() {
-    let mut bench = fleet();
-    bench.submit(1, ticket(1, "a", 10));
-    bench.submit(2, ticket(2, "a", 10));
+    let mut harness = fleet();
+    harness.submit(1, ticket(1, "a", 10));
+    harness.submit(2, ticket(2, "a", 10));
     for number in 3..=8 {
-        bench.submit(3, ticket(number, "a", 10));
+        harness.submit(3, ticket(number, "a", 10));
     }
-    bench.submit(1, wanted(10, "a", 4_000));
-    bench.submit(1, wanted(11, "a", 500));
-    bench.grants();
-    advise(&mut bench, 1, vec![rest(0, REST), rest(1, Duration::from_secs(5))]);
+    harness.submit(1, wanted(10, "a", 4_000));
+    harness.submit(1, wanted(11, "a", 500));
+    harness.take_grants();
+    advise(&mut harness, 1, vec![rest(0, REST), rest(1, Duration::from_secs(5))]);
     let waits = "the one that can wait for the first endpoint stays";
-    assert_eq!(refusals(&bench), [(11, ReleaseReason::EndpointsRest, REST)], "{waits}");
-    bench.seen.clear();
-    bench.pass_with(1_000, &[1, 2, 3]);
-    bench.seen.clear();
-    bench.submit(1, wanted(12, "b", 500));
-    assert_eq!(refusals(&bench), [(12, ReleaseReason::EndpointsRest, Duration::from_secs(2))]);
+    assert_eq!(refusals(&harness), [(11, ReleaseReason::EndpointsRest, REST)], "{waits}");
+    harness.actions.clear();
+    harness.advance_with_heartbeats(1_000, &[1, 2, 3]);
+    harness.actions.clear();
+    harness.submit(1, wanted(12, "b", 500));
+    assert_eq!(refusals(&harness), [(12, ReleaseReason::EndpointsRest, Duration::from_secs(2))]);
 }
 
 #[test]
 fn a_ticket_that_waits_for_the_end_of_a_rest_runs_then() {
-    let mut bench = fleet();
-    advise(&mut bench, 1, vec![rest(0, REST), rest(1, REST)]);
-    bench.submit(1, wanted(1, "a", 4_000));
-    bench.pass_with(2_900, &[1]);
-    assert!(bench.granted_requests().is_empty());
-    bench.pass_with(150, &[1]);
-    assert_eq!(bench.granted_requests(), [1]);
+    let mut harness = fleet();
+    advise(&mut harness, 1, vec![rest(0, REST), rest(1, REST)]);
+    harness.submit(1, wanted(1, "a", 4_000));
+    harness.advance_with_heartbeats(2_900, &[1]);
+    assert!(harness.take_granted_requests().is_empty());
+    harness.advance_with_heartbeats(150, &[1]);
+    assert_eq!(harness.take_granted_requests(), [1]);
 }
 
 /// A router from which no endpoint wants anything stood before everyone else's tickets of its customer.
 #[test]
 fn tickets_of_a_router_that_may_use_nothing_do_not_keep_others_from_free_slots() {
-    let mut bench = fleet();
-    advise(&mut bench, 1, vec![rest(0, REST), rest(1, REST)]);
+    let mut harness = fleet();
+    advise(&mut harness, 1, vec![rest(0, REST), rest(1, REST)]);
     for number in 10..50 {
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
     }
-    bench.submit(2, ticket(1, "a", 10));
-    assert_eq!(bench.granted_requests(), [1]);
+    harness.submit(2, ticket(1, "a", 10));
+    assert_eq!(harness.take_granted_requests(), [1]);
 }
 
 /// The least loaded four of a hall were taken before those were left out that a ticket may not use, so that it found
 /// nothing beside four that rest, with sixteen more of the hall free.
 #[test]
 fn engines_beyond_the_least_loaded_are_found_while_those_rest() {
-    let mut bench = Bench::new(60, 4, &["a"]);
-    bench.change(|policy| policy.endpoints.iter_mut().for_each(|spec| spec.memory_tokens = 100_000));
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(60, 4, &["a"]);
+    harness.update_policy(|policy| policy.endpoints.iter_mut().for_each(|spec| spec.memory_tokens = 100_000));
+    harness.join(1, hello("r1", 1));
     let resting: Vec<usize> = (0..59).collect();
-    advise(&mut bench, 1, resting.iter().map(|on| rest(*on, REST)).collect());
-    bench.submit(1, RequestTicket { prompt_tokens: Cost(100), ..ticket(1, "a", 100) });
-    let grants = bench.grants();
+    advise(&mut harness, 1, resting.iter().map(|on| rest(*on, REST)).collect());
+    harness.submit(1, RequestTicket { prompt_tokens: Cost(100), ..ticket(1, "a", 100) });
+    let grants = harness.take_grants();
     assert_eq!(grants.len(), 1);
     assert_eq!(grants[0].endpoint, endpoint(59));
 }
 
 #[test]
 fn an_endpoint_that_says_it_leaves_is_closed_for_all_and_what_runs_there_goes_on() {
-    let mut bench = fleet();
-    bench.submit(2, ticket(1, "a", 10));
-    assert_eq!(bench.grants()[0].endpoint, endpoint(0));
-    advise(&mut bench, 1, vec![leaving(0)]);
+    let mut harness = fleet();
+    harness.submit(2, ticket(1, "a", 10));
+    assert_eq!(harness.take_grants()[0].endpoint, endpoint(0));
+    advise(&mut harness, 1, vec![leaving(0)]);
     for number in 10..14 {
-        assert_eq!(run(&mut bench, 1 + (number % 3) as u64, number), 1);
+        assert_eq!(run(&mut harness, 1 + (number % 3) as u64, number), 1);
     }
-    bench.load(0, 1, false);
-    bench.pass_with(60_000, &[1, 2, 3]);
-    assert_eq!(run(&mut bench, 1, 20), 1, "no later word of this start opens it");
-    bench.step(ShardEvent::Progress(SessionId(2), id(1), Cost(5)));
-    bench.settle(2, 1, 10, GrantFate::Done);
-    let status = bench.core.status(bench.now);
+    harness.report_load(0, 1, false);
+    harness.advance_with_heartbeats(60_000, &[1, 2, 3]);
+    assert_eq!(run(&mut harness, 1, 20), 1, "no later word of this start opens it");
+    harness.step(ShardEvent::Progress(SessionId(2), request_id(1), Cost(5)));
+    harness.settle(2, 1, 10, GrantFate::Done);
+    let status = harness.core.status(harness.now);
     assert_eq!(status.endpoints[0].closure, Some(EndpointClosure::Draining));
     assert_eq!(status.endpoints[0].busy, 0);
 }
@@ -174,29 +174,29 @@
 /// Nine routers were told at the same moment; their requests come back one at a time until one succeeds.
 #[test]
 fn the_end_of_a_rest_is_no_herd() {
-    let mut bench = Bench::new(1, 8, &["a"]);
+    let mut harness = ShardHarness::new(1, 8, &["a"]);
     for session in 1..=9 {
-        bench.join(session, hello(&format!("r{session}"), 1));
+        harness.join(session, hello(&format!("r{session}"), 1));
     }
     for session in 1..=8 {
-        bench.submit(session, ticket(u128::from(session), "a", 10));
+        harness.submit(session, ticket(u128::from(session), "a", 10));
     }
-    assert_eq!(bench.granted_requests().len(), 8);
+    assert_eq!(harness.take_granted_requests().len(), 8);
     for session in 1..=8 {
-        advise(&mut bench, session, vec![rest(0, REST)]);
-        bench.settle(session, u128::from(session), 0, GrantFate::Refused);
+        advise(&mut harness, session, vec![rest(0, REST)]);
+        harness.settle(session, u128::from(session), 0, GrantFate::Refused);
     }
     let alive: Vec<u64> = (1..=9).collect();
     for session in 1..=8 {
-        bench.submit(session, ticket(20 + u128::from(session), "a", 10));
+        harness.submit(session, ticket(20 + u128::from(session), "a", 10));
     }
-    bench.grants();
-    bench.pass_with(2_950, &alive);
-    assert!(bench.granted_requests().is_empty());
-    bench.pass_with(200, &alive);
-    let first = bench.granted_requests();
+    harness.take_grants();
+    harness.advance_with_heartbeats(2_950, &alive);
+    assert!(harness.take_granted_requests().is_empty());
+    harness.advance_with_heartbeats(200, &alive);
+    let first = harness.take_granted_requests();
     assert_eq!(first.len(), 1, "one comes back: {first:?}");
     let session = u64::try_from(first[0] - 20).expect("a session");
-    bench.settle(session, first[0], 10, GrantFate::Done);
-    assert_eq!(bench.granted_requests().len(), 7);
+    harness.settle(session, first[0], 10, GrantFate::Done);
+    assert_eq!(harness.take_granted_requests().len(), 7);
 }
--- a/crates/micaspool-dispatch/tests/shard/bound.rs
+++ b/crates/micaspool-dispatch/tests/shard/bound.rs
@@ -4,7 +4,7 @@
 //! divided by weight, by at most `(slots + 1) * (1 + rest)` of the largest request, twice; see
 //! `docs/design/001-order.md`.
 
-use crate::bench::{endpoint, hello, id, ticket, Bench};
+use crate::harness::{endpoint, hello, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, SessionId, ShardAction, ShardCore, ShardEvent, ShardOptions};
 use micaspool_fair::{policies::ProgressCounters, GapMeter};
 use micaspool_types::{Cost, HallMask, Weight};
@@ -18,7 +18,7 @@
 const REMAINING_PERCENT: u64 = 10;
 
 struct World {
-    bench: Bench,
+    harness: ShardHarness,
     meter: GapMeter,
     waiting: Vec<Vec<u128>>,
     running: HashMap<u128, (usize, u64, u64)>,
@@ -32,18 +32,18 @@
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let policy = Arc::new(ProgressCounters::with_remaining_percent(REMAINING_PERCENT));
         let options = ShardOptions::builder().policy(policy).cost_ceiling(Cost(LARGEST)).build();
-        let mut bench = Bench::recovering(endpoints, slots, &names, options);
-        bench.pass(1_000);
-        bench.change(|policy| {
+        let mut harness = ShardHarness::recovering(endpoints, slots, &names, options);
+        harness.advance(1_000);
+        harness.update_policy(|policy| {
             for (spec, weight) in policy.customers.iter_mut().zip(weights) {
                 spec.weight = Weight::new(*weight).expect("weights are above zero");
             }
         });
-        bench.join(1, hello("r1", 1));
+        harness.join(1, hello("r1", 1));
         let metered: Vec<(Weight, HallMask)> =
             weights.iter().map(|weight| (Weight::new(*weight).expect("above zero"), HallMask(7))).collect();
         World {
-            bench,
+            harness,
             meter: GapMeter::new(&metered),
             waiting: vec![Vec::new(); customers],
             running: HashMap::new(),
@@ -65,8 +65,8 @@
     }
 
     fn step(&mut self, event: ShardEvent) {
-        self.bench.step(event);
-        let actions = std::mem::take(&mut self.bench.seen);
+        self.harness.step(event);
+        let actions = std::mem::take(&mut self.harness.actions);
         for action in actions {
             if let ShardAction::Grant { request, .. } = action {
                 let entry = self.running.get_mut(&request.0).expect("a known request");
@@ -97,10 +97,10 @@
         self.meter.record_service(number, Cost(step));
         if done + step == cost {
             self.running.remove(&request);
-            self.step(ShardEvent::Settle(SessionId(1), id(request), Cost(cost), GrantFate::Done));
+            self.step(ShardEvent::Settle(SessionId(1), request_id(request), Cost(cost), GrantFate::Done));
         } else {
             self.running.insert(request, (number, cost, done + step));
-            self.step(ShardEvent::Progress(SessionId(1), id(request), Cost(done + step)));
+            self.step(ShardEvent::Progress(SessionId(1), request_id(request), Cost(done + step)));
         }
     }
 }
@@ -131,7 +131,7 @@
                 2 => {
                     let lost = world.rng.random_range(0..endpoints);
                     world.step(ShardEvent::Unreachable(endpoint(lost)));
-                    world.bench.pass_with(600, &[1]);
+                    world.harness.advance_with_heartbeats(600, &[1]);
                 }
                 _ => world.deliver(),
             }
--- a/crates/micaspool-dispatch/tests/shard/breaks.rs
+++ b/crates/micaspool-dispatch/tests/shard/breaks.rs
@@ -1,22 +1,22 @@
 //! Endpoints that lose an answer now and then.
 
-use crate::bench::{hello, ticket, Bench};
+use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, ShardOptions};
 use test_case::test_case;
 
 /// The grants of the next request after these fates, at the only endpoint.
 fn grants_after(tolerated: u32, fates: &[GrantFate]) -> usize {
     let options = ShardOptions::builder().tolerated_breaks(tolerated).build();
-    let mut bench = Bench::recovering(1, 4, &["a"], options);
-    bench.pass(1_000);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::recovering(1, 4, &["a"], options);
+    harness.advance(1_000);
+    harness.join(1, hello("r1", 1));
     for (number, fate) in fates.iter().enumerate() {
-        bench.submit(1, ticket(number as u128, "a", 10));
-        bench.settle(1, number as u128, 10, *fate);
+        harness.submit(1, ticket(number as u128, "a", 10));
+        harness.settle(1, number as u128, 10, *fate);
     }
-    bench.grants();
-    bench.submit(1, ticket(99, "a", 10));
-    bench.grants().len()
+    harness.take_grants();
+    harness.submit(1, ticket(99, "a", 10));
+    harness.take_grants().len()
 }
 
 #[test_case(0, &[GrantFate::Broken] => 0; "none is tolerated by default")]
--- a/crates/micaspool-dispatch/tests/shard/closing.rs
+++ b/crates/micaspool-dispatch/tests/shard/closing.rs
@@ -8,68 +8,68 @@
 //! the shard's decisions, with 3 endpoints open at 13.7 s, 1 at 17.8 s and 0 from 23.9 s to 30 s, 250 tickets
 //! waiting and no endpoint failing, while other instances' shards of the same service had 3 open.
 
-use crate::bench::{endpoint, hello, ticket, Bench};
+use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::GrantFate;
 
 /// A shard of three endpoints that are never asked for their load.
-fn unasked() -> Bench {
-    let mut bench = Bench::new(3, 6, &["a"]);
-    bench.join(1, hello("r1", 1));
-    bench
+fn unasked() -> ShardHarness {
+    let mut harness = ShardHarness::new(3, 6, &["a"]);
+    harness.join(1, hello("r1", 1));
+    harness
 }
 
 /// The same sequence, at its source: a router that has just started does not hold two of three endpoints. It is
 /// given the third, while other routers go on using all.
 #[test]
 fn what_a_router_does_not_hold_concerns_that_router_alone() {
-    let mut bench = unasked();
-    bench.join(2, hello("r2", 1));
+    let mut harness = unasked();
+    harness.join(2, hello("r2", 1));
     let held = endpoint(2);
     let mut served = None;
     for _ in 0..3 {
-        bench.submit(1, ticket(1, "a", 10));
-        let grant = bench.grants().pop().expect("an endpoint is left");
+        harness.submit(1, ticket(1, "a", 10));
+        let grant = harness.take_grants().pop().expect("an endpoint is left");
         if grant.endpoint == held {
             served = Some(grant);
             break;
         }
-        bench.settle(1, 1, 0, GrantFate::NotHeld);
+        harness.settle(1, 1, 0, GrantFate::NotHeld);
     }
     assert!(served.is_some(), "the third grant at the latest is for the endpoint that it holds");
     for number in 10..28 {
-        bench.submit(2, ticket(number, "a", 10));
+        harness.submit(2, ticket(number, "a", 10));
     }
-    assert_eq!(bench.grants().len(), 17, "all slots but one, for a router that holds all");
-    bench.settle(1, 1, 5, GrantFate::Done);
+    assert_eq!(harness.take_grants().len(), 17, "all slots but one, for a router that holds all");
+    harness.settle(1, 1, 5, GrantFate::Done);
     for number in 10..28 {
-        bench.settle(2, number, 5, GrantFate::Done);
+        harness.settle(2, number, 5, GrantFate::Done);
     }
-    bench.pass_with(200, &[1, 2]);
-    bench.grants();
+    harness.advance_with_heartbeats(200, &[1, 2]);
+    harness.take_grants();
     for number in 30..48 {
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
     }
-    assert_eq!(bench.grants().len(), 18, "what the router did not hold is tried again soon");
+    assert_eq!(harness.take_grants().len(), 18, "what the router did not hold is tried again soon");
 }
 
 #[test]
 fn endpoints_that_nobody_asks_are_tried_again_after_a_grant_came_back() {
-    let mut bench = unasked();
+    let mut harness = unasked();
     for number in 0..3 {
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
     }
-    assert_eq!(bench.granted_requests().len(), 3);
+    assert_eq!(harness.take_granted_requests().len(), 3);
     for number in 0..3 {
-        bench.settle(1, number, 0, GrantFate::Draining);
+        harness.settle(1, number, 0, GrantFate::Draining);
     }
-    bench.submit(1, ticket(10, "a", 10));
-    assert!(bench.granted_requests().is_empty(), "each has just said that it leaves");
-    bench.pass_with(1_000, &[1]);
-    assert_eq!(bench.granted_requests(), vec![10], "the word of one router has aged");
-    bench.settle(1, 10, 5, GrantFate::Done);
+    harness.submit(1, ticket(10, "a", 10));
+    assert!(harness.take_granted_requests().is_empty(), "each has just said that it leaves");
+    harness.advance_with_heartbeats(1_000, &[1]);
+    assert_eq!(harness.take_granted_requests(), vec![10], "the word of one router has aged");
+    harness.settle(1, 10, 5, GrantFate::Done);
     for number in 20..30 {
-        bench.submit(1, ticket(number, "a", 10));
-        bench.settle(1, number, 5, GrantFate::Done);
+        harness.submit(1, ticket(number, "a", 10));
+        harness.settle(1, number, 5, GrantFate::Done);
     }
-    assert_eq!(bench.granted_requests().len(), 10);
+    assert_eq!(harness.take_granted_requests().len(), 10);
 }
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -3,7 +3,7 @@
 //! A cold endpoint falls over when more than half as much again as it bears, and five, arrive within one second, from
 //! whatever senders. By what an engine reads it would get thirty short prompts a second.
 
-use crate::bench::{customer, endpoint, hello, id, ticket, Bench};
+use crate::harness::{customer, endpoint, hello, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{
     ColdTerms, GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
 };
@@ -34,7 +34,7 @@
 
 /// A shard whose engines are all cold, and callers that always want more of them.
 struct ColdHall {
-    bench: Bench,
+    harness: ShardHarness,
     next: u128,
     /// Requests that were granted, and when they begin.
     granted: Vec<(Moment, u128)>,
@@ -45,22 +45,22 @@
 
 impl ColdHall {
     fn new(engines: usize, options: ShardOptions) -> ColdHall {
-        let mut bench = Bench::recovering(engines, SLOTS, &["a", "b"], options);
-        bench.pass(1_000);
-        bench.change(|policy| {
+        let mut harness = ShardHarness::recovering(engines, SLOTS, &["a", "b"], options);
+        harness.advance(1_000);
+        harness.update_policy(|policy| {
             policy.cold = terms();
             policy.planned_pace = 50.0;
             for spec in &mut policy.endpoints {
                 spec.memory_tokens = 500_000;
             }
         });
-        bench.join(1, hello("r1", 1));
-        ColdHall { bench, next: 1, granted: Vec::new(), running: Vec::new(), arrivals: HashMap::new() }
+        harness.join(1, hello("r1", 1));
+        ColdHall { harness, next: 1, granted: Vec::new(), running: Vec::new(), arrivals: HashMap::new() }
     }
 
     /// All endpoints say that they are cold.
     fn turn_cold(&mut self) {
-        self.bench.change(|policy| {
+        self.harness.update_policy(|policy| {
             policy.endpoints.iter_mut().for_each(|spec| spec.cold = Duration::from_millis(COLD));
         });
     }
@@ -74,7 +74,7 @@
             objective: Some(Duration::from_millis(600)),
             ..ticket(self.next, name, 500)
         };
-        self.bench.submit(1, question);
+        self.harness.submit(1, question);
     }
 
     /// Lets callers ask `every` so often for a while. A grant reaches its endpoint after a delay, and its request ends
@@ -91,10 +91,10 @@
             for _ in 0..per_step {
                 self.ask();
             }
-            self.bench.now = self.bench.now + Duration::from_millis(10);
-            self.bench.step(ShardEvent::Heartbeat(SessionId(1), 1));
-            let now = self.bench.now;
-            for action in std::mem::take(&mut self.bench.seen) {
+            self.harness.now = self.harness.now + Duration::from_millis(10);
+            self.harness.step(ShardEvent::Heartbeat(SessionId(1), 1));
+            let now = self.harness.now;
+            for action in std::mem::take(&mut self.harness.actions) {
                 let ShardAction::Grant { request, endpoint, .. } = action else { continue };
                 let arrives = now + Duration::from_millis(delay());
                 self.arrivals.entry(endpoint).or_default().push(arrives);
@@ -102,11 +102,11 @@
                 self.running.push((arrives + Duration::from_millis(work), request.0));
             }
             for request in due(&mut self.granted, now) {
-                self.bench.step(ShardEvent::Progress(SessionId(1), id(request), Cost(1)));
+                self.harness.step(ShardEvent::Progress(SessionId(1), request_id(request), Cost(1)));
             }
             for request in due(&mut self.running, now) {
                 let fate = fate();
-                self.bench.settle(1, request, 1, fate);
+                self.harness.settle(1, request, 1, fate);
             }
         }
     }
@@ -175,10 +175,10 @@
     before.press(1_000, 4, || 1, 300, || GrantFate::Done);
     let mut after = ColdHall::new(3, ShardOptions::default());
     after.turn_cold();
-    let shift = after.bench.now;
+    let shift = after.harness.now;
     after.press(1_000, 4, || 1, 300, || GrantFate::Done);
     for (name, arrivals) in &after.arrivals {
-        let began = before.bench.now;
+        let began = before.harness.now;
         let later = arrivals.iter().map(|at| began + at.since(shift));
         let all = before.arrivals[name].iter().copied().chain(later).collect();
         assert!(worst_second(all) <= MOST_ARRIVALS);
@@ -200,7 +200,7 @@
 #[test]
 fn without_a_bound_nothing_is_spread() {
     let mut hall = ColdHall::new(2, ShardOptions::default());
-    hall.bench.change(|policy| policy.cold = ColdTerms::default());
+    hall.harness.update_policy(|policy| policy.cold = ColdTerms::default());
     hall.turn_cold();
     hall.press(1_000, 4, || 1, 300, || GrantFate::Done);
     assert!(hall.worst_second() > 20, "{}", hall.worst_second());
@@ -218,22 +218,22 @@
         customer: customer("a"),
         ..ticket(number, "a", 500)
     };
-    hall.bench.submit(1, known(1_000));
-    let holder = hall.bench.grants()[0].endpoint.clone();
-    hall.bench.settle(1, 1_000, 1, GrantFate::Done);
-    hall.bench.pass_with(500, &[1]);
-    hall.bench.change(|policy| {
+    hall.harness.submit(1, known(1_000));
+    let holder = hall.harness.take_grants()[0].endpoint.clone();
+    hall.harness.settle(1, 1_000, 1, GrantFate::Done);
+    hall.harness.advance_with_heartbeats(500, &[1]);
+    hall.harness.update_policy(|policy| {
         let cold = policy.endpoints.iter_mut().filter(|spec| spec.name == holder);
         cold.for_each(|spec| spec.cold = Duration::from_millis(COLD));
     });
     let mut grants = Vec::new();
     for step in 0..32 {
         if step < 20 {
-            hall.bench.submit(1, known(2_000 + step));
+            hall.harness.submit(1, known(2_000 + step));
         }
-        hall.bench.pass_with(50, &[1]);
-        for grant in hall.bench.grants() {
-            hall.bench.step(ShardEvent::Progress(SessionId(1), grant.request, Cost(1)));
+        hall.harness.advance_with_heartbeats(50, &[1]);
+        for grant in hall.harness.take_grants() {
+            hall.harness.step(ShardEvent::Progress(SessionId(1), grant.request, Cost(1)));
             grants.push(grant);
         }
     }
@@ -259,7 +259,7 @@
             let work = rng.random_range(10..400);
             let mut delays = ChaCha8Rng::seed_from_u64(seed * 2 + shard);
             let fate = || if refused { GrantFate::Unsent } else { GrantFate::Done };
-            let began = hall.bench.now;
+            let began = hall.harness.now;
             hall.press(1_200, 1, || delays.random_range(0..spread), work, fate);
             let all = hall.arrivals.into_values().flatten();
             let shift = Duration::from_millis(offset * shard);
@@ -276,7 +276,7 @@
     for _ in 0..7 {
         let mut hall = ColdHall::new(1, ShardOptions::builder().first_share(20).build());
         hall.turn_cold();
-        let began = hall.bench.now;
+        let began = hall.harness.now;
         hall.press(STILL_COLD, 2, || 1, 100, || GrantFate::Done);
         arrivals.extend(hall.arrivals.into_values().flatten().map(|at| Moment(0) + at.since(began)));
     }
--- a/crates/micaspool-dispatch/tests/shard/engine_objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/engine_objectives.rs
@@ -6,7 +6,7 @@
 //! `objective_ms="600" grants="536" refused_on_arrival="404"` and `objective_ms="1000" grants="917"
 //! refused_on_arrival="138"` of the same shard and second.
 
-use crate::bench::{hello, ticket, Bench};
+use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent};
 use micaspool_types::{Cost, EndpointName, RequestId};
 use rand::{Rng, SeedableRng};
@@ -55,7 +55,7 @@
 
 /// One customer that asks for too much at some engines.
 struct EngineQueue {
-    bench: Bench,
+    harness: ShardHarness,
     kinds: Vec<PromptKind>,
     outcomes: Vec<KindOutcome>,
     /// The kind of each request and when it came.
@@ -66,16 +66,16 @@
 
 impl EngineQueue {
     fn new(kinds: &[PromptKind]) -> EngineQueue {
-        let mut bench = Bench::new(ENGINES, 16, &["a"]);
-        bench.change(|policy| {
+        let mut harness = ShardHarness::new(ENGINES, 16, &["a"]);
+        harness.update_policy(|policy| {
             for spec in &mut policy.endpoints {
                 spec.memory_tokens = 500_000;
             }
             policy.planned_pace = PACE as f64;
         });
-        bench.join(1, hello("r1", 1));
+        harness.join(1, hello("r1", 1));
         EngineQueue {
-            bench,
+            harness,
             kinds: kinds.to_vec(),
             outcomes: vec![KindOutcome::default(); kinds.len()],
             open: HashMap::new(),
@@ -88,7 +88,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut number = 0;
         for now in 0..PLAY {
-            self.bench.now = self.bench.now + Duration::from_millis(1);
+            self.harness.now = self.harness.now + Duration::from_millis(1);
             self.take_due(now);
             for index in 0..self.kinds.len() {
                 if rng.random_bool(self.kinds[index].rate / 1_000.0) {
@@ -96,10 +96,10 @@
                     self.submit(now, number, index);
                 }
             }
-            self.bench.step(ShardEvent::Wake);
+            self.harness.step(ShardEvent::Wake);
             if now.is_multiple_of(50) {
-                self.bench.step(ShardEvent::Heartbeat(SessionId(1), 1));
-                self.bench.step(ShardEvent::Tick);
+                self.harness.step(ShardEvent::Heartbeat(SessionId(1), 1));
+                self.harness.step(ShardEvent::Tick);
             }
             self.take_actions(now);
         }
@@ -117,7 +117,7 @@
             objective: Some(Duration::from_millis(kind.objective)),
             ..ticket(number, "a", kind.tokens)
         };
-        self.bench.submit(1, prompt);
+        self.harness.submit(1, prompt);
     }
 
     fn take_due(&mut self, now: u64) {
@@ -128,19 +128,19 @@
                     let (index, since) = self.open[&number];
                     let is_in_time = now - since <= self.kinds[index].objective;
                     self.outcomes[index].in_time += u32::from(is_in_time);
-                    self.bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(1)));
+                    self.harness.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(1)));
                     self.due.insert((now + RUN, number), Step::End);
                 }
                 Step::End => {
                     let (index, _) = self.open[&number];
-                    self.bench.settle(1, number, self.kinds[index].tokens, GrantFate::Done);
+                    self.harness.settle(1, number, self.kinds[index].tokens, GrantFate::Done);
                 }
             }
         }
     }
 
     fn take_actions(&mut self, now: u64) {
-        for action in std::mem::take(&mut self.bench.seen) {
+        for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request, endpoint, .. } => {
                     let (index, _) = self.open[&request.0];
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -1,6 +1,6 @@
 //! Engines: where prompts are read, how much an engine gets ahead, and what is refused in time.
 
-use crate::bench::{endpoint, hello, ticket, Bench};
+use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{
     CacheNews, GrantFate, KeptPart, ReleaseReason, RequestTicket, SessionId, ShardEvent,
 };
@@ -16,16 +16,16 @@
 const PACE: u64 = 35;
 
 /// A shard of engines with many slots.
-fn engines(count: usize, customers: &[&str]) -> Bench {
-    let mut bench = Bench::new(count, 64, customers);
-    bench.change(|policy| {
+fn engines(count: usize, customers: &[&str]) -> ShardHarness {
+    let mut harness = ShardHarness::new(count, 64, customers);
+    harness.update_policy(|policy| {
         for spec in &mut policy.endpoints {
             spec.memory_tokens = MEMORY;
         }
         policy.planned_pace = PACE as f64;
     });
-    bench.join(1, hello("r1", 1));
-    bench
+    harness.join(1, hello("r1", 1));
+    harness
 }
 
 /// A ticket with a shared part and one of its own.
@@ -39,81 +39,81 @@
 }
 
 /// The first event of a request, then its end.
-fn run(bench: &mut Bench, number: u128, cost: u64) {
-    bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(cost)));
-    bench.settle(1, number, cost, GrantFate::Done);
+fn run(harness: &mut ShardHarness, number: u128, cost: u64) {
+    harness.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(cost)));
+    harness.settle(1, number, cost, GrantFate::Done);
 }
 
 /// The engine reads what it lacks of a prompt, then the request runs.
-fn read(bench: &mut Bench, number: u128, missing: u64, cost: u64) {
-    bench.pass_with(missing / PACE + 30, &[1]);
-    run(bench, number, cost);
+fn read(harness: &mut ShardHarness, number: u128, missing: u64, cost: u64) {
+    harness.advance_with_heartbeats(missing / PACE + 30, &[1]);
+    run(harness, number, cost);
 }
 
 #[test]
 fn a_prompt_waits_for_the_engine_that_keeps_its_long_part() {
-    let mut bench = engines(2, &["a"]);
-    bench.submit(1, prompt(1, "a", (7, 13_000), 500));
-    let first = bench.grants()[0].endpoint.clone();
-    read(&mut bench, 1, 13_500, 13_500);
-    bench.pass_with(1_000, &[1]);
-    bench.submit(1, prompt(2, "a", (7, 13_000), 8_000));
-    assert_eq!(bench.grants()[0].endpoint, first);
-    bench.submit(1, prompt(3, "a", (7, 13_000), 500));
-    assert!(bench.grants().is_empty(), "the keeper is busy for 229 ms; reading anew takes 371 ms");
-    read(&mut bench, 2, 8_000, 21_000);
-    bench.pass_with(50, &[1]);
-    assert_eq!(bench.grants()[0].endpoint, first);
+    let mut harness = engines(2, &["a"]);
+    harness.submit(1, prompt(1, "a", (7, 13_000), 500));
+    let first = harness.take_grants()[0].endpoint.clone();
+    read(&mut harness, 1, 13_500, 13_500);
+    harness.advance_with_heartbeats(1_000, &[1]);
+    harness.submit(1, prompt(2, "a", (7, 13_000), 8_000));
+    assert_eq!(harness.take_grants()[0].endpoint, first);
+    harness.submit(1, prompt(3, "a", (7, 13_000), 500));
+    assert!(harness.take_grants().is_empty(), "the keeper is busy for 229 ms; reading anew takes 371 ms");
+    read(&mut harness, 2, 8_000, 21_000);
+    harness.advance_with_heartbeats(50, &[1]);
+    assert_eq!(harness.take_grants()[0].endpoint, first);
 }
 
 #[test]
 fn a_short_shared_part_is_read_again_rather_than_waited_for() {
-    let mut bench = engines(2, &["a"]);
-    bench.submit(1, prompt(1, "a", (7, 300), 500));
-    run(&mut bench, 1, 800);
-    bench.submit(1, prompt(2, "a", (7, 300), 20_000));
-    bench.grants();
-    bench.submit(1, prompt(3, "a", (7, 300), 500));
-    assert_eq!(bench.grants().len(), 1, "another engine reads 300 tokens sooner");
+    let mut harness = engines(2, &["a"]);
+    harness.submit(1, prompt(1, "a", (7, 300), 500));
+    run(&mut harness, 1, 800);
+    harness.submit(1, prompt(2, "a", (7, 300), 20_000));
+    harness.take_grants();
+    harness.submit(1, prompt(3, "a", (7, 300), 500));
+    assert_eq!(harness.take_grants().len(), 1, "another engine reads 300 tokens sooner");
 }
 
 #[test]
 fn an_engine_gets_little_ahead_and_more_as_time_passes() {
-    let mut bench = engines(1, &["a"]);
+    let mut harness = engines(1, &["a"]);
     for number in 0..40 {
-        bench.submit(1, prompt(number, "a", (number as u64, 1_000), 1_000));
+        harness.submit(1, prompt(number, "a", (number as u64, 1_000), 1_000));
     }
-    let at_once = bench.grants().len();
+    let at_once = harness.take_grants().len();
     assert!((2..=4).contains(&at_once), "{at_once} prompts of 2,000 tokens at once");
     for number in 0..at_once as u128 {
-        read(&mut bench, number, 2_000, 2_000);
+        read(&mut harness, number, 2_000, 2_000);
     }
-    bench.pass_with(1_000, &[1]);
-    let later = bench.grants().len();
+    harness.advance_with_heartbeats(1_000, &[1]);
+    let later = harness.take_grants().len();
     assert!((2..=9).contains(&later), "unread prompts hold an engine back, {later} followed");
 }
 
 #[test]
 fn parts_that_no_longer_fit_are_not_counted_on() {
-    let mut bench = engines(2, &["a"]);
-    bench.submit(1, prompt(0, "a", (7, 13_000), 10));
-    let first = bench.grants()[0].endpoint.clone();
-    read(&mut bench, 0, 13_010, 13_010);
+    let mut harness = engines(2, &["a"]);
+    harness.submit(1, prompt(0, "a", (7, 13_000), 10));
+    let first = harness.take_grants()[0].endpoint.clone();
+    read(&mut harness, 0, 13_010, 13_010);
     for number in 1..60 {
-        bench.pass_with(1_000, &[1]);
+        harness.advance_with_heartbeats(1_000, &[1]);
         let filler = RequestTicket {
             avoid: Some(other(&first)),
             ..prompt(number, "a", (100 + number as u64, 13_000), 10)
         };
-        bench.submit(1, filler);
-        read(&mut bench, number, 13_010, 13_010);
+        harness.submit(1, filler);
+        read(&mut harness, number, 13_010, 13_010);
     }
     let busy = RequestTicket { avoid: Some(other(&first)), ..prompt(98, "a", (98, 10), 10) };
-    bench.submit(1, busy);
-    bench.pass_with(1_000, &[1]);
-    bench.grants();
-    bench.submit(1, prompt(99, "a", (7, 13_000), 10));
-    assert_ne!(bench.grants()[0].endpoint, first, "both read it anew, and the other one is idle");
+    harness.submit(1, busy);
+    harness.advance_with_heartbeats(1_000, &[1]);
+    harness.take_grants();
+    harness.submit(1, prompt(99, "a", (7, 13_000), 10));
+    assert_ne!(harness.take_grants()[0].endpoint, first, "both read it anew, and the other one is idle");
 }
 
 fn other(name: &micaspool_types::EndpointName) -> micaspool_types::EndpointName {
@@ -126,16 +126,16 @@
 
 #[test]
 fn a_ticket_that_waited_as_long_as_it_may_is_refused() {
-    let mut bench = engines(1, &["a"]);
-    bench.submit(1, prompt(1, "a", (1, 40_000), 10));
+    let mut harness = engines(1, &["a"]);
+    harness.submit(1, prompt(1, "a", (1, 40_000), 10));
     let urgent =
         RequestTicket { objective: Some(Duration::from_millis(180)), ..prompt(2, "a", (2, 1_000), 10) };
-    bench.submit(1, urgent);
-    bench.pass_with(150, &[1]);
-    assert!(bench.refused().is_empty());
-    assert!(bench.core.next_wake().is_some(), "the driver is told when to look again");
-    bench.pass_with(50, &[1]);
-    assert_eq!(bench.refused(), [(2, ReleaseReason::Overdue)]);
+    harness.submit(1, urgent);
+    harness.advance_with_heartbeats(150, &[1]);
+    assert!(harness.refusals().is_empty());
+    assert!(harness.core.next_wake().is_some(), "the driver is told when to look again");
+    harness.advance_with_heartbeats(50, &[1]);
+    assert_eq!(harness.refusals(), [(2, ReleaseReason::Overdue)]);
 }
 
 /// Two customers ask for more than there is, one ten times as often. Long prompts keep the engine
@@ -143,32 +143,33 @@
 /// whenever it opens, and the small customer seldom has. Still it must get its share.
 #[test]
 fn a_customer_that_is_owed_service_is_not_refused_before_the_next_opening() {
-    let mut bench = engines(1, &["flood", "small"]);
-    bench.change(|policy| policy.idle_credit = CREDIT);
+    let mut harness = engines(1, &["flood", "small"]);
+    harness.update_policy(|policy| policy.idle_credit = CREDIT);
     let mut served = HashMap::from([("flood", 0_u64), ("small", 0)]);
     let mut asked = 0;
     let mut running: Vec<(u128, &str)> = Vec::new();
     let mut number = 0;
     for round in 0..600 {
-        let mut send = |bench: &mut Bench, name: &'static str| {
+        let mut send = |harness: &mut ShardHarness, name: &'static str| {
             number += 1;
             let objective = Some(Duration::from_millis(180));
-            bench.submit(1, RequestTicket { objective, ..prompt(number, name, (number as u64, 10), 20_000) });
+            harness
+                .submit(1, RequestTicket { objective, ..prompt(number, name, (number as u64, 10), 20_000) });
             running.push((number, name));
         };
         for _ in 0..2 {
-            send(&mut bench, "flood");
+            send(&mut harness, "flood");
         }
         if round % 25 == 0 {
-            send(&mut bench, "small");
+            send(&mut harness, "small");
             asked += 20_010;
         }
-        bench.pass_with(50, &[1]);
-        let granted = bench.granted_requests();
+        harness.advance_with_heartbeats(50, &[1]);
+        let granted = harness.take_granted_requests();
         running.retain(|(request, name)| {
             if granted.contains(request) {
                 *served.get_mut(name).expect("both are in the map") += 20_010;
-                run(&mut bench, *request, 20_010);
+                run(&mut harness, *request, 20_010);
                 return false;
             }
             true
@@ -182,8 +183,8 @@
 /// get the same from then on.
 #[test]
 fn service_that_nobody_else_wanted_is_not_held_against_a_customer() {
-    let mut bench = engines(1, &["early", "late-1", "late-2", "late-3"]);
-    bench.change(|policy| policy.idle_credit = CREDIT);
+    let mut harness = engines(1, &["early", "late-1", "late-2", "late-3"]);
+    harness.update_policy(|policy| policy.idle_credit = CREDIT);
     let mut number = 0;
     let mut served = HashMap::new();
     let mut owners = HashMap::new();
@@ -192,15 +193,16 @@
         for name in names {
             number += 1;
             let objective = Some(Duration::from_millis(180));
-            bench.submit(1, RequestTicket { objective, ..prompt(number, name, (number as u64, 10), 2_000) });
+            harness
+                .submit(1, RequestTicket { objective, ..prompt(number, name, (number as u64, 10), 2_000) });
             owners.insert(number, *name);
         }
-        bench.pass_with(50, &[1]);
-        for request in bench.granted_requests() {
+        harness.advance_with_heartbeats(50, &[1]);
+        for request in harness.take_granted_requests() {
             if round >= 200 {
                 *served.entry(owners[&request]).or_insert(0) += 1;
             }
-            run(&mut bench, request, 2_010);
+            run(&mut harness, request, 2_010);
         }
     }
     let (least, most) = (served.values().min(), served.values().max());
@@ -210,16 +212,16 @@
 /// A shard that begins beside engines that ran before counts on what they keep, once they told.
 #[test]
 fn what_an_engine_kept_before_is_counted_on() {
-    let mut bench = engines(2, &["a"]);
+    let mut harness = engines(2, &["a"]);
     let kept = vec![KeptPart { prefix: 7, tokens: 13_000 }];
     let news =
         CacheNews { endpoint: endpoint(1), stored: Vec::new(), dropped: Vec::new(), kept, whole: true };
-    bench.step(ShardEvent::Cache(news));
+    harness.step(ShardEvent::Cache(news));
     for number in 0..3 {
-        bench.submit(1, prompt(number, "a", (7, 13_000), 1_000));
-        assert_eq!(bench.grants().first().map(|grant| grant.endpoint.clone()), Some(endpoint(1)));
-        read(&mut bench, number, 1_000, 14_000);
-        bench.pass_with(50, &[1]);
+        harness.submit(1, prompt(number, "a", (7, 13_000), 1_000));
+        assert_eq!(harness.take_grants().first().map(|grant| grant.endpoint.clone()), Some(endpoint(1)));
+        read(&mut harness, number, 1_000, 14_000);
+        harness.advance_with_heartbeats(50, &[1]);
     }
 }
 
@@ -227,17 +229,17 @@
 #[test_case::test_case(CacheNews { dropped: vec![7], ..nothing_new() }; "a part is dropped")]
 #[test_case::test_case(CacheNews { whole: true, ..nothing_new() }; "a list without the part")]
 fn what_an_engine_dropped_is_not_counted_on(news: CacheNews) {
-    let mut bench = engines(2, &["a"]);
-    bench.submit(1, prompt(1, "a", (7, 13_000), 10));
-    let first = bench.grants()[0].endpoint.clone();
-    read(&mut bench, 1, 13_010, 13_010);
-    bench.pass_with(1_000, &[1]);
+    let mut harness = engines(2, &["a"]);
+    harness.submit(1, prompt(1, "a", (7, 13_000), 10));
+    let first = harness.take_grants()[0].endpoint.clone();
+    read(&mut harness, 1, 13_010, 13_010);
+    harness.advance_with_heartbeats(1_000, &[1]);
     let busy = RequestTicket { avoid: Some(other(&first)), ..prompt(2, "a", (8, 2_000), 10) };
-    bench.submit(1, busy);
-    bench.step(ShardEvent::Cache(CacheNews { endpoint: first.clone(), ..news }));
-    bench.grants();
-    bench.submit(1, prompt(3, "a", (7, 13_000), 10));
-    assert_ne!(bench.grants()[0].endpoint, first, "both read it anew, and the other one is idle");
+    harness.submit(1, busy);
+    harness.step(ShardEvent::Cache(CacheNews { endpoint: first.clone(), ..news }));
+    harness.take_grants();
+    harness.submit(1, prompt(3, "a", (7, 13_000), 10));
+    assert_ne!(harness.take_grants()[0].endpoint, first, "both read it anew, and the other one is idle");
 }
 
 fn nothing_new() -> CacheNews {
@@ -253,28 +255,28 @@
 /// What a customer's queue can't give in time is refused as it arrives; others still get in.
 #[test]
 fn a_ticket_that_would_come_too_late_is_refused_on_arrival() {
-    let mut bench = engines(1, &["flood", "small"]);
+    let mut harness = engines(1, &["flood", "small"]);
     let wanted = |number: u128, name: &str| RequestTicket {
         objective: Some(Duration::from_millis(800)),
         ..prompt(number, name, (number as u64, 10), 8_000)
     };
     for number in 0..20 {
-        bench.submit(1, wanted(number, "flood"));
+        harness.submit(1, wanted(number, "flood"));
     }
-    let late = bench.refused();
+    let late = harness.refusals();
     assert!((15..20).contains(&late.len()), "one runs and two or three may wait: {late:?}");
     assert!(late.iter().all(|(_, reason)| *reason == ReleaseReason::Overdue));
-    bench.submit(1, wanted(100, "small"));
-    assert_eq!(bench.refused().len(), late.len(), "the small customer has nothing in the queue");
+    harness.submit(1, wanted(100, "small"));
+    assert_eq!(harness.refusals().len(), late.len(), "the small customer has nothing in the queue");
 }
 
 /// A queue of what engines read soon is no reason to refuse, however little its customer got lately.
 #[test]
 fn a_burst_that_idle_engines_can_take_is_not_refused() {
-    let mut bench = engines(6, &["a"]);
+    let mut harness = engines(6, &["a"]);
     for number in 0..30 {
         let ticket = prompt(number, "a", (number as u64, 10), 600);
-        bench.submit(1, RequestTicket { objective: Some(Duration::from_millis(600)), ..ticket });
+        harness.submit(1, RequestTicket { objective: Some(Duration::from_millis(600)), ..ticket });
     }
-    assert!(bench.refused().is_empty(), "18,000 tokens are read in 90 ms");
+    assert!(harness.refusals().is_empty(), "18,000 tokens are read in 90 ms");
 }
--- a/crates/micaspool-dispatch/tests/shard/faults.rs
+++ b/crates/micaspool-dispatch/tests/shard/faults.rs
@@ -1,105 +1,105 @@
 //! The fault table: what is lost, late, doubled, crossed, frozen or cut.
 
-use crate::bench::{held, hello, id, ordered, ticket, Bench};
+use crate::harness::{held_grant, hello, ordered_ticket, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, RouterHello, SessionId, ShardEvent};
 use micaspool_types::Cost;
 use test_case::test_case;
 
-fn one_running() -> Bench {
-    let mut bench = Bench::new(1, 1, &["a", "b"]);
-    bench.join(1, hello("r1", 1));
-    bench.join(2, hello("r2", 1));
-    bench.submit(1, ticket(1, "a", 10));
-    bench.submit(2, ticket(2, "b", 10));
-    assert_eq!(bench.granted_requests(), vec![1]);
-    bench
+fn one_running() -> ShardHarness {
+    let mut harness = ShardHarness::new(1, 1, &["a", "b"]);
+    harness.join(1, hello("r1", 1));
+    harness.join(2, hello("r2", 1));
+    harness.submit(1, ticket(1, "a", 10));
+    harness.submit(2, ticket(2, "b", 10));
+    assert_eq!(harness.take_granted_requests(), vec![1]);
+    harness
 }
 
 #[test]
 fn a_router_killed_with_a_grant_frees_its_slot_by_lease() {
-    let mut bench = one_running();
-    bench.step(ShardEvent::Left(SessionId(1)));
-    bench.pass_with(2_900, &[2]);
-    assert!(bench.granted_requests().is_empty(), "the request may still run");
-    bench.pass_with(300, &[2]);
-    assert_eq!(bench.granted_requests(), vec![2]);
+    let mut harness = one_running();
+    harness.step(ShardEvent::Left(SessionId(1)));
+    harness.advance_with_heartbeats(2_900, &[2]);
+    assert!(harness.take_granted_requests().is_empty(), "the request may still run");
+    harness.advance_with_heartbeats(300, &[2]);
+    assert_eq!(harness.take_granted_requests(), vec![2]);
 }
 
 #[test]
 fn a_frozen_router_is_told_to_say_what_it_holds_when_it_thaws() {
-    let mut bench = one_running();
-    bench.pass_with(4_000, &[2]);
-    assert_eq!(bench.granted_requests(), vec![2], "the lease of the frozen router has ended");
-    bench.step(ShardEvent::Settle(SessionId(1), id(1), Cost(5), GrantFate::Done));
-    assert_eq!(bench.rejoins(), 1);
-    bench.join(3, RouterHello { running: vec![held(1, "a", 0, 1)], ..hello("r1", 1) });
-    bench.settle(2, 2, 5, GrantFate::Done);
-    bench.submit(2, ticket(3, "b", 10));
-    assert!(bench.granted_requests().is_empty(), "the thawed router's request holds the slot");
-    bench.settle(3, 1, 5, GrantFate::Done);
-    assert_eq!(bench.granted_requests(), vec![3]);
+    let mut harness = one_running();
+    harness.advance_with_heartbeats(4_000, &[2]);
+    assert_eq!(harness.take_granted_requests(), vec![2], "the lease of the frozen router has ended");
+    harness.step(ShardEvent::Settle(SessionId(1), request_id(1), Cost(5), GrantFate::Done));
+    assert_eq!(harness.rejoin_count(), 1);
+    harness.join(3, RouterHello { running: vec![held_grant(1, "a", 0, 1)], ..hello("r1", 1) });
+    harness.settle(2, 2, 5, GrantFate::Done);
+    harness.submit(2, ticket(3, "b", 10));
+    assert!(harness.take_granted_requests().is_empty(), "the thawed router's request holds the slot");
+    harness.settle(3, 1, 5, GrantFate::Done);
+    assert_eq!(harness.take_granted_requests(), vec![3]);
 }
 
 #[test_case(&[GrantFate::Done, GrantFate::Done]; "doubled")]
 #[test_case(&[GrantFate::Done, GrantFate::Broken]; "doubled with another outcome")]
 fn a_doubled_report_frees_one_slot_once(fates: &[GrantFate]) {
-    let mut bench = Bench::new(1, 2, &["a"]);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(1, 2, &["a"]);
+    harness.join(1, hello("r1", 1));
     for number in 1..=4 {
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
     }
-    assert_eq!(bench.granted_requests(), vec![1, 2]);
+    assert_eq!(harness.take_granted_requests(), vec![1, 2]);
     for fate in fates {
-        bench.settle(1, 1, 5, *fate);
+        harness.settle(1, 1, 5, *fate);
     }
-    assert_eq!(bench.granted_requests(), vec![3]);
+    assert_eq!(harness.take_granted_requests(), vec![3]);
 }
 
 #[test]
 fn a_report_of_another_router_is_not_heard() {
-    let mut bench = one_running();
-    bench.settle(2, 1, 5, GrantFate::Done);
-    bench.step(ShardEvent::Cancel(SessionId(2), id(1)));
-    assert!(bench.granted_requests().is_empty());
+    let mut harness = one_running();
+    harness.settle(2, 1, 5, GrantFate::Done);
+    harness.step(ShardEvent::Cancel(SessionId(2), request_id(1)));
+    assert!(harness.take_granted_requests().is_empty());
 }
 
 #[test]
 fn a_late_progress_report_after_the_end_changes_nothing() {
-    let mut bench = one_running();
-    bench.settle(1, 1, 7, GrantFate::Done);
-    let before = bench.core.status(bench.now);
-    bench.step(ShardEvent::Progress(SessionId(1), id(1), Cost(500)));
-    assert_eq!(bench.core.status(bench.now).customers, before.customers);
+    let mut harness = one_running();
+    harness.settle(1, 1, 7, GrantFate::Done);
+    let before = harness.core.status(harness.now);
+    harness.step(ShardEvent::Progress(SessionId(1), request_id(1), Cost(500)));
+    assert_eq!(harness.core.status(harness.now).customers, before.customers);
 }
 
 #[test]
 fn a_lost_grant_is_given_again_after_the_router_rejoins() {
-    let mut bench = one_running();
-    bench.step(ShardEvent::Left(SessionId(1)));
-    bench.join(3, RouterHello { waiting: vec![ordered(1, "a", 1)], ..hello("r1", 1) });
-    let grants = bench.grants();
+    let mut harness = one_running();
+    harness.step(ShardEvent::Left(SessionId(1)));
+    harness.join(3, RouterHello { waiting: vec![ordered_ticket(1, "a", 1)], ..hello("r1", 1) });
+    let grants = harness.take_grants();
     assert_eq!(grants.len(), 1);
-    assert_eq!((grants[0].session, grants[0].request), (SessionId(3), id(1)));
+    assert_eq!((grants[0].session, grants[0].request), (SessionId(3), request_id(1)));
 }
 
 #[test]
 fn a_lost_report_is_made_up_for_when_the_router_rejoins() {
-    let mut bench = one_running();
-    bench.step(ShardEvent::Left(SessionId(1)));
-    bench.join(3, hello("r1", 1));
-    assert_eq!(bench.granted_requests(), vec![2]);
+    let mut harness = one_running();
+    harness.step(ShardEvent::Left(SessionId(1)));
+    harness.join(3, hello("r1", 1));
+    assert_eq!(harness.take_granted_requests(), vec![2]);
 }
 
 #[test]
 fn tickets_of_a_router_without_a_stream_are_not_granted() {
-    let mut bench = one_running();
-    bench.submit(1, ticket(3, "a", 10));
-    bench.step(ShardEvent::Left(SessionId(1)));
-    bench.settle(2, 2, 0, GrantFate::Done);
-    bench.pass_with(5_000, &[2]);
-    let granted = bench.granted_requests();
+    let mut harness = one_running();
+    harness.submit(1, ticket(3, "a", 10));
+    harness.step(ShardEvent::Left(SessionId(1)));
+    harness.settle(2, 2, 0, GrantFate::Done);
+    harness.advance_with_heartbeats(5_000, &[2]);
+    let granted = harness.take_granted_requests();
     assert_eq!(granted, vec![2]);
-    assert_eq!(bench.core.status(bench.now).waiting, 0);
+    assert_eq!(harness.core.status(harness.now).waiting, 0);
 }
 
 /// Symptom: with a hall cut off, uploads of the other halls waited until their deadlines for two seconds beside free
@@ -109,63 +109,63 @@
 /// gateways' lines said deadline-passed after 741 ms, and none a refusal.
 #[test]
 fn tickets_of_a_lost_stream_do_not_keep_others_of_their_customer_from_free_slots() {
-    let mut bench = Bench::new(1, 1, &["a"]);
-    bench.join(1, hello("r1", 1));
-    bench.join(2, hello("r2", 1));
-    bench.submit(2, ticket(1, "a", 10));
+    let mut harness = ShardHarness::new(1, 1, &["a"]);
+    harness.join(1, hello("r1", 1));
+    harness.join(2, hello("r2", 1));
+    harness.submit(2, ticket(1, "a", 10));
     for number in 10..50 {
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
     }
-    bench.step(ShardEvent::Left(SessionId(1)));
-    bench.grants();
-    bench.submit(2, ticket(2, "a", 10));
-    bench.settle(2, 1, 5, GrantFate::Done);
-    assert_eq!(bench.granted_requests(), vec![2]);
-    bench.settle(2, 2, 5, GrantFate::Done);
-    bench.submit(2, ticket(3, "a", 10));
-    assert_eq!(bench.granted_requests(), vec![3], "a new ticket is looked at as it arrives");
+    harness.step(ShardEvent::Left(SessionId(1)));
+    harness.take_grants();
+    harness.submit(2, ticket(2, "a", 10));
+    harness.settle(2, 1, 5, GrantFate::Done);
+    assert_eq!(harness.take_granted_requests(), vec![2]);
+    harness.settle(2, 2, 5, GrantFate::Done);
+    harness.submit(2, ticket(3, "a", 10));
+    assert_eq!(harness.take_granted_requests(), vec![3], "a new ticket is looked at as it arrives");
 }
 
 #[test]
 fn two_dispatchers_at_once_overcommit_only_until_load_reports_agree() {
-    let mut one = Bench::new(1, 2, &["a"]);
-    let mut other = Bench::new(1, 2, &["a"]);
+    let mut one = ShardHarness::new(1, 2, &["a"]);
+    let mut other = ShardHarness::new(1, 2, &["a"]);
     one.join(1, hello("r1", 1));
     other.join(2, hello("r2", 1));
     for number in 0..4 {
         one.submit(1, ticket(number, "a", 10));
         other.submit(2, ticket(10 + number, "a", 10));
     }
-    assert_eq!((one.granted_requests().len(), other.granted_requests().len()), (2, 2));
-    for bench in [&mut one, &mut other] {
-        bench.load(0, 4, false);
-        bench.load(0, 4, false);
+    assert_eq!((one.take_granted_requests().len(), other.take_granted_requests().len()), (2, 2));
+    for harness in [&mut one, &mut other] {
+        harness.report_load(0, 4, false);
+        harness.report_load(0, 4, false);
     }
     one.settle(1, 0, 5, GrantFate::Done);
-    assert!(one.granted_requests().is_empty(), "the endpoint runs as much as it may");
-    one.load(0, 1, false);
-    assert_eq!(one.granted_requests().len(), 1);
+    assert!(one.take_granted_requests().is_empty(), "the endpoint runs as much as it may");
+    one.report_load(0, 1, false);
+    assert_eq!(one.take_granted_requests().len(), 1);
 }
 
 #[test]
 fn an_hour_of_idle_time_gives_no_credit() {
-    let mut bench = Bench::new(1, 1, &["a", "b"]);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(1, 1, &["a", "b"]);
+    harness.join(1, hello("r1", 1));
     for number in 0..20 {
-        bench.submit(1, ticket(number, "a", 100));
+        harness.submit(1, ticket(number, "a", 100));
     }
     for number in 0..10 {
-        bench.settle(1, number, 100, GrantFate::Done);
+        harness.settle(1, number, 100, GrantFate::Done);
     }
-    bench.grants();
+    harness.take_grants();
     for number in 100..120 {
-        bench.submit(1, ticket(number, "b", 100));
+        harness.submit(1, ticket(number, "b", 100));
     }
     let mut served = (0, 0);
     let mut running = 10;
     for _ in 0..12 {
-        bench.settle(1, running, 100, GrantFate::Done);
-        running = bench.granted_requests()[0];
+        harness.settle(1, running, 100, GrantFate::Done);
+        running = harness.take_granted_requests()[0];
         if running >= 100 {
             served.1 += 1;
         } else {
--- a/crates/micaspool-dispatch/tests/shard/bench.rs
+++ b/crates/micaspool-dispatch/tests/shard/harness.rs
@@ -11,7 +11,7 @@
 };
 use std::time::Duration;
 
-pub const EVERY_HALL: u32 = 0b111;
+pub const ALL_HALLS: u32 = 0b111;
 
 pub fn customer(name: &str) -> CustomerName {
     CustomerName::parse(name).expect("a name")
@@ -21,13 +21,13 @@
     EndpointName::parse(&format!("e{number}")).expect("a name")
 }
 
-pub fn id(number: u128) -> RequestId {
+pub fn request_id(number: u128) -> RequestId {
     RequestId(number)
 }
 
 pub fn ticket(number: u128, name: &str, hint: u64) -> RequestTicket {
     RequestTicket {
-        request: id(number),
+        request: request_id(number),
         customer: customer(name),
         digest: None,
         hint: Cost(hint),
@@ -43,7 +43,7 @@
     }
 }
 
-pub fn ordered(number: u128, name: &str, order: u64) -> RequestTicket {
+pub fn ordered_ticket(number: u128, name: &str, order: u64) -> RequestTicket {
     RequestTicket { order: Some(OrderNumber(order)), ..ticket(number, name, 10) }
 }
 
@@ -60,9 +60,9 @@
     }
 }
 
-pub fn held(number: u128, name: &str, on: usize, order: u64) -> HeldGrant {
+pub fn held_grant(number: u128, name: &str, on: usize, order: u64) -> HeldGrant {
     HeldGrant {
-        request: id(number),
+        request: request_id(number),
         customer: customer(name),
         digest: None,
         endpoint: endpoint(on),
@@ -72,36 +72,41 @@
     }
 }
 
-pub fn total(name: &str, level: u64, order: u64) -> HeldTotal {
+pub fn held_total(name: &str, level: u64, order: u64) -> HeldTotal {
     HeldTotal { customer: customer(name), level: ServiceLevel(level), order: OrderNumber(order) }
 }
 
 /// A grant, as the shard's action tells of it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct SeenGrant {
+pub struct ObservedGrant {
     pub session: SessionId,
     pub request: RequestId,
     pub endpoint: EndpointName,
     pub order: OrderNumber,
 }
 
-pub struct Bench {
+pub struct ShardHarness {
     pub now: Moment,
     pub core: ShardCore,
-    pub seen: Vec<ShardAction>,
+    pub actions: Vec<ShardAction>,
     pub policy: ShardPolicy,
 }
 
-impl Bench {
+impl ShardHarness {
     /// A shard past its recovery window, with endpoints `e0`, `e1`, ... in halls 0, 1, 2, 0, ...,
     /// and customers that may use every hall.
-    pub fn new(endpoints: usize, slots: u32, customers: &[&str]) -> Bench {
-        let mut bench = Bench::recovering(endpoints, slots, customers, ShardOptions::default());
-        bench.pass(1_000);
-        bench
-    }
-
-    pub fn recovering(endpoints: usize, slots: u32, customers: &[&str], options: ShardOptions) -> Bench {
+    pub fn new(endpoints: usize, slots: u32, customers: &[&str]) -> ShardHarness {
+        let mut harness = ShardHarness::recovering(endpoints, slots, customers, ShardOptions::default());
+        harness.advance(1_000);
+        harness
+    }
+
+    pub fn recovering(
+        endpoints: usize,
+        slots: u32,
+        customers: &[&str],
+        options: ShardOptions,
+    ) -> ShardHarness {
         let now = Moment::from_millis(1_000);
         let specs = (0..endpoints).map(|number| EndpointSpec {
             name: endpoint(number),
@@ -115,7 +120,7 @@
         let named = customers.iter().map(|name| ShardCustomer {
             name: customer(name),
             weight: Weight::ONE,
-            halls: HallMask(EVERY_HALL),
+            halls: HallMask(ALL_HALLS),
             max_waiting: 1_000,
         });
         let policy = ShardPolicy {
@@ -128,19 +133,19 @@
             customers: named.collect(),
         };
         let core = ShardCore::new(now, options);
-        let mut bench = Bench { now, core, seen: Vec::new(), policy: policy.clone() };
-        bench.step(ShardEvent::Policy(policy));
-        bench
+        let mut harness = ShardHarness { now, core, actions: Vec::new(), policy: policy.clone() };
+        harness.step(ShardEvent::Policy(policy));
+        harness
     }
 
     /// Steps and checks that no free slot was left to an eligible ticket.
     pub fn step(&mut self, event: ShardEvent) {
-        self.core.step(self.now, event, &mut self.seen);
+        self.core.step(self.now, event, &mut self.actions);
         assert!(!self.core.has_idle_slot(self.now), "a free slot was left to an eligible ticket");
     }
 
     /// Changes the policy as a new revision.
-    pub fn change(&mut self, change: impl FnOnce(&mut ShardPolicy)) {
+    pub fn update_policy(&mut self, change: impl FnOnce(&mut ShardPolicy)) {
         change(&mut self.policy);
         self.policy.revision = Revision(self.policy.revision.0 + 1);
         self.step(ShardEvent::Policy(self.policy.clone()));
@@ -155,16 +160,16 @@
     }
 
     pub fn settle(&mut self, session: u64, request: u128, cost: u64, fate: GrantFate) {
-        self.step(ShardEvent::Settle(SessionId(session), id(request), Cost(cost), fate));
+        self.step(ShardEvent::Settle(SessionId(session), request_id(request), Cost(cost), fate));
     }
 
-    pub fn load(&mut self, on: usize, running: u32, draining: bool) {
+    pub fn report_load(&mut self, on: usize, running: u32, draining: bool) {
         let report = LoadReport { endpoint: endpoint(on), running, waiting: 0, draining, asked_at: self.now };
         self.step(ShardEvent::Load(report));
     }
 
     /// Lets time pass in ticks; routers given here stay alive.
-    pub fn pass_with(&mut self, millis: u64, alive: &[u64]) {
+    pub fn advance_with_heartbeats(&mut self, millis: u64, alive: &[u64]) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = (self.now + Duration::from_millis(50)).min(end);
@@ -175,14 +180,14 @@
         }
     }
 
-    pub fn pass(&mut self, millis: u64) {
-        self.pass_with(millis, &[]);
+    pub fn advance(&mut self, millis: u64) {
+        self.advance_with_heartbeats(millis, &[]);
     }
 
     /// The grants since the last call.
-    pub fn grants(&mut self) -> Vec<SeenGrant> {
-        let grants = self.seen.iter().filter_map(|action| match action {
-            ShardAction::Grant { session, request, endpoint, order, .. } => Some(SeenGrant {
+    pub fn take_grants(&mut self) -> Vec<ObservedGrant> {
+        let grants = self.actions.iter().filter_map(|action| match action {
+            ShardAction::Grant { session, request, endpoint, order, .. } => Some(ObservedGrant {
                 session: *session,
                 request: *request,
                 endpoint: endpoint.clone(),
@@ -191,24 +196,24 @@
             _ => None,
         });
         let grants = grants.collect();
-        self.seen.clear();
+        self.actions.clear();
         grants
     }
 
     /// The refusals since the grants were last taken.
-    pub fn refused(&self) -> Vec<(u128, ReleaseReason)> {
-        let refusals = self.seen.iter().filter_map(|action| match action {
+    pub fn refusals(&self) -> Vec<(u128, ReleaseReason)> {
+        let refusals = self.actions.iter().filter_map(|action| match action {
             ShardAction::Refuse { request, reason, .. } => Some((request.0, *reason)),
             _ => None,
         });
         refusals.collect()
     }
 
-    pub fn granted_requests(&mut self) -> Vec<u128> {
-        self.grants().iter().map(|grant| grant.request.0).collect()
+    pub fn take_granted_requests(&mut self) -> Vec<u128> {
+        self.take_grants().iter().map(|grant| grant.request.0).collect()
     }
 
-    pub fn rejoins(&self) -> usize {
-        self.seen.iter().filter(|action| matches!(action, ShardAction::Rejoin { .. })).count()
+    pub fn rejoin_count(&self) -> usize {
+        self.actions.iter().filter(|action| matches!(action, ShardAction::Rejoin { .. })).count()
     }
 }
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -8,7 +8,7 @@
 //! common parts. What settled it: the answers by endpoint, with all letters at 12 of 140 engines and the other
 //! kinds of streams at 116 and 119, from the first second to the last.
 
-use crate::bench::{endpoint, hello, ticket, Bench};
+use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{CacheNews, GrantFate, KeptPart, RequestTicket, SessionId, ShardAction, ShardEvent};
 use micaspool_types::{Cost, EndpointName, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -35,7 +35,7 @@
 
 /// Engines that read in order of arrival and keep what they have read.
 struct EngineFleet {
-    bench: Bench,
+    harness: ShardHarness,
     due: BTreeMap<(u64, u128), Step>,
     busy_until: HashMap<EndpointName, u64>,
     kept: HashMap<EndpointName, BTreeSet<u64>>,
@@ -44,16 +44,16 @@
 
 impl EngineFleet {
     fn new(engines: usize) -> EngineFleet {
-        let mut bench = Bench::new(engines, 16, &["a", "b", "c", "d", "e"]);
-        bench.change(|policy| {
+        let mut harness = ShardHarness::new(engines, 16, &["a", "b", "c", "d", "e"]);
+        harness.update_policy(|policy| {
             for spec in &mut policy.endpoints {
                 spec.memory_tokens = 500_000;
             }
             policy.planned_pace = PACE as f64;
         });
-        bench.join(1, hello("r1", 1));
+        harness.join(1, hello("r1", 1));
         EngineFleet {
-            bench,
+            harness,
             due: BTreeMap::new(),
             busy_until: HashMap::new(),
             kept: HashMap::new(),
@@ -70,33 +70,33 @@
             objective: Some(Duration::from_millis(800)),
             ..ticket(number, customer, 10_000)
         };
-        self.bench.submit(1, prompt);
+        self.harness.submit(1, prompt);
     }
 
     /// One millisecond.
     fn pass(&mut self, now: u64) {
-        self.bench.now = self.bench.now + Duration::from_millis(1);
+        self.harness.now = self.harness.now + Duration::from_millis(1);
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
                 Step::Begin(number) => {
                     let begun = ShardEvent::Progress(SessionId(1), RequestId(number), Cost(1));
-                    self.bench.step(begun);
+                    self.harness.step(begun);
                     self.due.insert((now + RUN, number), Step::End(number));
                 }
-                Step::End(number) => self.bench.settle(1, number, 10_000, GrantFate::Done),
+                Step::End(number) => self.harness.settle(1, number, 10_000, GrantFate::Done),
             }
         }
-        self.bench.step(ShardEvent::Wake);
+        self.harness.step(ShardEvent::Wake);
         if now.is_multiple_of(50) {
-            self.bench.step(ShardEvent::Heartbeat(SessionId(1), 1));
-            self.bench.step(ShardEvent::Tick);
+            self.harness.step(ShardEvent::Heartbeat(SessionId(1), 1));
+            self.harness.step(ShardEvent::Tick);
         }
         self.read(now);
     }
 
     /// Gives the engines what was granted.
     fn read(&mut self, now: u64) {
-        for action in std::mem::take(&mut self.bench.seen) {
+        for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request, endpoint, .. } => {
                     let new = self.kept.entry(endpoint.clone()).or_default().insert(subject(request.0));
@@ -153,7 +153,7 @@
             kept: vec![part],
             whole: true,
         };
-        fleet.bench.step(ShardEvent::Cache(news));
+        fleet.harness.step(ShardEvent::Cache(news));
     }
     let prompt = |number: u128, own: u32| RequestTicket {
         prefixes: vec![part.prefix, 1_000 + number as u64],
@@ -164,12 +164,12 @@
     };
     for number in 0..HOLDERS {
         let own = if number < BUSY { 30_000 } else { 1_000 };
-        fleet.bench.submit(1, prompt(number as u128, own));
+        fleet.harness.submit(1, prompt(number as u128, own));
     }
-    let granted: Vec<_> = fleet.bench.grants().into_iter().map(|grant| grant.endpoint).collect();
+    let granted: Vec<_> = fleet.harness.take_grants().into_iter().map(|grant| grant.endpoint).collect();
     assert_eq!(granted, (0..HOLDERS).map(endpoint).collect::<Vec<_>>(), "each holder is given one");
-    fleet.bench.pass_with(50, &[1]);
-    fleet.bench.submit(1, prompt(100, 500));
-    let found = fleet.bench.grants().pop().expect("three holders have read what they got").endpoint;
+    fleet.harness.advance_with_heartbeats(50, &[1]);
+    fleet.harness.submit(1, prompt(100, 500));
+    let found = fleet.harness.take_grants().pop().expect("three holders have read what they got").endpoint;
     assert!(granted[BUSY..].contains(&found), "{found:?}");
 }
--- a/crates/micaspool-dispatch/tests/shard/limits.rs
+++ b/crates/micaspool-dispatch/tests/shard/limits.rs
@@ -1,6 +1,6 @@
 //! What is refused at once, and how many retries there may be.
 
-use crate::bench::{hello, ticket, Bench};
+use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{
     GrantFate, ReleaseReason, RequestTicket, SessionId, ShardAction, ShardEvent, ShardOptions,
 };
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn refusals(bench: &Bench) -> Vec<(u128, ReleaseReason, Duration)> {
-    let refused = bench.seen.iter().filter_map(|action| match action {
+fn refusals(harness: &ShardHarness) -> Vec<(u128, ReleaseReason, Duration)> {
+    let refused = harness.actions.iter().filter_map(|action| match action {
         ShardAction::Refuse { request, reason, retry_after, .. } => Some((request.0, *reason, *retry_after)),
         _ => None,
     });
@@ -18,17 +18,17 @@
 
 #[test]
 fn a_flood_is_refused_at_once_and_others_are_untouched() {
-    let mut bench = Bench::new(1, 1, &["flood", "farm"]);
-    bench.change(|policy| policy.customers[0].max_waiting = 10);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(1, 1, &["flood", "farm"]);
+    harness.update_policy(|policy| policy.customers[0].max_waiting = 10);
+    harness.join(1, hello("r1", 1));
     for number in 0..200 {
-        bench.submit(1, ticket(number, "flood", 10));
+        harness.submit(1, ticket(number, "flood", 10));
     }
-    assert_eq!(refusals(&bench).len(), 189, "one runs and ten wait");
-    assert!(refusals(&bench).iter().all(|(_, reason, _)| *reason == ReleaseReason::CustomerFull));
-    bench.seen.clear();
-    bench.submit(1, ticket(1_000, "farm", 10));
-    assert!(refusals(&bench).is_empty());
+    assert_eq!(refusals(&harness).len(), 189, "one runs and ten wait");
+    assert!(refusals(&harness).iter().all(|(_, reason, _)| *reason == ReleaseReason::CustomerFull));
+    harness.actions.clear();
+    harness.submit(1, ticket(1_000, "farm", 10));
+    assert!(refusals(&harness).is_empty());
 }
 
 /// A plain service that is asked for twice what it does: who can't be answered in time is refused soon, and
@@ -37,21 +37,21 @@
 fn a_plain_service_refuses_what_would_come_too_late() {
     const SERVICE: u64 = 40;
     const OBJECTIVE: u64 = 200;
-    let mut bench = Bench::new(2, 4, &["a"]);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(2, 4, &["a"]);
+    harness.join(1, hello("r1", 1));
     let mut ends = BTreeMap::new();
     let (mut asked, mut in_time, mut late) = (0_u128, 0, 0);
     let mut longest = Duration::ZERO;
     for now in 0..4_000_u64 {
-        bench.now = bench.now + Duration::from_millis(1);
+        harness.now = harness.now + Duration::from_millis(1);
         if now % 5 < 2 {
             let objective = Some(Duration::from_millis(OBJECTIVE));
-            bench.submit(1, RequestTicket { objective, ..ticket(asked, "a", 1) });
+            harness.submit(1, RequestTicket { objective, ..ticket(asked, "a", 1) });
             ends.insert(asked, now);
             asked += 1;
         }
-        bench.step(ShardEvent::Heartbeat(SessionId(1), 1));
-        for action in std::mem::take(&mut bench.seen) {
+        harness.step(ShardEvent::Heartbeat(SessionId(1), 1));
+        for action in std::mem::take(&mut harness.actions) {
             match action {
                 ShardAction::Grant { request, .. } => {
                     let waited = now - ends[&request.0];
@@ -71,7 +71,7 @@
             ends.iter().filter(|(_, end)| **end == now + 1_000_000).map(|(request, _)| *request).collect();
         for request in due {
             ends.remove(&request);
-            bench.settle(1, request, 1, GrantFate::Done);
+            harness.settle(1, request, 1, GrantFate::Done);
         }
     }
     assert!(in_time > 700, "{in_time} of {asked} in time, of 800 that the endpoints do");
@@ -82,45 +82,45 @@
 /// An objective is for the beginning of an answer: streams that run for seconds leave a ticket its time to wait.
 #[test]
 fn long_streams_of_a_plain_service_do_not_shorten_the_wait() {
-    let mut bench = Bench::new(1, 1, &["a"]);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(1, 1, &["a"]);
+    harness.join(1, hello("r1", 1));
     for number in 0..3 {
-        bench.submit(1, ticket(number, "a", 1));
-        bench.pass_with(50, &[1]);
-        bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(1)));
-        bench.pass_with(2_000, &[1]);
-        bench.settle(1, number, 9, GrantFate::Done);
+        harness.submit(1, ticket(number, "a", 1));
+        harness.advance_with_heartbeats(50, &[1]);
+        harness.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(1)));
+        harness.advance_with_heartbeats(2_000, &[1]);
+        harness.settle(1, number, 9, GrantFate::Done);
     }
-    bench.submit(1, ticket(10, "a", 1));
-    bench.seen.clear();
-    bench.submit(1, RequestTicket { objective: Some(Duration::from_millis(600)), ..ticket(11, "a", 1) });
-    bench.pass_with(500, &[1]);
-    assert!(refusals(&bench).is_empty(), "550 ms are left for the wait");
-    bench.pass_with(100, &[1]);
-    assert_eq!(refusals(&bench).len(), 1);
+    harness.submit(1, ticket(10, "a", 1));
+    harness.actions.clear();
+    harness.submit(1, RequestTicket { objective: Some(Duration::from_millis(600)), ..ticket(11, "a", 1) });
+    harness.advance_with_heartbeats(500, &[1]);
+    assert!(refusals(&harness).is_empty(), "550 ms are left for the wait");
+    harness.advance_with_heartbeats(100, &[1]);
+    assert_eq!(refusals(&harness).len(), 1);
 }
 
 /// What idle endpoints can take in time is not refused, whether it is known yet how long they work or not.
 #[test]
 fn a_burst_that_a_plain_service_can_take_is_not_refused() {
-    let mut bench = Bench::new(2, 4, &["a"]);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(2, 4, &["a"]);
+    harness.join(1, hello("r1", 1));
     for round in 0..3 {
         for number in 0..24 {
             let objective = Some(Duration::from_millis(200));
-            bench.submit(1, RequestTicket { objective, ..ticket(round * 100 + number, "a", 1) });
+            harness.submit(1, RequestTicket { objective, ..ticket(round * 100 + number, "a", 1) });
         }
         assert!(
-            refusals(&bench).is_empty(),
+            refusals(&harness).is_empty(),
             "24 requests of 40 ms at 8 slots end within 120 ms, round {round}"
         );
         let mut ended = 0;
         for _ in 0..3 {
-            let running = bench.granted_requests();
-            bench.pass_with(40, &[1]);
+            let running = harness.take_granted_requests();
+            harness.advance_with_heartbeats(40, &[1]);
             ended += running.len();
             for request in running {
-                bench.settle(1, request, 1, GrantFate::Done);
+                harness.settle(1, request, 1, GrantFate::Done);
             }
         }
         assert_eq!(ended, 24, "round {round}");
@@ -129,21 +129,21 @@
 
 #[test]
 fn the_time_to_come_back_follows_the_backlog() {
-    let mut bench = Bench::new(1, 1, &["a"]);
-    bench.change(|policy| policy.customers[0].max_waiting = 20);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(1, 1, &["a"]);
+    harness.update_policy(|policy| policy.customers[0].max_waiting = 20);
+    harness.join(1, hello("r1", 1));
     for number in 0..21 {
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
     }
     for number in 0..10 {
-        bench.settle(1, number, 10, GrantFate::Done);
-        bench.pass_with(500, &[1]);
+        harness.settle(1, number, 10, GrantFate::Done);
+        harness.advance_with_heartbeats(500, &[1]);
     }
-    bench.seen.clear();
+    harness.actions.clear();
     for number in 100..120 {
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
     }
-    let (_, _, wait) = refusals(&bench)[0];
+    let (_, _, wait) = refusals(&harness)[0];
     assert!(
         wait >= Duration::from_secs(5) && wait <= Duration::from_secs(30),
         "{wait:?} for 20 at 2 a second"
@@ -153,30 +153,30 @@
 #[test]
 fn a_full_shard_refuses() {
     let options = ShardOptions::builder().max_waiting(5).recovery_window(Duration::ZERO).build();
-    let mut bench = Bench::recovering(1, 1, &["a"], options);
-    bench.pass(100);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::recovering(1, 1, &["a"], options);
+    harness.advance(100);
+    harness.join(1, hello("r1", 1));
     for number in 0..10 {
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
     }
-    let reasons: Vec<ReleaseReason> = refusals(&bench).into_iter().map(|(_, reason, _)| reason).collect();
+    let reasons: Vec<ReleaseReason> = refusals(&harness).into_iter().map(|(_, reason, _)| reason).collect();
     assert_eq!(reasons, vec![ReleaseReason::ShardFull; 4]);
 }
 
 #[test]
 fn retries_are_a_tenth_of_first_attempts_once_the_budget_is_spent() {
-    let mut bench = Bench::new(1, 1, &["a"]);
-    bench.change(|policy| policy.customers[0].max_waiting = 100_000);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(1, 1, &["a"]);
+    harness.update_policy(|policy| policy.customers[0].max_waiting = 100_000);
+    harness.join(1, hello("r1", 1));
     let mut number = 0;
     let mut admitted = 0;
     for _ in 0..1_000 {
         number += 1;
-        bench.submit(1, ticket(number, "a", 10));
+        harness.submit(1, ticket(number, "a", 10));
         number += 1;
-        bench.seen.clear();
-        bench.submit(1, RequestTicket { attempt: 1, ..ticket(number, "a", 10) });
-        admitted += usize::from(refusals(&bench).is_empty());
+        harness.actions.clear();
+        harness.submit(1, RequestTicket { attempt: 1, ..ticket(number, "a", 10) });
+        admitted += usize::from(refusals(&harness).is_empty());
     }
     assert!((100..=115).contains(&admitted), "{admitted} retries for 1000 first attempts");
 }
--- a/crates/micaspool-dispatch/tests/shard/main.rs
+++ b/crates/micaspool-dispatch/tests/shard/main.rs
@@ -1,7 +1,6 @@
 //! The shard core under faults, in virtual time.
 
 mod advice;
-mod bench;
 mod bound;
 mod breaks;
 mod capacity;
@@ -12,6 +11,7 @@
 mod engines;
 mod evacuation;
 mod faults;
+mod harness;
 mod herding;
 mod horizon;
 mod limits;
--- a/crates/micaspool-dispatch/tests/shard/objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/objectives.rs
@@ -9,7 +9,7 @@
 //! `objective_ms="200" grants="298" refused_on_arrival="90"` and `objective_ms="1000" grants="73"
 //! refused_on_arrival="0"`, and records refused on arrival with an `expected_wait_ms` of 137.
 
-use crate::bench::{hello, ticket, Bench};
+use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent};
 use micaspool_types::RequestId;
 use rand::{Rng, SeedableRng};
@@ -66,7 +66,7 @@
 
 /// Callers of some kinds, who come back once, at one endpoint.
 struct SmallService {
-    bench: Bench,
+    harness: ShardHarness,
     kinds: Vec<RequestKind>,
     rng: ChaCha8Rng,
     next: u128,
@@ -82,10 +82,10 @@
 
 impl SmallService {
     fn new(seed: u64, kinds: &[RequestKind]) -> SmallService {
-        let mut bench = Bench::new(1, SLOTS, &["public"]);
-        bench.join(1, hello("r1", 1));
+        let mut harness = ShardHarness::new(1, SLOTS, &["public"]);
+        harness.join(1, hello("r1", 1));
         SmallService {
-            bench,
+            harness,
             kinds: kinds.to_vec(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             next: 1,
@@ -104,14 +104,14 @@
 
     fn play(mut self) -> Vec<KindOutcome> {
         for now in 0..PLAY {
-            self.bench.now = self.bench.now + Duration::from_millis(1);
+            self.harness.now = self.harness.now + Duration::from_millis(1);
             self.end_due(now);
             self.retry_due(now);
             self.arrive(now);
-            self.bench.step(ShardEvent::Wake);
+            self.harness.step(ShardEvent::Wake);
             if now.is_multiple_of(50) {
-                self.bench.step(ShardEvent::Heartbeat(SessionId(1), 1));
-                self.bench.step(ShardEvent::Tick);
+                self.harness.step(ShardEvent::Heartbeat(SessionId(1), 1));
+                self.harness.step(ShardEvent::Tick);
             }
             self.take_actions(now);
         }
@@ -142,7 +142,7 @@
             patience: self.told.then_some(patience),
             ..ticket(number, "public", 1)
         };
-        self.bench.submit(1, ticket);
+        self.harness.submit(1, ticket);
     }
 
     fn end_due(&mut self, now: u64) {
@@ -151,7 +151,7 @@
                 return;
             }
             self.ends.remove(&(at, number));
-            self.bench.settle(1, number, 1, GrantFate::Done);
+            self.harness.settle(1, number, 1, GrantFate::Done);
             let open = self.open.remove(&number).expect("what runs is open");
             if !open.counted {
                 continue;
@@ -173,7 +173,7 @@
     }
 
     fn take_actions(&mut self, now: u64) {
-        for action in std::mem::take(&mut self.bench.seen) {
+        for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request: RequestId(number), .. } => {
                     let work = self.work();
@@ -269,8 +269,8 @@
 #[test_case(None, true; "nothing")]
 fn a_caller_that_has_waited_before_counts_from_its_first_try(patience: Option<u64>, waits: bool) {
     const WORK: u64 = 20;
-    let mut bench = Bench::new(1, 1, &["public"]);
-    bench.join(1, hello("r1", 1));
+    let mut harness = ShardHarness::new(1, 1, &["public"]);
+    harness.join(1, hello("r1", 1));
     let asked = |number, patience: Option<u64>| RequestTicket {
         objective: Some(Duration::from_millis(200)),
         patience: patience.map(Duration::from_millis),
@@ -278,15 +278,15 @@
     };
     for number in 0..48 {
         let usual = if number % 4 == 0 { 400 } else { 1_000 };
-        bench.submit(1, asked(number, Some(usual)));
-        bench.pass_with(WORK, &[1]);
-        bench.settle(1, number, 1, GrantFate::Done);
+        harness.submit(1, asked(number, Some(usual)));
+        harness.advance_with_heartbeats(WORK, &[1]);
+        harness.settle(1, number, 1, GrantFate::Done);
     }
     for number in 100..104 {
-        bench.submit(1, asked(number, Some(1_000)));
+        harness.submit(1, asked(number, Some(1_000)));
     }
-    bench.seen.clear();
-    bench.submit(1, asked(200, patience));
-    let refused = bench.seen.iter().any(|action| matches!(action, ShardAction::Refuse { .. }));
+    harness.actions.clear();
+    harness.submit(1, asked(200, patience));
+    let refused = harness.actions.iter().any(|action| matches!(action, ShardAction::Refuse { .. }));
     assert_eq!(refused, !waits, "three wait, for 60 ms in all");
 }
--- a/crates/micaspool-dispatch/tests/shard/outage.rs
+++ b/crates/micaspool-dispatch/tests/shard/outage.rs
@@ -4,7 +4,7 @@
 //! is paused at once. Three endpoints that had been away for 12 s were left alone for up to 3.5 s more after their return,
 //! after longer ones for up to 16 s, while every request was refused.
 
-use crate::bench::{hello, ticket, Bench};
+use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, RequestTicket, ShardAction};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,7 @@
 
 /// One router that asks for something each 20 ms.
 struct Callers {
-    bench: Bench,
+    harness: ShardHarness,
     next: u128,
 }
 
@@ -38,9 +38,9 @@
     }
 
     fn of(endpoints: usize) -> Callers {
-        let mut bench = Bench::new(endpoints, 6, &["a"]);
-        bench.join(1, hello("r1", 1));
-        Callers { bench, next: 1 }
+        let mut harness = ShardHarness::new(endpoints, 6, &["a"]);
+        harness.join(1, hello("r1", 1));
+        Callers { harness, next: 1 }
     }
 
     /// Asks for so many milliseconds; each grant ends at once as `fate` says.
@@ -50,10 +50,10 @@
             self.next += 1;
             let wanted =
                 RequestTicket { objective: Some(Duration::from_millis(200)), ..ticket(self.next, "a", 1) };
-            self.bench.submit(1, wanted);
-            self.bench.pass_with(EVERY, &[1]);
-            while !self.bench.seen.is_empty() {
-                for action in std::mem::take(&mut self.bench.seen) {
+            self.harness.submit(1, wanted);
+            self.harness.advance_with_heartbeats(EVERY, &[1]);
+            while !self.harness.actions.is_empty() {
+                for action in std::mem::take(&mut self.harness.actions) {
                     self.take(action, &mut fate, &mut outcome);
                 }
             }
@@ -67,7 +67,7 @@
                 let fate = fate();
                 let counter = if fate == GrantFate::Done { &mut outcome.served } else { &mut outcome.failed };
                 *counter += 1;
-                self.bench.settle(1, request.0, 1, fate);
+                self.harness.settle(1, request.0, 1, fate);
             }
             ShardAction::Refuse { .. } => outcome.refused += 1,
             _ => {}
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -1,6 +1,6 @@
 //! How shards learn the pace of engines: modelled engines that read in order of arrival.
 
-use crate::bench::{endpoint, hello, ticket, Bench};
+use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{
     GrantFate, LoadReport, PaceStatus, RequestTicket, SessionId, ShardEvent, ShardOptions,
 };
@@ -72,7 +72,7 @@
 /// A shard whose callers ask for more than its engine gives.
 struct BusyShard {
     index: usize,
-    bench: Bench,
+    harness: ShardHarness,
     number: u128,
     sizes: HashMap<u128, u64>,
     due: BTreeMap<(u64, u128), Step>,
@@ -81,44 +81,44 @@
 
 impl BusyShard {
     fn new(index: usize, options: ShardOptions, planned_pace: f64) -> BusyShard {
-        let mut bench = Bench::recovering(1, 400, &["a"], options);
-        bench.change(|policy| {
+        let mut harness = ShardHarness::recovering(1, 400, &["a"], options);
+        harness.update_policy(|policy| {
             policy.endpoints[0].memory_tokens = 1_000_000;
             policy.planned_pace = planned_pace;
         });
-        bench.pass(1_000);
-        bench.join(1, hello("r1", 1));
-        BusyShard { index, bench, number: 0, sizes: HashMap::new(), due: BTreeMap::new(), running: 0 }
+        harness.advance(1_000);
+        harness.join(1, hello("r1", 1));
+        BusyShard { index, harness, number: 0, sizes: HashMap::new(), due: BTreeMap::new(), running: 0 }
     }
 
     /// One millisecond in which the shard is asked for `tokens` or more.
     fn play(&mut self, now: u64, engine: &mut EngineModel, wanted: &mut f64) {
-        self.bench.now = self.bench.now + Duration::from_millis(1);
+        self.harness.now = self.harness.now + Duration::from_millis(1);
         while *wanted > 0.0 {
             self.number += 1;
             let tokens = 500 + (self.number as u64 * 2_654_435_761) % 7_000;
             *wanted -= tokens as f64;
             self.sizes.insert(self.number, tokens);
-            self.bench.submit(1, prompt(self.number, tokens));
+            self.harness.submit(1, prompt(self.number, tokens));
         }
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
                 Step::Begin(number, tokens) => {
-                    self.bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(tokens)));
+                    self.harness.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(tokens)));
                     self.due.insert((now + RUN, number), Step::End(number, tokens));
                 }
                 Step::End(number, tokens) => {
                     self.running -= 1;
-                    self.bench.settle(1, number, tokens, GrantFate::Done);
+                    self.harness.settle(1, number, tokens, GrantFate::Done);
                 }
             }
         }
-        self.bench.step(ShardEvent::Wake);
+        self.harness.step(ShardEvent::Wake);
         if now.is_multiple_of(50) {
-            self.bench.step(ShardEvent::Heartbeat(SessionId(1), 1));
-            self.bench.step(ShardEvent::Tick);
+            self.harness.step(ShardEvent::Heartbeat(SessionId(1), 1));
+            self.harness.step(ShardEvent::Tick);
         }
-        for number in self.bench.granted_requests() {
+        for number in self.harness.take_granted_requests() {
             let tokens = self.sizes[&number];
             self.running += 1;
             self.due.insert((engine.take(self.index, now, tokens), number), Step::Begin(number, tokens));
@@ -126,13 +126,13 @@
     }
 
     fn report(&mut self, running: u32) {
-        let asked_at = self.bench.now;
+        let asked_at = self.harness.now;
         let report = LoadReport { endpoint: endpoint(0), running, waiting: 0, draining: false, asked_at };
-        self.bench.step(ShardEvent::Load(report));
+        self.harness.step(ShardEvent::Load(report));
     }
 
     fn pace(&self) -> PaceStatus {
-        self.bench.core.status(self.bench.now).endpoints[0].pace.expect("it is an engine")
+        self.harness.core.status(self.harness.now).endpoints[0].pace.expect("it is an engine")
     }
 }
 
@@ -235,14 +235,14 @@
     play(&mut shards, &mut engine, &[], 5_000);
     let shard = &mut shards[0];
     let before = shard.pace().tokens_per_milli;
-    shard.bench.now = shard.bench.now + Duration::from_secs(2);
+    shard.harness.now = shard.harness.now + Duration::from_secs(2);
     let due: Vec<Step> = std::mem::take(&mut shard.due).into_values().collect();
     for (place, step) in due.iter().enumerate() {
         let (Step::Begin(number, tokens) | Step::End(number, tokens)) = *step;
         if place % 2 == 0 {
-            shard.bench.settle(1, number, 0, GrantFate::Broken);
+            shard.harness.settle(1, number, 0, GrantFate::Broken);
         } else {
-            shard.bench.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(tokens)));
+            shard.harness.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(tokens)));
         }
     }
     let after = shard.pace().tokens_per_milli;
--- a/crates/micaspool-dispatch/tests/shard/poison.rs
+++ b/crates/micaspool-dispatch/tests/shard/poison.rs
@@ -3,7 +3,7 @@
 //! 5 to 29 requests of others that ran beside it. Each arrival was a first try to the shard, so nothing added up: "ticket
 //! refused" and "shard decisions" told of the load alone, and grants went on as ever.
 
-use crate::bench::{endpoint, hello, ticket, Bench};
+use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{EndpointSpec, GrantFate, ReleaseReason, RequestTicket, ShardAction, ShardEvent};
 use micaspool_types::{EndpointName, Moment, RequestDigest};
 use rand::Rng;
@@ -50,7 +50,7 @@
 
 /// Endpoints that end under one request, routers and callers that repeat.
 struct Model {
-    bench: Bench,
+    harness: ShardHarness,
     neighbours: Neighbours,
     random: ChaCha8Rng,
     running: HashMap<u128, Running>,
@@ -74,12 +74,12 @@
 
 impl Model {
     fn new(seed: u64, neighbours: Neighbours) -> Model {
-        let mut bench = Bench::new(ENDPOINTS, neighbours.slots, &["a", "b"]);
+        let mut harness = ShardHarness::new(ENDPOINTS, neighbours.slots, &["a", "b"]);
         for session in 1..=ROUTERS {
-            bench.join(session, hello(&format!("r{session}"), 1));
+            harness.join(session, hello(&format!("r{session}"), 1));
         }
         Model {
-            bench,
+            harness,
             neighbours,
             random: ChaCha8Rng::seed_from_u64(seed),
             running: HashMap::new(),
@@ -105,18 +105,18 @@
             ..ticket(self.next, name, 10)
         };
         self.asked.insert(self.next, (digest, session));
-        self.bench.submit(session, wanted);
+        self.harness.submit(session, wanted);
         self.take_actions();
         self.next
     }
 
     fn take_actions(&mut self) {
         let mut unreachable = Vec::new();
-        for action in std::mem::take(&mut self.bench.seen) {
+        for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request, endpoint, .. } => {
                     let (digest, session) = self.asked.remove(&request.0).expect("it was asked for");
-                    let since = self.bench.now;
+                    let since = self.harness.now;
                     if self.is_away(&endpoint) {
                         unreachable.push(request.0);
                     } else if digest == FATAL {
@@ -143,16 +143,16 @@
 
     fn settle(&mut self, request: u128, fate: GrantFate) {
         let run = self.running.remove(&request).expect("it runs");
-        self.bench.settle(run.session, request, 10, fate);
+        self.harness.settle(run.session, request, 10, fate);
         self.take_actions();
     }
 
     /// Lets one step pass: runs end, endpoints end and come back.
     fn pass(&mut self) {
         let sessions: Vec<u64> = (1..=ROUTERS).collect();
-        self.bench.pass_with(STEP_MILLIS, &sessions);
+        self.harness.advance_with_heartbeats(STEP_MILLIS, &sessions);
         self.take_actions();
-        let now = self.bench.now;
+        let now = self.harness.now;
         let age = |run: &Running| now.since(run.since).as_millis() as u64;
         let fatal = self.running.values().find(|run| run.digest == FATAL && age(run) >= FATAL_MILLIS);
         if let Some(ended) = fatal.map(|run| run.endpoint.clone()) {
@@ -173,8 +173,8 @@
     }
 
     fn end(&mut self, ended: &EndpointName) {
-        self.ends.push(self.bench.now);
-        self.away.push((number_of(ended), self.bench.now + Duration::from_millis(AWAY_MILLIS)));
+        self.ends.push(self.harness.now);
+        self.away.push((number_of(ended), self.harness.now + Duration::from_millis(AWAY_MILLIS)));
         let mut broken: Vec<u128> = self
             .running
             .iter()
@@ -185,17 +185,17 @@
         for request in broken {
             let digest = self.running[&request].digest;
             if digest != FATAL {
-                self.repeats.push((self.bench.now + REPEAT_PAUSE, digest));
+                self.repeats.push((self.harness.now + REPEAT_PAUSE, digest));
             }
             self.settle(request, GrantFate::Severed);
         }
-        self.bench.step(ShardEvent::Unreachable(ended.clone()));
+        self.harness.step(ShardEvent::Unreachable(ended.clone()));
         self.take_actions();
     }
 
     /// An endpoint that was away starts again, under a name of its own.
     fn return_endpoints(&mut self) {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let back: Vec<usize> =
             self.away.iter().filter(|(_, until)| *until <= now).map(|(number, _)| *number).collect();
         self.away.retain(|(_, until)| *until > now);
@@ -203,7 +203,7 @@
         for number in back {
             let fresh = self.starts;
             self.starts += 1;
-            self.bench.change(|policy| {
+            self.harness.update_policy(|policy| {
                 policy.endpoints.retain(|spec| spec.name != endpoint(number));
                 policy.endpoints.push(EndpointSpec {
                     name: endpoint(fresh),
@@ -227,7 +227,7 @@
                 let name = if (step / self.neighbours.every).is_multiple_of(2) { "a" } else { "b" };
                 self.ask(name, harmless);
             }
-            let now = self.bench.now;
+            let now = self.harness.now;
             let due: Vec<RequestDigest> =
                 self.repeats.iter().filter(|(at, _)| *at <= now).map(|(_, digest)| *digest).collect();
             self.repeats.retain(|(at, _)| *at > now);
--- a/crates/micaspool-dispatch/tests/shard/recovery.rs
+++ b/crates/micaspool-dispatch/tests/shard/recovery.rs
@@ -1,6 +1,8 @@
 //! A shard that starts empty is rebuilt from its routers.
 
-use crate::bench::{customer, held, hello, id, ordered, ticket, total, Bench};
+use crate::harness::{
+    customer, held_grant, held_total, hello, ordered_ticket, request_id, ticket, ShardHarness,
+};
 use micaspool_dispatch::{GrantFate, RouterHello, SessionId, ShardEvent, ShardOptions};
 use micaspool_types::{Cost, InstanceName};
 use std::time::Duration;
@@ -16,83 +18,83 @@
 
 #[test]
 fn tickets_run_in_their_old_order_whichever_router_joins_first() {
-    let mut bench = Bench::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
-    bench.join(1, waiting_hello("r1", vec![ordered(12, "a", 2), ordered(14, "a", 4)]));
-    bench.join(2, waiting_hello("r2", vec![ordered(11, "a", 1), ordered(13, "a", 3)]));
+    let mut harness = ShardHarness::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
+    harness.join(1, waiting_hello("r1", vec![ordered_ticket(12, "a", 2), ordered_ticket(14, "a", 4)]));
+    harness.join(2, waiting_hello("r2", vec![ordered_ticket(11, "a", 1), ordered_ticket(13, "a", 3)]));
     let mut order = Vec::new();
     for _ in 0..4 {
-        let granted = bench.grants();
+        let granted = harness.take_grants();
         order.push(granted[0].request.0);
-        bench.settle(granted[0].session.0, granted[0].request.0, 5, GrantFate::Done);
+        harness.settle(granted[0].session.0, granted[0].request.0, 5, GrantFate::Done);
     }
     assert_eq!(order, vec![11, 12, 13, 14]);
 }
 
 #[test]
 fn tickets_with_equal_order_numbers_are_all_kept() {
-    let mut bench = Bench::recovering(1, 8, &["a"], expecting(&["r1", "r2"]));
-    bench.join(1, waiting_hello("r1", vec![ticket(11, "a", 10), ordered(12, "a", 1)]));
-    bench.join(2, waiting_hello("r2", vec![ordered(13, "a", 2), ordered(14, "a", 1)]));
-    let mut granted = bench.granted_requests();
+    let mut harness = ShardHarness::recovering(1, 8, &["a"], expecting(&["r1", "r2"]));
+    harness.join(1, waiting_hello("r1", vec![ticket(11, "a", 10), ordered_ticket(12, "a", 1)]));
+    harness.join(2, waiting_hello("r2", vec![ordered_ticket(13, "a", 2), ordered_ticket(14, "a", 1)]));
+    let mut granted = harness.take_granted_requests();
     granted.sort();
     assert_eq!(granted, vec![11, 12, 13, 14]);
 }
 
 #[test]
 fn nothing_is_granted_before_the_routers_have_joined() {
-    let mut bench = Bench::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
-    bench.join(1, waiting_hello("r1", vec![ordered(1, "a", 1)]));
-    assert!(bench.granted_requests().is_empty());
-    let running = RouterHello { running: vec![held(2, "a", 0, 0)], ..hello("r2", 1) };
-    bench.join(2, running);
-    assert!(bench.granted_requests().is_empty(), "the slot is taken by what r2 runs");
-    bench.settle(2, 2, 5, GrantFate::Done);
-    assert_eq!(bench.granted_requests(), vec![1]);
+    let mut harness = ShardHarness::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
+    harness.join(1, waiting_hello("r1", vec![ordered_ticket(1, "a", 1)]));
+    assert!(harness.take_granted_requests().is_empty());
+    let running = RouterHello { running: vec![held_grant(2, "a", 0, 0)], ..hello("r2", 1) };
+    harness.join(2, running);
+    assert!(harness.take_granted_requests().is_empty(), "the slot is taken by what r2 runs");
+    harness.settle(2, 2, 5, GrantFate::Done);
+    assert_eq!(harness.take_granted_requests(), vec![1]);
 }
 
 #[test]
 fn a_missing_router_delays_grants_only_for_the_recovery_window() {
     let options = ShardOptions::builder().recovery_window(Duration::from_millis(300)).build();
-    let mut bench = Bench::recovering(1, 1, &["a"], options);
-    bench.join(1, waiting_hello("r1", vec![ordered(1, "a", 1)]));
-    bench.pass_with(250, &[1]);
-    assert!(bench.granted_requests().is_empty());
-    bench.pass_with(100, &[1]);
-    assert_eq!(bench.granted_requests(), vec![1]);
+    let mut harness = ShardHarness::recovering(1, 1, &["a"], options);
+    harness.join(1, waiting_hello("r1", vec![ordered_ticket(1, "a", 1)]));
+    harness.advance_with_heartbeats(250, &[1]);
+    assert!(harness.take_granted_requests().is_empty());
+    harness.advance_with_heartbeats(100, &[1]);
+    assert_eq!(harness.take_granted_requests(), vec![1]);
 }
 
 #[test]
 fn levels_are_taken_from_the_newest_grant_that_any_router_heard() {
-    let mut bench = Bench::recovering(1, 1, &["a", "b"], expecting(&["r1", "r2"]));
-    let totals = vec![total("a", 900_000, 7), total("b", 100_000, 5)];
-    bench.join(1, RouterHello { totals, waiting: vec![ordered(1, "a", 8)], ..hello("r1", 1) });
-    let totals = vec![total("a", 50_000, 2), total("b", 950_000, 9)];
-    bench.join(2, RouterHello { totals, waiting: vec![ordered(2, "b", 10)], ..hello("r2", 1) });
-    assert_eq!(bench.granted_requests(), vec![1], "a is at 900000 and b at 950000");
+    let mut harness = ShardHarness::recovering(1, 1, &["a", "b"], expecting(&["r1", "r2"]));
+    let totals = vec![held_total("a", 900_000, 7), held_total("b", 100_000, 5)];
+    harness.join(1, RouterHello { totals, waiting: vec![ordered_ticket(1, "a", 8)], ..hello("r1", 1) });
+    let totals = vec![held_total("a", 50_000, 2), held_total("b", 950_000, 9)];
+    harness.join(2, RouterHello { totals, waiting: vec![ordered_ticket(2, "b", 10)], ..hello("r2", 1) });
+    assert_eq!(harness.take_granted_requests(), vec![1], "a is at 900000 and b at 950000");
 }
 
 /// Routers that were cut off used dispatchers of their own, whose levels began later. What they bring
 /// together must not starve the customer with the longest count.
 #[test]
 fn levels_of_different_dispatchers_do_not_starve_a_customer() {
-    let mut bench = Bench::recovering(1, 1, &["long", "short"], ShardOptions::default());
-    bench.change(|policy| policy.idle_credit = Cost(50));
-    let long = RouterHello { totals: vec![total("long", 9_000_000, 900)], ..hello("r1", 1) };
-    let short = RouterHello { totals: vec![total("short", 20_000, 7)], ..hello("r2", 2) };
-    bench.join(1, long);
-    bench.join(2, short);
+    let mut harness = ShardHarness::recovering(1, 1, &["long", "short"], ShardOptions::default());
+    harness.update_policy(|policy| policy.idle_credit = Cost(50));
+    let long = RouterHello { totals: vec![held_total("long", 9_000_000, 900)], ..hello("r1", 1) };
+    let short = RouterHello { totals: vec![held_total("short", 20_000, 7)], ..hello("r2", 2) };
+    harness.join(1, long);
+    harness.join(2, short);
     // Both wait already while the shard recovers, so neither begins to wait beside the other.
     for number in 0..40 {
-        bench.submit(1, ticket(number, "long", 10));
-        bench.submit(2, ticket(100 + number, "short", 10));
+        harness.submit(1, ticket(number, "long", 10));
+        harness.submit(2, ticket(100 + number, "short", 10));
     }
-    bench.pass_with(500, &[1, 2]);
+    harness.advance_with_heartbeats(500, &[1, 2]);
     let mut served = Vec::new();
     for _ in 0..20 {
-        for request in bench.granted_requests() {
+        for request in harness.take_granted_requests() {
             served.push(request);
             let session = if request < 100 { 1 } else { 2 };
-            bench.settle(session, request, 10, GrantFate::Done);
+            harness.settle(session, request, 10, GrantFate::Done);
         }
     }
     let long = served.iter().filter(|request| **request < 100).count();
@@ -102,53 +104,53 @@
 #[test]
 fn killed_again_during_recovery() {
     let held_by_routers = || {
-        let first = RouterHello { running: vec![held(1, "a", 0, 1)], ..hello("r1", 1) };
-        (first, waiting_hello("r2", vec![ordered(2, "a", 2), ordered(3, "a", 3)]))
+        let first = RouterHello { running: vec![held_grant(1, "a", 0, 1)], ..hello("r1", 1) };
+        (first, waiting_hello("r2", vec![ordered_ticket(2, "a", 2), ordered_ticket(3, "a", 3)]))
     };
-    let mut bench = Bench::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
-    bench.join(1, held_by_routers().0);
-    assert!(bench.granted_requests().is_empty());
-    let mut second = Bench::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
+    let mut harness = ShardHarness::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
+    harness.join(1, held_by_routers().0);
+    assert!(harness.take_granted_requests().is_empty());
+    let mut second = ShardHarness::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
     second.join(3, held_by_routers().0);
     second.join(4, held_by_routers().1);
-    assert!(second.granted_requests().is_empty());
+    assert!(second.take_granted_requests().is_empty());
     second.settle(3, 1, 5, GrantFate::Done);
-    assert_eq!(second.granted_requests(), vec![2]);
+    assert_eq!(second.take_granted_requests(), vec![2]);
 }
 
 #[test]
 fn a_router_that_restarts_empty_is_known_again_and_its_old_slots_are_freed_by_lease() {
-    let mut bench = Bench::new(1, 1, &["a"]);
-    bench.join(1, hello("r1", 1));
-    bench.submit(1, ticket(1, "a", 10));
-    assert_eq!(bench.granted_requests(), vec![1]);
-    bench.join(2, hello("r1", 2));
-    bench.submit(2, ticket(2, "a", 10));
-    bench.pass_with(2_500, &[2]);
-    assert!(bench.granted_requests().is_empty(), "the earlier life's lease still runs");
-    bench.pass_with(1_000, &[2]);
-    assert_eq!(bench.granted_requests(), vec![2]);
+    let mut harness = ShardHarness::new(1, 1, &["a"]);
+    harness.join(1, hello("r1", 1));
+    harness.submit(1, ticket(1, "a", 10));
+    assert_eq!(harness.take_granted_requests(), vec![1]);
+    harness.join(2, hello("r1", 2));
+    harness.submit(2, ticket(2, "a", 10));
+    harness.advance_with_heartbeats(2_500, &[2]);
+    assert!(harness.take_granted_requests().is_empty(), "the earlier life's lease still runs");
+    harness.advance_with_heartbeats(1_000, &[2]);
+    assert_eq!(harness.take_granted_requests(), vec![2]);
 }
 
 #[test]
 fn a_planned_stop_asks_every_router_to_go_elsewhere() {
-    let mut bench = Bench::new(1, 1, &["a"]);
-    bench.join(1, hello("r1", 1));
-    bench.join(2, hello("r2", 1));
-    bench.seen.clear();
-    bench.step(ShardEvent::Stop);
-    assert_eq!(bench.rejoins(), 2);
+    let mut harness = ShardHarness::new(1, 1, &["a"]);
+    harness.join(1, hello("r1", 1));
+    harness.join(2, hello("r2", 1));
+    harness.actions.clear();
+    harness.step(ShardEvent::Stop);
+    assert_eq!(harness.rejoin_count(), 2);
 }
 
 #[test]
 fn a_request_is_never_in_the_queue_and_running_at_once() {
-    let mut bench = Bench::new(1, 4, &["a"]);
-    bench.join(1, RouterHello { running: vec![held(1, "a", 0, 1)], ..hello("r1", 1) });
-    bench.submit(1, ticket(1, "a", 10));
-    assert!(bench.granted_requests().is_empty());
-    let status = bench.core.status(bench.now);
+    let mut harness = ShardHarness::new(1, 4, &["a"]);
+    harness.join(1, RouterHello { running: vec![held_grant(1, "a", 0, 1)], ..hello("r1", 1) });
+    harness.submit(1, ticket(1, "a", 10));
+    assert!(harness.take_granted_requests().is_empty());
+    let status = harness.core.status(harness.now);
     assert_eq!((status.waiting, status.running), (0, 1));
     assert_eq!(status.customers[0].name, customer("a"));
-    bench.step(ShardEvent::Cancel(SessionId(1), id(1)));
-    assert_eq!(bench.core.status(bench.now).running, 0);
+    harness.step(ShardEvent::Cancel(SessionId(1), request_id(1)));
+    assert_eq!(harness.core.status(harness.now).running, 0);
 }
--- a/crates/micaspool-dispatch/tests/shard/regions.rs
+++ b/crates/micaspool-dispatch/tests/shard/regions.rs
@@ -1,6 +1,6 @@
 //! Shards of two regions that tell each other what they have delivered.
 
-use crate::bench::{customer, hello, ticket, Bench};
+use crate::harness::{customer, hello, ticket, ShardHarness};
 use micaspool_dispatch::{CustomerTotal, GrantFate, RegionTotals, ShardEvent};
 use micaspool_types::{Cost, Incarnation, RegionName};
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 const COST: u64 = 100;
 
 struct Region {
-    bench: Bench,
+    harness: ShardHarness,
     running: VecDeque<u128>,
     served: [u64; 2],
     next: u128,
@@ -18,9 +18,9 @@
 impl Region {
     /// Customer `a` has work in every region, `b` only where it is said so.
     fn new(with_b: bool) -> Region {
-        let mut bench = Bench::new(1, 2, &["a", "b"]);
-        bench.join(1, hello("r1", 1));
-        let mut region = Region { bench, running: VecDeque::new(), served: [0, 0], next: 2 };
+        let mut harness = ShardHarness::new(1, 2, &["a", "b"]);
+        harness.join(1, hello("r1", 1));
+        let mut region = Region { harness, running: VecDeque::new(), served: [0, 0], next: 2 };
         for _ in 0..4 {
             region.submit(0);
             if with_b {
@@ -33,16 +33,16 @@
     fn submit(&mut self, who: usize) {
         let number = self.next * 2 + who as u128;
         self.next += 1;
-        self.bench.submit(1, ticket(number, ["a", "b"][who], COST));
-        self.running.extend(self.bench.granted_requests());
+        self.harness.submit(1, ticket(number, ["a", "b"][who], COST));
+        self.running.extend(self.harness.take_granted_requests());
     }
 
     fn finish_one(&mut self) {
         let number = self.running.pop_front().expect("every slot is busy");
         let who = (number % 2) as usize;
         self.served[who] += COST;
-        self.bench.settle(1, number, COST, GrantFate::Done);
-        self.running.extend(self.bench.granted_requests());
+        self.harness.settle(1, number, COST, GrantFate::Done);
+        self.running.extend(self.harness.take_granted_requests());
         self.submit(who);
     }
 
@@ -51,7 +51,7 @@
         ShardEvent::Shared(RegionTotals {
             region,
             incarnation: Incarnation(1),
-            totals: self.bench.core.totals(),
+            totals: self.harness.core.totals(),
         })
     }
 }
@@ -65,9 +65,9 @@
         there.finish_one();
         if exchange && round % 4 == 0 {
             let (from_here, from_there) = (here.totals("here"), there.totals("there"));
-            here.bench.step(from_there.clone());
-            here.bench.step(from_there);
-            there.bench.step(from_here);
+            here.harness.step(from_there.clone());
+            here.harness.step(from_there);
+            there.harness.step(from_here);
         }
     }
     let a = here.served[0] + there.served[0];
@@ -88,8 +88,8 @@
         let region = RegionName::parse("there").expect("a name");
         ShardEvent::Shared(RegionTotals { region, incarnation: Incarnation(1), totals })
     };
-    here.bench.step(total(1_000));
-    here.bench.step(total(1_000_000_000));
+    here.harness.step(total(1_000));
+    here.harness.step(total(1_000_000_000));
     let before = here.served[0];
     let mut rounds = 0;
     while here.served[0] < before + 3 * COST {
--- a/crates/micaspool-dispatch/tests/shard/returning.rs
+++ b/crates/micaspool-dispatch/tests/shard/returning.rs
@@ -7,7 +7,7 @@
 //! anew. Cause: what may change a ticket's choice set the moment of the next look to now, whenever the last one
 //! had been. What settled it: a bench with and without such messages, 80 and 17 us a request at 320 engines.
 
-use crate::bench::{endpoint, hello, ticket, Bench};
+use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{CacheNews, KeptPart, ShardEvent};
 use std::time::Duration;
 use test_case::test_case;
@@ -16,23 +16,23 @@
 const MOST_ROUNDS: u64 = 52;
 
 /// Engines whose slots are all taken, and tickets that wait for them.
-fn crowded(engines: usize) -> Bench {
-    let mut bench = Bench::new(engines, 1, &["a", "b", "c"]);
-    bench.change(|policy| {
+fn crowded(engines: usize) -> ShardHarness {
+    let mut harness = ShardHarness::new(engines, 1, &["a", "b", "c"]);
+    harness.update_policy(|policy| {
         for spec in &mut policy.endpoints {
             spec.memory_tokens = 500_000;
         }
     });
-    bench.join(1, hello("r1", 1));
+    harness.join(1, hello("r1", 1));
     for number in 0..2 * engines as u128 {
         let customer = ["a", "b", "c"][(number % 3) as usize];
-        bench.submit(1, ticket(number, customer, 10_000));
+        harness.submit(1, ticket(number, customer, 10_000));
     }
-    bench
+    harness
 }
 
-fn rounds(bench: &Bench) -> u64 {
-    bench.core.status(bench.now).rounds
+fn rounds(harness: &ShardHarness) -> u64 {
+    harness.core.status(harness.now).rounds
 }
 
 fn news(number: usize) -> ShardEvent {
@@ -47,13 +47,13 @@
 #[test_case(320)]
 #[test_case(600)]
 fn news_of_caches_does_not_make_the_shard_look_at_all_tickets_each_time(engines: usize) {
-    let mut bench = crowded(engines);
-    let before = rounds(&bench);
+    let mut harness = crowded(engines);
+    let before = rounds(&harness);
     for place in 0..1_000 {
-        bench.now = bench.now + Duration::from_millis(1);
-        bench.step(news(place % engines));
+        harness.now = harness.now + Duration::from_millis(1);
+        harness.step(news(place % engines));
     }
-    let looked = rounds(&bench) - before;
+    let looked = rounds(&harness) - before;
     assert!(looked <= MOST_ROUNDS, "{looked} looks at all tickets in a second");
 }
 
@@ -61,23 +61,23 @@
 #[test_case(300)]
 #[test_case(600)]
 fn routers_that_join_at_once_do_not_either(routers: u64) {
-    let mut bench = crowded(320);
-    let before = rounds(&bench);
+    let mut harness = crowded(320);
+    let before = rounds(&harness);
     for number in 2..routers + 2 {
-        bench.now = bench.now + Duration::from_micros(1_000_000 / routers);
-        bench.join(number, hello(&format!("r{number}"), 1));
+        harness.now = harness.now + Duration::from_micros(1_000_000 / routers);
+        harness.join(number, hello(&format!("r{number}"), 1));
     }
-    let looked = rounds(&bench) - before;
+    let looked = rounds(&harness) - before;
     assert!(looked <= MOST_ROUNDS, "{looked} looks at all tickets in a second");
 }
 
 #[test]
 fn what_may_change_a_choice_is_looked_at_at_once_after_a_quiet_time() {
-    let mut bench = crowded(30);
-    bench.now = bench.now + Duration::from_millis(15);
-    let before = rounds(&bench);
-    bench.step(news(1));
-    bench.now = bench.now + Duration::from_millis(5);
-    bench.step(ShardEvent::Wake);
-    assert_eq!(rounds(&bench) - before, 1);
+    let mut harness = crowded(30);
+    harness.now = harness.now + Duration::from_millis(15);
+    let before = rounds(&harness);
+    harness.step(news(1));
+    harness.now = harness.now + Duration::from_millis(5);
+    harness.step(ShardEvent::Wake);
+    assert_eq!(rounds(&harness) - before, 1);
 }
--- a/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::load::{LoadPlan, LossKind, RetryHabit, LOSS_AT, PACE_PER_SECOND};
 use super::share::ShareRecord;
-use crate::bench::{customer, endpoint, hello, ticket, Bench};
+use crate::harness::{customer, endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{AskThrottle, GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent};
 use micaspool_types::{Cost, EndpointName, Moment, RequestId};
 use rand::{Rng, SeedableRng};
@@ -70,7 +70,7 @@
 /// One day.
 pub struct ScarceFleet<'a> {
     plan: &'a LoadPlan,
-    bench: Bench,
+    harness: ShardHarness,
     start: Moment,
     now: Duration,
     throttles: Vec<AskThrottle>,
@@ -88,18 +88,18 @@
     pub fn new(plan: &'a LoadPlan, seed: u64) -> ScarceFleet<'a> {
         let names: Vec<String> = (0..plan.customers.len()).map(|number| format!("c{number}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let mut bench = Bench::new(plan.engines, SLOTS, &names);
+        let mut harness = ShardHarness::new(plan.engines, SLOTS, &names);
         let capacity = plan.engines as f64 * PACE_PER_SECOND;
-        bench.change(|policy| {
+        harness.update_policy(|policy| {
             policy.endpoints.iter_mut().for_each(|spec| spec.memory_tokens = MEMORY_TOKENS);
             policy.planned_pace = PACE_PER_SECOND / 1_000.0;
             policy.idle_credit = Cost((capacity / 10.0) as u64);
         });
-        (1..=ROUTERS).for_each(|router| bench.join(router, hello(&format!("r{router}"), 1)));
+        (1..=ROUTERS).for_each(|router| harness.join(router, hello(&format!("r{router}"), 1)));
         let mut fleet = ScarceFleet {
             plan,
-            start: bench.now,
-            bench,
+            start: harness.now,
+            harness,
             now: Duration::ZERO,
             throttles: vec![AskThrottle::default(); ROUTERS as usize],
             engines: (0..plan.engines).map(|_| RealEngine::default()).collect(),
@@ -135,17 +135,17 @@
 
     fn set_time(&mut self, now: Duration) {
         self.now = now;
-        self.bench.now = self.start + now;
+        self.harness.now = self.start + now;
     }
 
     /// Lets the shard do by itself what is due before a moment.
     fn wake_until(&mut self, at: Duration) {
-        while let Some(wake) = self.bench.core.next_wake().map(|wake| wake.since(self.start)) {
+        while let Some(wake) = self.harness.core.next_wake().map(|wake| wake.since(self.start)) {
             if wake >= at {
                 return;
             }
             self.set_time(wake.max(self.now));
-            self.bench.step(ShardEvent::Wake);
+            self.harness.step(ShardEvent::Wake);
             self.heed();
         }
     }
@@ -163,8 +163,9 @@
             Step::Lose(engine) => self.lose(engine),
             Step::Tick => {
                 self.at(self.now + TICK, Step::Tick);
-                (1..=ROUTERS).for_each(|router| self.bench.step(ShardEvent::Heartbeat(SessionId(router), 1)));
-                self.bench.step(ShardEvent::Tick);
+                (1..=ROUTERS)
+                    .for_each(|router| self.harness.step(ShardEvent::Heartbeat(SessionId(router), 1)));
+                self.harness.step(ShardEvent::Tick);
             }
         }
     }
@@ -194,7 +195,7 @@
         let draw = self.rng.random();
         let name = customer(&format!("c{}", caller.customer));
         let throttle = &mut self.throttles[router as usize - 1];
-        if let Err(retry_after) = throttle.admit(self.bench.now, &name, draw) {
+        if let Err(retry_after) = throttle.admit(self.harness.now, &name, draw) {
             self.refuse(caller, retry_after);
             return;
         }
@@ -208,7 +209,7 @@
             objective: Some(load.objective),
             ..ticket(number, name.as_str(), u64::from(tokens))
         };
-        self.bench.submit(router, prompt);
+        self.harness.submit(router, prompt);
     }
 
     /// A caller is turned away and may come back.
@@ -226,13 +227,13 @@
     }
 
     fn heed(&mut self) {
-        for action in std::mem::take(&mut self.bench.seen) {
+        for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request, endpoint, .. } => self.send(request.0, &endpoint),
                 ShardAction::Refuse { request, retry_after, .. } => {
                     let Some(open) = self.open.remove(&request.0) else { continue };
                     let name = customer(&format!("c{}", open.caller.customer));
-                    let now = self.bench.now;
+                    let now = self.harness.now;
                     self.throttles[open.router as usize - 1].note_refused(now, &name, retry_after);
                     self.refuse(open.caller, retry_after);
                 }
@@ -248,7 +249,7 @@
         open.engine = Some(engine);
         let OpenRequest { caller, router, .. } = *open;
         let name = customer(&format!("c{}", caller.customer));
-        self.throttles[router as usize - 1].note_taken(self.bench.now, &name);
+        self.throttles[router as usize - 1].note_taken(self.harness.now, &name);
         let real = &mut self.engines[engine];
         let slowness = match real.loss {
             Some(LossKind::Gone) => {
@@ -284,7 +285,7 @@
             self.record.leave_unserved(self.now, open.caller.customer);
         }
         let begun = ShardEvent::Progress(SessionId(open.router), RequestId(number), Cost(tokens));
-        self.bench.step(begun);
+        self.harness.step(begun);
         let run = LONGEST_RUN.mul_f64(self.rng.random());
         self.at(self.now + run, Step::End(number, GrantFate::Done));
     }
@@ -302,7 +303,7 @@
             GrantFate::Done => u64::from(load.part_tokens + open.caller.own_tokens),
             _ => 0,
         };
-        self.bench.settle(open.router, number, cost, fate);
+        self.harness.settle(open.router, number, cost, fate);
         if fate == GrantFate::Unreachable {
             self.refuse(open.caller, Duration::from_secs(1));
         }
