--- a/crates/micaspool-dispatch/tests/shard/advice.rs
+++ b/crates/micaspool-dispatch/tests/shard/advice.rs
@@ -1,8 +1,9 @@
-//! Endpoints that ask single routers for rest, or say that they leave.
+//! Endpoints that ask single routers to send nothing for a while (a rest), or announce that they leave.
 //!
-//! A shard paused an endpoint that turned a request away for half a second, for all routers alike, and any answer that
-//! another router got there set the pause back. A router that had been asked for three seconds of rest so got a grant
-//! for that endpoint each half second: requests reached it after 0.41, 1.42 and 1.95 s.
+//! Guards against replacing a rest by a pause of the endpoint for all routers. The shard paused an endpoint
+//! that refused a request for 0.5 s, and any answer to another router reset that pause. A router that had
+//! been asked to rest for 3 s therefore got a grant for the endpoint every half second: requests reached it
+//! after 0.41, 1.42 and 1.95 s.
 
 use crate::harness::{endpoint, hello, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{
@@ -15,11 +16,11 @@
 
 const REST: Duration = Duration::from_secs(3);
 
-fn rest(on: usize, rest: Duration) -> AdviceRecord {
+fn rest_advice(on: usize, rest: Duration) -> AdviceRecord {
     AdviceRecord { endpoint: endpoint(on), advice: EndpointAdvice { rest, leaving: false } }
 }
 
-fn leaving(on: usize) -> AdviceRecord {
+fn leaving_advice(on: usize) -> AdviceRecord {
     AdviceRecord { endpoint: endpoint(on), advice: EndpointAdvice { rest: Duration::ZERO, leaving: true } }
 }
 
@@ -27,8 +28,8 @@
     harness.step(ShardEvent::Advised(SessionId(session), advice));
 }
 
-/// A ticket whose answer is wanted within this many milliseconds.
-fn wanted(number: u128, name: &str, millis: u64) -> RequestTicket {
+/// A ticket with an objective of `millis`.
+fn ticket_with_objective(number: u128, name: &str, millis: u64) -> RequestTicket {
     RequestTicket { objective: Some(Duration::from_millis(millis)), ..ticket(number, name, 10) }
 }
 
@@ -40,7 +41,7 @@
     harness.actions.iter().filter_map(refusal).collect()
 }
 
-/// Two endpoints of four slots, three routers.
+/// A shard with two endpoints of four slots and three routers.
 fn fleet() -> ShardHarness {
     let mut harness = ShardHarness::new(2, 4, &["a", "b"]);
     for session in 1..=3 {
@@ -49,33 +50,33 @@
     harness
 }
 
-/// Submits a request, runs it to its end, and tells where it ran.
+/// Submits a request, settles it as done and returns the number of its endpoint.
 fn run(harness: &mut ShardHarness, session: u64, number: u128) -> usize {
     harness.submit(session, ticket(number, "a", 10));
-    let at = harness.take_grants().pop().expect("it is granted").endpoint;
+    let at = harness.take_grants().pop().expect("the request is granted").endpoint;
     harness.settle(session, number, 10, GrantFate::Done);
-    (0..2).find(|number| endpoint(*number) == at).expect("one of two")
+    (0..2).find(|number| endpoint(*number) == at).expect("one of the two endpoints")
 }
 
 #[test]
-fn an_endpoint_that_asked_a_router_for_rest_is_not_granted_to_it_until_then() {
+fn a_resting_endpoint_is_not_granted_to_the_router_until_the_rest_ends() {
     let mut harness = fleet();
-    advise(&mut harness, 1, vec![rest(0, REST)]);
+    advise(&mut harness, 1, vec![rest_advice(0, REST)]);
     for number in 0..29 {
         assert_eq!(run(&mut harness, 1, 2 * number), 1, "after {number} tenths of a second");
-        assert_eq!(run(&mut harness, 2, 2 * number + 1), 0, "others were not asked");
+        assert_eq!(run(&mut harness, 2, 2 * number + 1), 0, "other routers were not asked to rest");
         harness.advance_with_heartbeats(100, &[1, 2, 3]);
     }
     harness.advance_with_heartbeats(200, &[1, 2, 3]);
     assert_eq!(run(&mut harness, 1, 100), 0);
 }
 
-#[test_case(1_000, 3_000; "a longer one follows")]
-#[test_case(3_000, 1_000; "a shorter one follows")]
-fn a_rest_is_prolonged_and_never_shortened(first: u64, second: u64) {
+#[test_case(1_000, 3_000; "then a longer rest")]
+#[test_case(3_000, 1_000; "then a shorter rest")]
+fn a_rest_can_be_extended_but_not_shortened(first: u64, second: u64) {
     let mut harness = fleet();
-    advise(&mut harness, 1, vec![rest(0, Duration::from_millis(first))]);
-    advise(&mut harness, 1, vec![rest(0, Duration::from_millis(second))]);
+    advise(&mut harness, 1, vec![rest_advice(0, Duration::from_millis(first))]);
+    advise(&mut harness, 1, vec![rest_advice(0, Duration::from_millis(second))]);
     harness.advance_with_heartbeats(2_900, &[1]);
     assert_eq!(run(&mut harness, 1, 1), 1);
     harness.advance_with_heartbeats(200, &[1]);
@@ -83,53 +84,53 @@
 }
 
 #[test]
-fn a_new_shard_hears_of_rests_with_the_hello() {
+fn a_new_shard_learns_rests_from_the_router_hello() {
     let mut harness = ShardHarness::recovering(2, 4, &["a"], ShardOptions::default());
-    harness.join(1, RouterHello { advice: vec![rest(0, REST), leaving(1)], ..hello("r1", 1) });
+    harness.join(1, RouterHello { advice: vec![rest_advice(0, REST), leaving_advice(1)], ..hello("r1", 1) });
     harness.join(2, hello("r2", 1));
     harness.advance_with_heartbeats(1_000, &[1, 2]);
     assert_eq!(run(&mut harness, 2, 1), 0);
-    harness.submit(1, wanted(2, "a", 500));
+    harness.submit(1, ticket_with_objective(2, "a", 500));
     assert_eq!(refusals(&harness), [(2, ReleaseReason::EndpointsRest, Duration::from_secs(2))]);
 }
 
 #[test]
-fn a_ticket_that_no_endpoint_wants_in_time_is_refused_at_once() {
+fn a_ticket_is_refused_at_once_if_every_rest_outlasts_its_objective() {
     let mut harness = fleet();
     harness.submit(1, ticket(1, "a", 10));
     harness.submit(2, ticket(2, "a", 10));
     for number in 3..=8 {
         harness.submit(3, ticket(number, "a", 10));
     }
-    harness.submit(1, wanted(10, "a", 4_000));
-    harness.submit(1, wanted(11, "a", 500));
+    harness.submit(1, ticket_with_objective(10, "a", 4_000));
+    harness.submit(1, ticket_with_objective(11, "a", 500));
     harness.take_grants();
-    advise(&mut harness, 1, vec![rest(0, REST), rest(1, Duration::from_secs(5))]);
-    let waits = "the one that can wait for the first endpoint stays";
-    assert_eq!(refusals(&harness), [(11, ReleaseReason::EndpointsRest, REST)], "{waits}");
+    advise(&mut harness, 1, vec![rest_advice(0, REST), rest_advice(1, Duration::from_secs(5))]);
+    let reason = "the ticket whose objective outlasts the first rest keeps waiting";
+    assert_eq!(refusals(&harness), [(11, ReleaseReason::EndpointsRest, REST)], "{reason}");
     harness.actions.clear();
     harness.advance_with_heartbeats(1_000, &[1, 2, 3]);
     harness.actions.clear();
-    harness.submit(1, wanted(12, "b", 500));
+    harness.submit(1, ticket_with_objective(12, "b", 500));
     assert_eq!(refusals(&harness), [(12, ReleaseReason::EndpointsRest, Duration::from_secs(2))]);
 }
 
 #[test]
-fn a_ticket_that_waits_for_the_end_of_a_rest_runs_then() {
+fn a_waiting_ticket_runs_when_the_rest_ends() {
     let mut harness = fleet();
-    advise(&mut harness, 1, vec![rest(0, REST), rest(1, REST)]);
-    harness.submit(1, wanted(1, "a", 4_000));
+    advise(&mut harness, 1, vec![rest_advice(0, REST), rest_advice(1, REST)]);
+    harness.submit(1, ticket_with_objective(1, "a", 4_000));
     harness.advance_with_heartbeats(2_900, &[1]);
     assert!(harness.take_granted_requests().is_empty());
     harness.advance_with_heartbeats(150, &[1]);
     assert_eq!(harness.take_granted_requests(), [1]);
 }
 
-/// A router from which no endpoint wants anything stood before everyone else's tickets of its customer.
+/// A customer's queue starts with tickets of a router that every endpoint has asked to rest.
 #[test]
-fn tickets_of_a_router_that_may_use_nothing_do_not_keep_others_from_free_slots() {
+fn tickets_of_a_resting_router_do_not_block_other_routers() {
     let mut harness = fleet();
-    advise(&mut harness, 1, vec![rest(0, REST), rest(1, REST)]);
+    advise(&mut harness, 1, vec![rest_advice(0, REST), rest_advice(1, REST)]);
     for number in 10..50 {
         harness.submit(1, ticket(number, "a", 10));
     }
@@ -137,15 +138,16 @@
     assert_eq!(harness.take_granted_requests(), [1]);
 }
 
-/// The least loaded four of a hall were taken before those were left out that a ticket may not use, so that it found
-/// nothing beside four that rest, with sixteen more of the hall free.
+/// Guards against choosing the four least loaded engines of a hall before leaving out those that the ticket
+/// may not use: with four resting engines in front, it found none although sixteen more of the hall were
+/// free.
 #[test]
-fn engines_beyond_the_least_loaded_are_found_while_those_rest() {
+fn a_free_engine_is_found_while_the_least_loaded_ones_rest() {
     let mut harness = ShardHarness::new(60, 4, &["a"]);
     harness.update_policy(|policy| policy.endpoints.iter_mut().for_each(|spec| spec.memory_tokens = 100_000));
     harness.join(1, hello("r1", 1));
     let resting: Vec<usize> = (0..59).collect();
-    advise(&mut harness, 1, resting.iter().map(|on| rest(*on, REST)).collect());
+    advise(&mut harness, 1, resting.iter().map(|on| rest_advice(*on, REST)).collect());
     harness.submit(1, RequestTicket { prompt_tokens: Cost(100), ..ticket(1, "a", 100) });
     let grants = harness.take_grants();
     assert_eq!(grants.len(), 1);
@@ -153,17 +155,17 @@
 }
 
 #[test]
-fn an_endpoint_that_says_it_leaves_is_closed_for_all_and_what_runs_there_goes_on() {
+fn a_leaving_endpoint_is_closed_for_all_routers_and_its_requests_continue() {
     let mut harness = fleet();
     harness.submit(2, ticket(1, "a", 10));
     assert_eq!(harness.take_grants()[0].endpoint, endpoint(0));
-    advise(&mut harness, 1, vec![leaving(0)]);
+    advise(&mut harness, 1, vec![leaving_advice(0)]);
     for number in 10..14 {
         assert_eq!(run(&mut harness, 1 + (number % 3) as u64, number), 1);
     }
     harness.report_load(0, 1, false);
     harness.advance_with_heartbeats(60_000, &[1, 2, 3]);
-    assert_eq!(run(&mut harness, 1, 20), 1, "no later word of this start opens it");
+    assert_eq!(run(&mut harness, 1, 20), 1, "no later load report of the same incarnation reopens it");
     harness.step(ShardEvent::Progress(SessionId(2), request_id(1), Cost(5)));
     harness.settle(2, 1, 10, GrantFate::Done);
     let status = harness.core.status(harness.now);
@@ -171,9 +173,10 @@
     assert_eq!(status.endpoints[0].busy, 0);
 }
 
-/// Nine routers were told at the same moment; their requests come back one at a time until one succeeds.
+/// Eight routers are asked to rest at the same moment. Their requests resume one at a time until one
+/// succeeds.
 #[test]
-fn the_end_of_a_rest_is_no_herd() {
+fn the_end_of_a_rest_admits_one_request_until_it_succeeds() {
     let mut harness = ShardHarness::new(1, 8, &["a"]);
     for session in 1..=9 {
         harness.join(session, hello(&format!("r{session}"), 1));
@@ -183,7 +186,7 @@
     }
     assert_eq!(harness.take_granted_requests().len(), 8);
     for session in 1..=8 {
-        advise(&mut harness, session, vec![rest(0, REST)]);
+        advise(&mut harness, session, vec![rest_advice(0, REST)]);
         harness.settle(session, u128::from(session), 0, GrantFate::Refused);
     }
     let alive: Vec<u64> = (1..=9).collect();
@@ -195,8 +198,8 @@
     assert!(harness.take_granted_requests().is_empty());
     harness.advance_with_heartbeats(200, &alive);
     let first = harness.take_granted_requests();
-    assert_eq!(first.len(), 1, "one comes back: {first:?}");
-    let session = u64::try_from(first[0] - 20).expect("a session");
+    assert_eq!(first.len(), 1, "one request probes the endpoint: {first:?}");
+    let session = u64::try_from(first[0] - 20).expect("session fits in u64");
     harness.settle(session, first[0], 10, GrantFate::Done);
     assert_eq!(harness.take_granted_requests().len(), 7);
 }
--- a/crates/micaspool-dispatch/tests/shard/breaks.rs
+++ b/crates/micaspool-dispatch/tests/shard/failure_tolerance.rs
@@ -1,11 +1,12 @@
-//! Endpoints that lose an answer now and then.
+//! Endpoints that occasionally fail after a request was sent.
 
 use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, ShardOptions};
 use test_case::test_case;
 
-/// The grants of the next request after these fates, at the only endpoint.
-fn grants_after(tolerated: u32, fates: &[GrantFate]) -> usize {
+/// Settles requests with these fates at the only endpoint and returns how many grants the next request gets:
+/// 1 while the endpoint is open, 0 while it is paused.
+fn grants_after_fates(tolerated: u32, fates: &[GrantFate]) -> usize {
     let options = ShardOptions::builder().tolerated_breaks(tolerated).build();
     let mut harness = ShardHarness::recovering(1, 4, &["a"], options);
     harness.advance(1_000);
@@ -19,11 +20,11 @@
     harness.take_grants().len()
 }
 
-#[test_case(0, &[GrantFate::Broken] => 0; "none is tolerated by default")]
+#[test_case(0, &[GrantFate::Broken] => 0; "no failure is tolerated")]
 #[test_case(2, &[GrantFate::Broken, GrantFate::Broken] => 1; "two in a row")]
 #[test_case(2, &[GrantFate::Broken, GrantFate::Broken, GrantFate::Broken] => 0; "three in a row")]
-#[test_case(2, &[GrantFate::Broken, GrantFate::Broken, GrantFate::Done, GrantFate::Broken] => 1; "an answer between")]
-#[test_case(2, &[GrantFate::Unreachable] => 0; "one that is gone is left at once")]
-fn breaks(tolerated: u32, fates: &[GrantFate]) -> usize {
-    grants_after(tolerated, fates)
+#[test_case(2, &[GrantFate::Broken, GrantFate::Broken, GrantFate::Done, GrantFate::Broken] => 1; "a success resets the count")]
+#[test_case(2, &[GrantFate::Unreachable] => 0; "an unreachable endpoint is paused at once")]
+fn consecutive_failures_beyond_the_tolerance_pause_an_endpoint(tolerated: u32, fates: &[GrantFate]) -> usize {
+    grants_after_fates(tolerated, fates)
 }
--- a/crates/micaspool-dispatch/tests/shard/harness.rs
+++ b/crates/micaspool-dispatch/tests/shard/harness.rs
@@ -1,4 +1,4 @@
-//! A shard with hand-made routers, endpoints and customers.
+//! Drives a [`ShardCore`] directly with constructed routers, endpoints and customers.
 
 use micaspool_dispatch::{
     ColdTerms, EndpointSpec, GrantFate, HeldGrant, HeldTotal, LoadReport, ReleaseReason, RequestTicket,
@@ -14,11 +14,11 @@
 pub const ALL_HALLS: u32 = 0b111;
 
 pub fn customer(name: &str) -> CustomerName {
-    CustomerName::parse(name).expect("a name")
+    CustomerName::parse(name).expect("valid name")
 }
 
 pub fn endpoint(number: usize) -> EndpointName {
-    EndpointName::parse(&format!("e{number}")).expect("a name")
+    EndpointName::parse(&format!("e{number}")).expect("valid name")
 }
 
 pub fn request_id(number: u128) -> RequestId {
@@ -49,7 +49,7 @@
 
 pub fn hello(router: &str, incarnation: u64) -> RouterHello {
     RouterHello {
-        router: InstanceName::parse(router).expect("a name"),
+        router: InstanceName::parse(router).expect("valid name"),
         incarnation: Incarnation(incarnation),
         waiting: Vec::new(),
         running: Vec::new(),
@@ -76,7 +76,7 @@
     HeldTotal { customer: customer(name), level: ServiceLevel(level), order: OrderNumber(order) }
 }
 
-/// A grant, as the shard's action tells of it.
+/// A [`ShardAction::Grant`] without its estimate and level.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObservedGrant {
     pub session: SessionId,
@@ -85,6 +85,7 @@
     pub order: OrderNumber,
 }
 
+/// A shard core, the actions it has returned and the time it is told.
 pub struct ShardHarness {
     pub now: Moment,
     pub core: ShardCore,
@@ -93,7 +94,7 @@
 }
 
 impl ShardHarness {
-    /// A shard past its recovery window, with endpoints `e0`, `e1`, ... in halls 0, 1, 2, 0, ...,
+    /// Creates a shard past its recovery window, with endpoints `e0`, `e1`, ... in halls 0, 1, 2, 0, ...,
     /// and customers that may use every hall.
     pub fn new(endpoints: usize, slots: u32, customers: &[&str]) -> ShardHarness {
         let mut harness = ShardHarness::recovering(endpoints, slots, customers, ShardOptions::default());
@@ -101,6 +102,7 @@
         harness
     }
 
+    /// Creates a shard that has just started and is within its recovery window.
     pub fn recovering(
         endpoints: usize,
         slots: u32,
@@ -128,7 +130,7 @@
             idle_credit: Cost(0),
             planned_pace: 0.0,
             cold: ColdTerms::default(),
-            halls: (0..3).map(|number| HallName::parse(&format!("h{number}")).expect("a name")).collect(),
+            halls: (0..3).map(|number| HallName::parse(&format!("h{number}")).expect("valid name")).collect(),
             endpoints: specs.collect(),
             customers: named.collect(),
         };
@@ -138,13 +140,13 @@
         harness
     }
 
-    /// Steps and checks that no free slot was left to an eligible ticket.
+    /// Feeds one event to the core and asserts that no eligible ticket waits beside a free slot.
     pub fn step(&mut self, event: ShardEvent) {
         self.core.step(self.now, event, &mut self.actions);
-        assert!(!self.core.has_idle_slot(self.now), "a free slot was left to an eligible ticket");
+        assert!(!self.core.has_idle_slot(self.now), "an eligible ticket waits beside a free slot");
     }
 
-    /// Changes the policy as a new revision.
+    /// Changes the policy and applies it as a new revision.
     pub fn update_policy(&mut self, change: impl FnOnce(&mut ShardPolicy)) {
         change(&mut self.policy);
         self.policy.revision = Revision(self.policy.revision.0 + 1);
@@ -168,7 +170,7 @@
         self.step(ShardEvent::Load(report));
     }
 
-    /// Lets time pass in ticks; routers given here stay alive.
+    /// Advances time in ticks of 50 ms, with a heartbeat from each session in `alive` at every tick.
     pub fn advance_with_heartbeats(&mut self, millis: u64, alive: &[u64]) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
@@ -180,11 +182,12 @@
         }
     }
 
+    /// Advances time in ticks of 50 ms without heartbeats.
     pub fn advance(&mut self, millis: u64) {
         self.advance_with_heartbeats(millis, &[]);
     }
 
-    /// The grants since the last call.
+    /// Returns the grants since the last call and clears all recorded actions.
     pub fn take_grants(&mut self) -> Vec<ObservedGrant> {
         let grants = self.actions.iter().filter_map(|action| match action {
             ShardAction::Grant { session, request, endpoint, order, .. } => Some(ObservedGrant {
@@ -200,7 +203,7 @@
         grants
     }
 
-    /// The refusals since the grants were last taken.
+    /// Returns the refusals since the actions were last cleared.
     pub fn refusals(&self) -> Vec<(u128, ReleaseReason)> {
         let refusals = self.actions.iter().filter_map(|action| match action {
             ShardAction::Refuse { request, reason, .. } => Some((request.0, *reason)),
@@ -209,10 +212,12 @@
         refusals.collect()
     }
 
+    /// Returns the requests granted since the last call and clears all recorded actions.
     pub fn take_granted_requests(&mut self) -> Vec<u128> {
         self.take_grants().iter().map(|grant| grant.request.0).collect()
     }
 
+    /// Counts the requests to rejoin since the actions were last cleared.
     pub fn rejoin_count(&self) -> usize {
         self.actions.iter().filter(|action| matches!(action, ShardAction::Rejoin { .. })).count()
     }
--- a/crates/micaspool-dispatch/tests/shard/main.rs
+++ b/crates/micaspool-dispatch/tests/shard/main.rs
@@ -1,8 +1,7 @@
-//! The shard core under faults, in virtual time.
+//! Tests of the shard core under faults, in simulated time.
 
 mod advice;
 mod bound;
-mod breaks;
 mod capacity;
 mod choice;
 mod closing;
@@ -10,6 +9,7 @@
 mod engine_objectives;
 mod engines;
 mod evacuation;
+mod failure_tolerance;
 mod faults;
 mod harness;
 mod herding;
