--- a/crates/micaspool-dispatch/tests/shard/engine_objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/engine_objectives.rs
@@ -1,10 +1,11 @@
-//! Kinds of request of one customer, which are wanted within different times, at engines.
+//! Requests of one customer with different objectives, at engines.
 //!
-//! A customer asked for more than its share. Of its questions, wanted within 600 ms, 404 of 940 were refused on arrival
-//! in two seconds, of its dossiers, wanted within a second, 138 of 1,099: the queue was as long as dossiers bear, some
-//! 610 ms when their reading is left out, and too long for questions, which bear some 530 ms. What settled it are the lines
-//! `objective_ms="600" grants="536" refused_on_arrival="404"` and `objective_ms="1000" grants="917"
-//! refused_on_arrival="138"` of the same shard and second.
+//! Guards against judging each ticket by the length of its customer's whole queue. A customer asked for more
+//! than its share. Of its questions, with an objective of 600 ms, 404 of 940 were refused on arrival within
+//! two seconds; of its dossiers, with an objective of one second, 138 of 1,099. The queue was as long as
+//! dossiers tolerate, some 610 ms without their own reading time, and too long for questions, which tolerate
+//! some 530 ms. The decision log of one shard and second shows `objective_ms="600" grants="536"
+//! refused_on_arrival="404"` and `objective_ms="1000" grants="917" refused_on_arrival="138"`.
 
 use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent};
@@ -16,27 +17,28 @@
 use test_case::test_case;
 
 const ENGINES: usize = 4;
-/// Tokens a millisecond.
+/// Tokens per millisecond that an engine reads.
 const PACE: u64 = 50;
-/// From the end of reading to the first event, in milliseconds.
+/// Time from the end of reading to the first event, in milliseconds.
 const LATENCY: u64 = 50;
-/// How long a request runs after its first event, in milliseconds.
+/// Time that a request runs after its first event, in milliseconds.
 const RUN: u64 = 300;
-const PLAY: u64 = 20_000;
+/// Length of a run, in milliseconds.
+const PLAY_MILLIS: u64 = 20_000;
 
-/// A kind of request.
+/// Requests with the same objective and prompt length.
 #[derive(Clone, Copy, Debug)]
 struct PromptKind {
-    /// In milliseconds.
+    /// The time within which the first event is wanted, in milliseconds.
     objective: u64,
     tokens: u64,
-    /// A second.
+    /// Requests per second.
     rate: f64,
 }
 
 const QUESTIONS: PromptKind = PromptKind { objective: 600, tokens: 1_100, rate: 60.0 };
 const DOSSIERS: PromptKind = PromptKind { objective: 1_000, tokens: 17_000, rate: 9.0 };
-/// So long that they begin late everywhere.
+/// So long that their first events are always late.
 const ARCHIVES: PromptKind = PromptKind { objective: 1_000, tokens: 50_000, rate: 0.3 };
 
 #[derive(Clone, Copy, Debug)]
@@ -45,7 +47,7 @@
     End,
 }
 
-/// What became of a kind.
+/// Outcomes of the requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct KindOutcome {
     asked: u32,
@@ -53,12 +55,12 @@
     refused: u32,
 }
 
-/// One customer that asks for too much at some engines.
+/// A customer that sends more requests than its engines can serve.
 struct EngineQueue {
     harness: ShardHarness,
     kinds: Vec<PromptKind>,
     outcomes: Vec<KindOutcome>,
-    /// The kind of each request and when it came.
+    /// Kind and arrival time of each request.
     open: HashMap<u128, (usize, u64)>,
     due: BTreeMap<(u64, u128), Step>,
     busy_until: HashMap<EndpointName, u64>,
@@ -87,7 +89,7 @@
     fn play(mut self, seed: u64) -> Vec<KindOutcome> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut number = 0;
-        for now in 0..PLAY {
+        for now in 0..PLAY_MILLIS {
             self.harness.now = self.harness.now + Duration::from_millis(1);
             self.take_due(now);
             for index in 0..self.kinds.len() {
@@ -158,10 +160,10 @@
     }
 }
 
-/// A kind that is wanted soon is refused hardly more often than one that bears somewhat more, also beside prompts
-/// that bear nothing.
+/// A kind with a short objective is refused hardly more often than one with a somewhat longer objective,
+/// also beside prompts that are always late.
 #[test_case(&[QUESTIONS, DOSSIERS], 1; "two kinds")]
-#[test_case(&[QUESTIONS, DOSSIERS], 2; "two kinds, otherwise drawn")]
+#[test_case(&[QUESTIONS, DOSSIERS], 2; "two kinds, another seed")]
 #[test_case(&[QUESTIONS, DOSSIERS, ARCHIVES], 3; "and prompts that are always late")]
 fn a_kind_with_a_short_objective_is_served_its_part(kinds: &[PromptKind], seed: u64) {
     let outcomes = EngineQueue::new(kinds).play(seed);
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -1,4 +1,5 @@
-//! Engines: where prompts are read, how much an engine gets ahead, and what is refused in time.
+//! Engines: which one reads a prompt, how much work an engine is granted in advance, and which tickets are
+//! refused in time.
 
 use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{
@@ -9,13 +10,14 @@
 use std::time::Duration;
 
 const MEMORY: u64 = 500_000;
-/// What a customer that comes back may have received less than the others, as on the users' sites.
+/// The idle credit, by which a returning customer may have received less than the others; the value of the
+/// users' sites.
 const CREDIT: Cost = Cost(29_000);
 
-/// The pace that settings plan for an engine, in tokens a millisecond; the engines here keep it.
+/// The pace that settings plan for an engine, in tokens per millisecond; the engines here keep it.
 const PACE: u64 = 35;
 
-/// A shard of engines with many slots.
+/// A shard of engines with 64 slots each.
 fn engines(count: usize, customers: &[&str]) -> ShardHarness {
     let mut harness = ShardHarness::new(count, 64, customers);
     harness.update_policy(|policy| {
@@ -28,7 +30,7 @@
     harness
 }
 
-/// A ticket with a shared part and one of its own.
+/// A ticket whose prompt has a shared part and one of its own.
 fn prompt(number: u128, name: &str, shared: (u64, u32), own: u32) -> RequestTicket {
     RequestTicket {
         prefixes: vec![shared.0, 1_000_000 + number as u64],
@@ -38,20 +40,20 @@
     }
 }
 
-/// The first event of a request, then its end.
+/// Reports the first event of a request and settles it as done.
 fn run(harness: &mut ShardHarness, number: u128, cost: u64) {
     harness.step(ShardEvent::Progress(SessionId(1), RequestId(number), Cost(cost)));
     harness.settle(1, number, cost, GrantFate::Done);
 }
 
-/// The engine reads what it lacks of a prompt, then the request runs.
+/// Lets the engine read the `missing` tokens of a prompt, then runs the request.
 fn read(harness: &mut ShardHarness, number: u128, missing: u64, cost: u64) {
     harness.advance_with_heartbeats(missing / PACE + 30, &[1]);
     run(harness, number, cost);
 }
 
 #[test]
-fn a_prompt_waits_for_the_engine_that_keeps_its_long_part() {
+fn a_prompt_waits_for_the_engine_that_keeps_its_long_part_when_that_is_faster() {
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(1, "a", (7, 13_000), 500));
     let first = harness.take_grants()[0].endpoint.clone();
@@ -60,14 +62,17 @@
     harness.submit(1, prompt(2, "a", (7, 13_000), 8_000));
     assert_eq!(harness.take_grants()[0].endpoint, first);
     harness.submit(1, prompt(3, "a", (7, 13_000), 500));
-    assert!(harness.take_grants().is_empty(), "the keeper is busy for 229 ms; reading anew takes 371 ms");
+    assert!(
+        harness.take_grants().is_empty(),
+        "the engine with the part is busy for 229 ms; reading the part again takes 371 ms"
+    );
     read(&mut harness, 2, 8_000, 21_000);
     harness.advance_with_heartbeats(50, &[1]);
     assert_eq!(harness.take_grants()[0].endpoint, first);
 }
 
 #[test]
-fn a_short_shared_part_is_read_again_rather_than_waited_for() {
+fn a_short_shared_part_is_read_again_instead_of_waiting() {
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(1, "a", (7, 300), 500));
     run(&mut harness, 1, 800);
@@ -78,7 +83,7 @@
 }
 
 #[test]
-fn an_engine_gets_little_ahead_and_more_as_time_passes() {
+fn an_engine_is_granted_little_work_in_advance() {
     let mut harness = engines(1, &["a"]);
     for number in 0..40 {
         harness.submit(1, prompt(number, "a", (number as u64, 1_000), 1_000));
@@ -90,11 +95,11 @@
     }
     harness.advance_with_heartbeats(1_000, &[1]);
     let later = harness.take_grants().len();
-    assert!((2..=9).contains(&later), "unread prompts hold an engine back, {later} followed");
+    assert!((2..=9).contains(&later), "unread prompts limit further grants, {later} followed");
 }
 
 #[test]
-fn parts_that_no_longer_fit_are_not_counted_on() {
+fn parts_that_no_longer_fit_in_memory_are_not_expected() {
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(0, "a", (7, 13_000), 10));
     let first = harness.take_grants()[0].endpoint.clone();
@@ -113,7 +118,11 @@
     harness.advance_with_heartbeats(1_000, &[1]);
     harness.take_grants();
     harness.submit(1, prompt(99, "a", (7, 13_000), 10));
-    assert_ne!(harness.take_grants()[0].endpoint, first, "both read it anew, and the other one is idle");
+    assert_ne!(
+        harness.take_grants()[0].endpoint,
+        first,
+        "neither engine keeps the part, and the other one is idle"
+    );
 }
 
 fn other(name: &micaspool_types::EndpointName) -> micaspool_types::EndpointName {
@@ -125,7 +134,7 @@
 }
 
 #[test]
-fn a_ticket_that_waited_as_long_as_it_may_is_refused() {
+fn a_ticket_that_reached_its_wait_limit_is_refused() {
     let mut harness = engines(1, &["a"]);
     harness.submit(1, prompt(1, "a", (1, 40_000), 10));
     let urgent =
@@ -133,16 +142,17 @@
     harness.submit(1, urgent);
     harness.advance_with_heartbeats(150, &[1]);
     assert!(harness.refusals().is_empty());
-    assert!(harness.core.next_wake().is_some(), "the driver is told when to look again");
+    assert!(harness.core.next_wake().is_some(), "the core schedules its next wake");
     harness.advance_with_heartbeats(50, &[1]);
     assert_eq!(harness.refusals(), [(2, ReleaseReason::Overdue)]);
 }
 
-/// Two customers ask for more than there is, one ten times as often. Long prompts keep the engine
-/// closed for longer than a request waits before it is refused, so that the flood has a ticket ready
-/// whenever it opens, and the small customer seldom has. Still it must get its share.
+/// Two customers together ask for more than the engine can read, one of them fifty times as often. Long
+/// prompts keep the engine busy for longer than a ticket may wait, so that the flood has a ticket ready
+/// whenever the engine becomes free, and the small customer seldom has. The small customer must still get
+/// its share.
 #[test]
-fn a_customer_that_is_owed_service_is_not_refused_before_the_next_opening() {
+fn a_small_customer_gets_its_share_while_a_flood_keeps_the_engine_busy() {
     let mut harness = engines(1, &["flood", "small"]);
     harness.update_policy(|policy| policy.idle_credit = CREDIT);
     let mut served = HashMap::from([("flood", 0_u64), ("small", 0)]);
@@ -168,7 +178,7 @@
         let granted = harness.take_granted_requests();
         running.retain(|(request, name)| {
             if granted.contains(request) {
-                *served.get_mut(name).expect("both are in the map") += 20_010;
+                *served.get_mut(name).expect("both customers are in the map") += 20_010;
                 run(&mut harness, *request, 20_010);
                 return false;
             }
@@ -179,10 +189,10 @@
     assert!(small * 10 >= asked * 9, "small asked for {asked} and got {small}, flood {}", served["flood"]);
 }
 
-/// A customer that took what nobody else wanted is not made to wait for it later: when others come, all
-/// get the same from then on.
+/// A customer that used an engine alone is not delayed for that later: once others arrive, all are served
+/// alike.
 #[test]
-fn service_that_nobody_else_wanted_is_not_held_against_a_customer() {
+fn service_received_without_contention_does_not_delay_a_customer_later() {
     let mut harness = engines(1, &["early", "late-1", "late-2", "late-3"]);
     harness.update_policy(|policy| policy.idle_credit = CREDIT);
     let mut number = 0;
@@ -209,9 +219,9 @@
     assert!(served.len() == 4 && most <= least.map(|least| least * 2).as_ref(), "{served:?}");
 }
 
-/// A shard that begins beside engines that ran before counts on what they keep, once they told.
+/// A shard that starts beside running engines uses the parts that these report.
 #[test]
-fn what_an_engine_kept_before_is_counted_on() {
+fn parts_kept_before_the_shard_started_are_used() {
     let mut harness = engines(2, &["a"]);
     let kept = vec![KeptPart { prefix: 7, tokens: 13_000 }];
     let news =
@@ -225,10 +235,11 @@
     }
 }
 
-/// An engine's own word on what it dropped counts at once, and a whole list replaces what was believed.
+/// An engine's report of a dropped part takes effect at once, and a complete list replaces all earlier
+/// assumptions.
 #[test_case::test_case(CacheNews { dropped: vec![7], ..nothing_new() }; "a part is dropped")]
 #[test_case::test_case(CacheNews { whole: true, ..nothing_new() }; "a list without the part")]
-fn what_an_engine_dropped_is_not_counted_on(news: CacheNews) {
+fn parts_that_an_engine_dropped_are_not_expected(news: CacheNews) {
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(1, "a", (7, 13_000), 10));
     let first = harness.take_grants()[0].endpoint.clone();
@@ -239,7 +250,11 @@
     harness.step(ShardEvent::Cache(CacheNews { endpoint: first.clone(), ..news }));
     harness.take_grants();
     harness.submit(1, prompt(3, "a", (7, 13_000), 10));
-    assert_ne!(harness.take_grants()[0].endpoint, first, "both read it anew, and the other one is idle");
+    assert_ne!(
+        harness.take_grants()[0].endpoint,
+        first,
+        "neither engine keeps the part, and the other one is idle"
+    );
 }
 
 fn nothing_new() -> CacheNews {
@@ -252,25 +267,26 @@
     }
 }
 
-/// What a customer's queue can't give in time is refused as it arrives; others still get in.
+/// A ticket that its customer's queue would delay past its objective is refused on arrival; other customers
+/// are still admitted.
 #[test]
-fn a_ticket_that_would_come_too_late_is_refused_on_arrival() {
+fn a_ticket_that_would_be_served_too_late_is_refused_on_arrival() {
     let mut harness = engines(1, &["flood", "small"]);
-    let wanted = |number: u128, name: &str| RequestTicket {
+    let prompt_with_objective = |number: u128, name: &str| RequestTicket {
         objective: Some(Duration::from_millis(800)),
         ..prompt(number, name, (number as u64, 10), 8_000)
     };
     for number in 0..20 {
-        harness.submit(1, wanted(number, "flood"));
+        harness.submit(1, prompt_with_objective(number, "flood"));
     }
     let late = harness.refusals();
     assert!((15..20).contains(&late.len()), "one runs and two or three may wait: {late:?}");
     assert!(late.iter().all(|(_, reason)| *reason == ReleaseReason::Overdue));
-    harness.submit(1, wanted(100, "small"));
+    harness.submit(1, prompt_with_objective(100, "small"));
     assert_eq!(harness.refusals().len(), late.len(), "the small customer has nothing in the queue");
 }
 
-/// A queue of what engines read soon is no reason to refuse, however little its customer got lately.
+/// A queue that engines can read in time is not refused, however little its customer received lately.
 #[test]
 fn a_burst_that_idle_engines_can_take_is_not_refused() {
     let mut harness = engines(6, &["a"]);
--- a/crates/micaspool-dispatch/tests/shard/evacuation.rs
+++ b/crates/micaspool-dispatch/tests/shard/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data halls that are evacuated while requests wait, and taken back while queues are full.
+//! Data halls that are evacuated while requests wait, and returned to service while queues are full.
 
 use crate::harness::{endpoint, hello, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{EndpointClosure, GrantFate, ReleaseReason};
@@ -26,9 +26,9 @@
     assert_eq!(evacuated, 2);
 }
 
-/// What runs there is not cut.
+/// Evacuating a hall does not interrupt the requests that run there.
 #[test]
-fn what_runs_in_a_hall_ends_by_itself() {
+fn requests_running_in_an_evacuated_hall_are_not_interrupted() {
     let mut harness = ShardHarness::new(3, 1, &["a"]);
     harness.join(1, hello("r1", 1));
     for number in 0..3 {
@@ -47,18 +47,23 @@
     );
 }
 
-/// A service that stands in that hall alone is not waited for: an operator may take hours.
+/// Tickets do not wait for a service whose endpoints are all evacuated: the operator may take hours to
+/// return the hall.
 #[test]
-fn what_only_evacuated_endpoints_could_run_is_refused_at_once() {
+fn a_ticket_that_only_evacuated_endpoints_could_serve_is_refused_at_once() {
     let mut harness = ShardHarness::new(1, 1, &["a"]);
     harness.join(1, hello("r1", 1));
     harness.submit(1, ticket(1, "a", 10));
     harness.submit(1, ticket(2, "a", 10));
     evacuate(&mut harness, &[0]);
-    assert_eq!(harness.refusals(), [(2, ReleaseReason::HallsEvacuated)], "it waited");
+    assert_eq!(harness.refusals(), [(2, ReleaseReason::HallsEvacuated)], "the ticket was waiting");
     harness.actions.clear();
     harness.submit(1, ticket(3, "a", 10));
-    assert_eq!(harness.refusals(), [(3, ReleaseReason::HallsEvacuated)], "it came later");
+    assert_eq!(
+        harness.refusals(),
+        [(3, ReleaseReason::HallsEvacuated)],
+        "the ticket arrived during the evacuation"
+    );
     harness.actions.clear();
     evacuate(&mut harness, &[]);
     harness.settle(1, 1, 1, GrantFate::Done);
@@ -66,9 +71,10 @@
     assert_eq!(harness.take_granted_requests(), [4]);
 }
 
-/// All free, all empty: the herd of a full queue must not go to a hall that was just taken back beyond what it bears.
+/// All slots of a hall that was just returned are free, but a full queue must not send its cold endpoints
+/// more than they sustain.
 #[test]
-fn a_hall_that_is_taken_back_cold_gets_one_request_each_at_first() {
+fn a_hall_returned_cold_gets_one_request_per_endpoint_at_first() {
     let mut harness = ShardHarness::new(3, 8, &["a"]);
     harness.update_policy(|policy| {
         policy.cold.start = Duration::from_secs(3);
--- a/crates/micaspool-dispatch/tests/shard/faults.rs
+++ b/crates/micaspool-dispatch/tests/shard/faults.rs
@@ -1,4 +1,5 @@
-//! The fault table: what is lost, late, doubled, crossed, frozen or cut.
+//! Faults between routers and the shard: lost, late, duplicated and misdirected messages, frozen routers and
+//! lost streams.
 
 use crate::harness::{held_grant, hello, ordered_ticket, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, RouterHello, SessionId, ShardEvent};
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn a_router_killed_with_a_grant_frees_its_slot_by_lease() {
+fn the_slot_of_a_killed_router_is_freed_when_its_lease_ends() {
     let mut harness = one_running();
     harness.step(ShardEvent::Left(SessionId(1)));
     harness.advance_with_heartbeats(2_900, &[2]);
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_frozen_router_is_told_to_say_what_it_holds_when_it_thaws() {
+fn a_frozen_router_is_asked_to_rejoin_when_it_resumes() {
     let mut harness = one_running();
     harness.advance_with_heartbeats(4_000, &[2]);
     assert_eq!(harness.take_granted_requests(), vec![2], "the lease of the frozen router has ended");
@@ -35,14 +36,14 @@
     harness.join(3, RouterHello { running: vec![held_grant(1, "a", 0, 1)], ..hello("r1", 1) });
     harness.settle(2, 2, 5, GrantFate::Done);
     harness.submit(2, ticket(3, "b", 10));
-    assert!(harness.take_granted_requests().is_empty(), "the thawed router's request holds the slot");
+    assert!(harness.take_granted_requests().is_empty(), "the request of the resumed router holds the slot");
     harness.settle(3, 1, 5, GrantFate::Done);
     assert_eq!(harness.take_granted_requests(), vec![3]);
 }
 
-#[test_case(&[GrantFate::Done, GrantFate::Done]; "doubled")]
-#[test_case(&[GrantFate::Done, GrantFate::Broken]; "doubled with another outcome")]
-fn a_doubled_report_frees_one_slot_once(fates: &[GrantFate]) {
+#[test_case(&[GrantFate::Done, GrantFate::Done]; "duplicated")]
+#[test_case(&[GrantFate::Done, GrantFate::Broken]; "duplicated with another fate")]
+fn a_duplicated_settle_report_frees_its_slot_once(fates: &[GrantFate]) {
     let mut harness = ShardHarness::new(1, 2, &["a"]);
     harness.join(1, hello("r1", 1));
     for number in 1..=4 {
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_report_of_another_router_is_not_heard() {
+fn a_settle_report_from_another_router_is_ignored() {
     let mut harness = one_running();
     harness.settle(2, 1, 5, GrantFate::Done);
     harness.step(ShardEvent::Cancel(SessionId(2), request_id(1)));
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_lost_grant_is_given_again_after_the_router_rejoins() {
+fn a_lost_grant_is_repeated_after_the_router_rejoins() {
     let mut harness = one_running();
     harness.step(ShardEvent::Left(SessionId(1)));
     harness.join(3, RouterHello { waiting: vec![ordered_ticket(1, "a", 1)], ..hello("r1", 1) });
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_lost_report_is_made_up_for_when_the_router_rejoins() {
+fn a_lost_settle_report_is_recovered_when_the_router_rejoins() {
     let mut harness = one_running();
     harness.step(ShardEvent::Left(SessionId(1)));
     harness.join(3, hello("r1", 1));
@@ -102,13 +103,13 @@
     assert_eq!(harness.core.status(harness.now).waiting, 0);
 }
 
-/// Symptom: with a hall cut off, uploads of the other halls waited until their deadlines for two seconds beside free
-/// endpoints. Sequence: the tickets of the cut-off routers stood first in the queue that all public requests share.
-/// Cause: a customer's first sixteen tickets are looked at, and those of lost streams counted among them. What
-/// settled it: 51 grants in two seconds with two of three endpoints free and 202 tickets waiting, while the
-/// gateways' lines said deadline-passed after 741 ms, and none a refusal.
+/// Guards against counting the tickets of lost streams among the first sixteen tickets of a customer, which
+/// are the only ones considered for a free endpoint. With a hall cut off, the tickets of its routers stood
+/// first in the queue that all public requests share, and uploads of the other halls waited until their
+/// deadlines beside free endpoints for two seconds. In that time 51 grants were made with two of three
+/// endpoints free and 202 tickets waiting; the gateways logged deadline-passed after 741 ms and no refusal.
 #[test]
-fn tickets_of_a_lost_stream_do_not_keep_others_of_their_customer_from_free_slots() {
+fn tickets_of_a_lost_stream_do_not_block_other_tickets_of_their_customer() {
     let mut harness = ShardHarness::new(1, 1, &["a"]);
     harness.join(1, hello("r1", 1));
     harness.join(2, hello("r2", 1));
@@ -123,7 +124,7 @@
     assert_eq!(harness.take_granted_requests(), vec![2]);
     harness.settle(2, 2, 5, GrantFate::Done);
     harness.submit(2, ticket(3, "a", 10));
-    assert_eq!(harness.take_granted_requests(), vec![3], "a new ticket is looked at as it arrives");
+    assert_eq!(harness.take_granted_requests(), vec![3], "a new ticket is considered on arrival");
 }
 
 #[test]
@@ -142,13 +143,13 @@
         harness.report_load(0, 4, false);
     }
     one.settle(1, 0, 5, GrantFate::Done);
-    assert!(one.take_granted_requests().is_empty(), "the endpoint runs as much as it may");
+    assert!(one.take_granted_requests().is_empty(), "the endpoint runs at its limit");
     one.report_load(0, 1, false);
     assert_eq!(one.take_granted_requests().len(), 1);
 }
 
 #[test]
-fn an_hour_of_idle_time_gives_no_credit() {
+fn idle_time_gives_no_credit() {
     let mut harness = ShardHarness::new(1, 1, &["a", "b"]);
     harness.join(1, hello("r1", 1));
     for number in 0..20 {
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -1,12 +1,12 @@
-//! Tickets whose prompts begin alike, and engines that keep that beginning.
+//! Tickets whose prompts begin with common parts, and engines that keep these parts.
 //!
-//! Symptom: on a calm day 2,490 of 4,035 settlement letters were refused after 583 ms in the median, of an
-//! objective of 800 ms, while 100 of 140 engines were free; other kinds were served. Sequence: the letters begin
-//! with one of four common parts; the first letters went to a few engines; every later one found those busy,
-//! reckoned with their reading alone, and waited for them, and there it was one of many. Cause: the estimate of a
-//! wait left out the tickets that already waited for the same engine, so no other engine was ever given the
-//! common parts. What settled it: the answers by endpoint, with all letters at 12 of 140 engines and the other
-//! kinds of streams at 116 and 119, from the first second to the last.
+//! Guards against estimating the wait for an engine without the tickets that already wait for it. Settlement
+//! letters begin with one of four common parts. The first letters went to a few engines; each later one
+//! found these busy, expected only their reading time, and waited for them among many others, so that no
+//! other engine was ever given the common parts. On a calm day 2,490 of 4,035 letters were refused, after
+//! 583 ms in the median with an objective of 800 ms, while 100 of 140 engines were free and other kinds were
+//! served. From the first second to the last all letters ran at 12 of the 140 engines, the other kinds of
+//! streams at 116 and 119.
 
 use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{CacheNews, GrantFate, KeptPart, RequestTicket, SessionId, ShardAction, ShardEvent};
@@ -15,17 +15,18 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Tokens a millisecond.
+/// Tokens per millisecond that an engine reads.
 const PACE: u64 = 40;
-/// From the end of reading to the first event, in milliseconds.
+/// Time from the end of reading to the first event, in milliseconds.
 const LATENCY: u64 = 50;
-/// How long a request runs after its first event, in milliseconds.
+/// Time that a request runs after its first event, in milliseconds.
 const RUN: u64 = 300;
-/// Common parts and their tokens.
-const SUBJECTS: u128 = 4;
-const COMMON: u32 = 2_500;
-/// The tokens of a prompt that no other prompt has.
-const OWN: u32 = 6_500;
+/// The number of common parts.
+const COMMON_PARTS: u128 = 4;
+/// Tokens of a common part.
+const COMMON_TOKENS: u32 = 2_500;
+/// Tokens of the part that no other prompt has.
+const OWN_TOKENS: u32 = 6_500;
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
@@ -64,17 +65,17 @@
     fn submit(&mut self, number: u128) {
         let customer = ["a", "b", "c", "d", "e"][(number % 5) as usize];
         let prompt = RequestTicket {
-            prefixes: vec![subject(number), 1_000 + number as u64],
-            prefix_tokens: vec![COMMON, OWN],
-            prompt_tokens: Cost(u64::from(COMMON + OWN)),
+            prefixes: vec![common_part(number), 1_000 + number as u64],
+            prefix_tokens: vec![COMMON_TOKENS, OWN_TOKENS],
+            prompt_tokens: Cost(u64::from(COMMON_TOKENS + OWN_TOKENS)),
             objective: Some(Duration::from_millis(800)),
             ..ticket(number, customer, 10_000)
         };
         self.harness.submit(1, prompt);
     }
 
-    /// One millisecond.
-    fn pass(&mut self, now: u64) {
+    /// Advances time by one millisecond.
+    fn advance(&mut self, now: u64) {
         self.harness.now = self.harness.now + Duration::from_millis(1);
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
@@ -91,16 +92,16 @@
             self.harness.step(ShardEvent::Heartbeat(SessionId(1), 1));
             self.harness.step(ShardEvent::Tick);
         }
-        self.read(now);
+        self.take_actions(now);
     }
 
-    /// Gives the engines what was granted.
-    fn read(&mut self, now: u64) {
+    /// Passes granted requests to the engines and records refusals.
+    fn take_actions(&mut self, now: u64) {
         for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request, endpoint, .. } => {
-                    let new = self.kept.entry(endpoint.clone()).or_default().insert(subject(request.0));
-                    let missing = u64::from(if new { COMMON + OWN } else { OWN });
+                    let new = self.kept.entry(endpoint.clone()).or_default().insert(common_part(request.0));
+                    let missing = u64::from(if new { COMMON_TOKENS + OWN_TOKENS } else { OWN_TOKENS });
                     let until = self.busy_until.entry(endpoint).or_default();
                     *until = now.max(*until) + missing / PACE;
                     self.due.insert((*until + LATENCY, request.0), Step::Begin(request.0));
@@ -112,12 +113,12 @@
     }
 }
 
-fn subject(number: u128) -> u64 {
-    (number % SUBJECTS) as u64
+fn common_part(number: u128) -> u64 {
+    (number % COMMON_PARTS) as u64
 }
 
-/// Engines could read nearly twice what is asked: hardly anybody is refused, and the common parts come to as
-/// many engines as are needed.
+/// The engines can read nearly twice what is asked: hardly any request is refused, and the common parts
+/// spread to as many engines as needed.
 #[test_case(12, 30; "a dozen engines")]
 #[test_case(60, 5; "sixty engines")]
 fn common_parts_spread_to_as_many_engines_as_are_needed(engines: usize, gap: u64) {
@@ -128,7 +129,7 @@
             fleet.submit(asked);
             asked += 1;
         }
-        fleet.pass(now);
+        fleet.advance(now);
     }
     let refused = fleet.refused.len();
     assert!(
@@ -138,9 +139,9 @@
     );
 }
 
-/// Of many engines that keep a part, those that are free are found, however many busy ones kept it earlier.
+/// Among many engines that keep a part, free ones are found even if busy ones kept it earlier.
 #[test]
-fn a_free_holder_is_found_behind_busy_ones() {
+fn a_free_engine_is_found_among_busy_ones_that_keep_the_part() {
     const HOLDERS: usize = 20;
     const BUSY: usize = 17;
     let mut fleet = EngineFleet::new(40);
@@ -167,9 +168,9 @@
         fleet.harness.submit(1, prompt(number as u128, own));
     }
     let granted: Vec<_> = fleet.harness.take_grants().into_iter().map(|grant| grant.endpoint).collect();
-    assert_eq!(granted, (0..HOLDERS).map(endpoint).collect::<Vec<_>>(), "each holder is given one");
+    assert_eq!(granted, (0..HOLDERS).map(endpoint).collect::<Vec<_>>(), "each holder gets one request");
     fleet.harness.advance_with_heartbeats(50, &[1]);
     fleet.harness.submit(1, prompt(100, 500));
-    let found = fleet.harness.take_grants().pop().expect("three holders have read what they got").endpoint;
+    let found = fleet.harness.take_grants().pop().expect("three holders have read their prompts").endpoint;
     assert!(granted[BUSY..].contains(&found), "{found:?}");
 }
--- a/crates/micaspool-dispatch/tests/shard/limits.rs
+++ b/crates/micaspool-dispatch/tests/shard/limits.rs
@@ -1,4 +1,4 @@
-//! What is refused at once, and how many retries there may be.
+//! Refusals of excess load, and the retry budget.
 
 use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_flood_is_refused_at_once_and_others_are_untouched() {
+fn a_flood_is_refused_at_once_and_other_customers_are_unaffected() {
     let mut harness = ShardHarness::new(1, 1, &["flood", "farm"]);
     harness.update_policy(|policy| policy.customers[0].max_waiting = 10);
     harness.join(1, hello("r1", 1));
@@ -31,10 +31,10 @@
     assert!(refusals(&harness).is_empty());
 }
 
-/// A plain service that is asked for twice what it does: who can't be answered in time is refused soon, and
-/// most of the others are answered in time. Held until their deadlines, all would come late.
+/// A plain service that gets twice the requests it can serve soon refuses those that it cannot answer in
+/// time, and answers most of the others in time. If all waited until their deadlines, all would be late.
 #[test]
-fn a_plain_service_refuses_what_would_come_too_late() {
+fn a_plain_service_refuses_requests_that_would_be_late() {
     const SERVICE: u64 = 40;
     const OBJECTIVE: u64 = 200;
     let mut harness = ShardHarness::new(2, 4, &["a"]);
@@ -74,12 +74,13 @@
             harness.settle(1, request, 1, GrantFate::Done);
         }
     }
-    assert!(in_time > 700, "{in_time} of {asked} in time, of 800 that the endpoints do");
+    assert!(in_time > 700, "{in_time} of {asked} in time, of 800 that the endpoints can serve");
     assert!(late * 20 < in_time, "{late} late, {in_time} in time");
     assert!(longest <= Duration::from_millis(OBJECTIVE), "refused after {longest:?}");
 }
 
-/// An objective is for the beginning of an answer: streams that run for seconds leave a ticket its time to wait.
+/// An objective covers the time to the first event: streams that run for seconds do not shorten the wait
+/// that a ticket is allowed.
 #[test]
 fn long_streams_of_a_plain_service_do_not_shorten_the_wait() {
     let mut harness = ShardHarness::new(1, 1, &["a"]);
@@ -100,7 +101,8 @@
     assert_eq!(refusals(&harness).len(), 1);
 }
 
-/// What idle endpoints can take in time is not refused, whether it is known yet how long they work or not.
+/// Requests that idle endpoints can serve in time are not refused, whether or not the service time is known
+/// yet.
 #[test]
 fn a_burst_that_a_plain_service_can_take_is_not_refused() {
     let mut harness = ShardHarness::new(2, 4, &["a"]);
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn the_time_to_come_back_follows_the_backlog() {
+fn the_retry_delay_follows_the_backlog() {
     let mut harness = ShardHarness::new(1, 1, &["a"]);
     harness.update_policy(|policy| policy.customers[0].max_waiting = 20);
     harness.join(1, hello("r1", 1));
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn a_full_shard_refuses() {
+fn a_full_shard_refuses_new_tickets() {
     let options = ShardOptions::builder().max_waiting(5).recovery_window(Duration::ZERO).build();
     let mut harness = ShardHarness::recovering(1, 1, &["a"], options);
     harness.advance(100);
