--- a/crates/micaspool-dispatch/tests/shard/main.rs
+++ b/crates/micaspool-dispatch/tests/shard/main.rs
@@ -21,7 +21,7 @@
 mod recovery;
 mod regions;
 mod reports;
-mod returning;
+mod scaling;
 mod scarcity;
 mod service_lead;
 mod suspects;
--- a/crates/micaspool-dispatch/tests/shard/objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/objectives.rs
@@ -1,13 +1,14 @@
-//! Kinds of request of one customer, which are wanted within different times, at a small service.
+//! Requests of one customer with different objectives, at a small service.
 //!
-//! Of three endpoints two were lost, and the third was asked for somewhat more than it does. Pickup records, wanted
-//! within 150 ms, earned 0.09 of their worth from then on, readings, wanted within 200 ms, 0.74, and a third kind,
-//! wanted within a second, lost nothing. All waited in one queue in the order of arrival, and each ticket compared
-//! the time that the whole queue takes with the wait that it bears itself. So the queue grew until it was too long
-//! for some kind, and from then on it was too long for each ticket of a kind that bears less. What settled it, of the
-//! lines on a shard's decisions in two seconds: `objective_ms="150" grants="2" refused_on_arrival="276"` beside
-//! `objective_ms="200" grants="298" refused_on_arrival="90"` and `objective_ms="1000" grants="73"
-//! refused_on_arrival="0"`, and records refused on arrival with an `expected_wait_ms` of 137.
+//! Guards against comparing the time that the whole queue takes with the wait that each ticket tolerates.
+//! Two of three endpoints were lost, and the third was asked for somewhat more than it can serve. All
+//! requests waited in one queue in the order of arrival. It grew until it was too long for some kind, and
+//! from then on it was too long for each ticket of a kind that tolerates less. Pickup records, with an
+//! objective of 150 ms, earned 0.09 of their value from then on, readings, with an objective of 200 ms,
+//! 0.74, and a third kind, with an objective of one second, lost nothing. In two seconds the decision log of
+//! a shard showed `objective_ms="150" grants="2" refused_on_arrival="276"` beside `objective_ms="200"
+//! grants="298" refused_on_arrival="90"` and `objective_ms="1000" grants="73" refused_on_arrival="0"`, and
+//! records refused on arrival with an `expected_wait_ms` of 137.
 
 use crate::harness::{hello, ticket, ShardHarness};
 use micaspool_dispatch::{GrantFate, RequestTicket, SessionId, ShardAction, ShardEvent};
@@ -19,43 +20,45 @@
 use test_case::test_case;
 
 const SLOTS: u32 = 6;
-/// Requests that are asked for before anything counts, in milliseconds of the play.
-const WARM_UP: u64 = 2_000;
-const PLAY: u64 = 20_000;
-/// How long the endpoint works on a request in the mean, in milliseconds.
-const MEAN_WORK: f64 = 31.0;
+/// Requests that arrive before this time do not count, in milliseconds of the run.
+const WARM_UP_MILLIS: u64 = 2_000;
+/// Length of a run, in milliseconds.
+const PLAY_MILLIS: u64 = 20_000;
+/// Mean service time of the endpoint, in milliseconds.
+const MEAN_SERVICE_MILLIS: f64 = 31.0;
 
-/// A kind of request.
+/// Requests with the same objective.
 #[derive(Clone, Copy, Debug)]
 struct RequestKind {
-    /// In milliseconds.
+    /// The objective, in milliseconds.
     objective: u64,
-    /// First tries a second.
+    /// First tries per second.
     rate: f64,
-    /// What callers wait for in all, in milliseconds.
+    /// How long callers wait in total over all tries, in milliseconds.
     patience: u64,
 }
 
-/// A try that the shard has.
+/// A try that waits or runs at the shard.
 #[derive(Clone, Copy, Debug)]
 struct OpenTry {
     kind: usize,
-    /// When its caller first tried.
+    /// Time of the caller's first try.
     first: u64,
-    /// When this try was made.
+    /// Time of this try.
     since: u64,
+    /// True when the outcome of the first try counts.
     counted: bool,
 }
 
-/// What became of the first tries of one kind.
+/// Outcomes of the first tries of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct KindOutcome {
     asked: u32,
     in_time: u32,
     late: u32,
     refused: u32,
-    /// Refused after a wait of more than an eighth of the objective.
-    held: u32,
+    /// Tries refused after a wait of more than an eighth of the objective.
+    refused_late: u32,
 }
 
 impl KindOutcome {
@@ -64,20 +67,20 @@
     }
 }
 
-/// Callers of some kinds, who come back once, at one endpoint.
+/// One endpoint, and callers of several kinds that retry once.
 struct SmallService {
     harness: ShardHarness,
     kinds: Vec<RequestKind>,
     rng: ChaCha8Rng,
     next: u128,
     open: HashMap<u128, OpenTry>,
-    /// The ends of what runs.
+    /// Ends of running requests.
     ends: BTreeMap<(u64, u128), ()>,
-    /// The second tries that will be made.
+    /// Second tries that are due later.
     retries: BTreeMap<(u64, u128), OpenTry>,
     outcomes: Vec<KindOutcome>,
-    /// True when callers say how long they wait for a try.
-    told: bool,
+    /// True when callers send how long they wait for a try.
+    sends_patience: bool,
 }
 
 impl SmallService {
@@ -93,17 +96,17 @@
             ends: BTreeMap::new(),
             retries: BTreeMap::new(),
             outcomes: vec![KindOutcome::default(); kinds.len()],
-            told: false,
+            sends_patience: false,
         }
     }
 
-    /// Callers say how long they wait, and ask for less at first.
-    fn telling(seed: u64, kinds: &[RequestKind]) -> SmallService {
-        SmallService { told: true, ..SmallService::new(seed, kinds) }
+    /// Creates a service whose callers send their patience and ask for 0.4 of the rate during the warm-up.
+    fn with_patience(seed: u64, kinds: &[RequestKind]) -> SmallService {
+        SmallService { sends_patience: true, ..SmallService::new(seed, kinds) }
     }
 
     fn play(mut self) -> Vec<KindOutcome> {
-        for now in 0..PLAY {
+        for now in 0..PLAY_MILLIS {
             self.harness.now = self.harness.now + Duration::from_millis(1);
             self.end_due(now);
             self.retry_due(now);
@@ -120,11 +123,11 @@
 
     fn arrive(&mut self, now: u64) {
         for kind in 0..self.kinds.len() {
-            let rate = if self.told && now < WARM_UP { 0.4 } else { 1.0 };
+            let rate = if self.sends_patience && now < WARM_UP_MILLIS { 0.4 } else { 1.0 };
             let mut expected = self.kinds[kind].rate * rate / 1_000.0;
             while expected > 0.0 && self.rng.random_bool(expected.min(1.0)) {
                 expected -= 1.0;
-                let counted = now >= WARM_UP && now + 1_000 < PLAY;
+                let counted = now >= WARM_UP_MILLIS && now + 1_000 < PLAY_MILLIS;
                 self.outcomes[kind].asked += u32::from(counted);
                 self.submit(OpenTry { kind, first: now, since: now, counted });
             }
@@ -139,7 +142,7 @@
         let patience = Duration::from_millis(open.first + kind.patience - open.since);
         let ticket = RequestTicket {
             objective: Some(Duration::from_millis(kind.objective)),
-            patience: self.told.then_some(patience),
+            patience: self.sends_patience.then_some(patience),
             ..ticket(number, "public", 1)
         };
         self.harness.submit(1, ticket);
@@ -152,7 +155,7 @@
             }
             self.ends.remove(&(at, number));
             self.harness.settle(1, number, 1, GrantFate::Done);
-            let open = self.open.remove(&number).expect("what runs is open");
+            let open = self.open.remove(&number).expect("running requests are open");
             if !open.counted {
                 continue;
             }
@@ -176,8 +179,8 @@
         for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request: RequestId(number), .. } => {
-                    let work = self.work();
-                    self.ends.insert((now + work, number), ());
+                    let service_millis = self.service_millis();
+                    self.ends.insert((now + service_millis, number), ());
                 }
                 ShardAction::Refuse { request: RequestId(number), retry_after, waited, .. } => {
                     self.refuse(now, number, retry_after, waited);
@@ -187,8 +190,9 @@
         }
     }
 
-    /// Milliseconds: 30 in the mean, some twice as long, a few five times.
-    fn work(&mut self) -> u64 {
+    /// Draws a service time in milliseconds: 31 on average, one of seven about twice as long, one of a
+    /// hundred 120.
+    fn service_millis(&mut self) -> u64 {
         match self.rng.random_range(0..100) {
             0 => 120,
             1..=15 => self.rng.random_range(45..65),
@@ -200,9 +204,9 @@
     fn refuse(&mut self, now: u64, number: u128, retry_after: Duration, waited: Duration) {
         let Some(open) = self.open.remove(&number) else { return };
         let kind = self.kinds[open.kind];
-        let held = waited.as_millis() as u64 * 8 > kind.objective;
+        let is_late = waited.as_millis() as u64 * 8 > kind.objective;
         if open.counted {
-            self.outcomes[open.kind].held += u32::from(held);
+            self.outcomes[open.kind].refused_late += u32::from(is_late);
         }
         if open.since > open.first {
             self.outcomes[open.kind].refused += u32::from(open.counted);
@@ -217,14 +221,14 @@
 const READINGS: RequestKind = RequestKind { objective: 200, rate: 113.0, patience: 1_200 };
 const RECORDS: RequestKind = RequestKind { objective: 150, rate: 45.0, patience: 1_000 };
 
-/// A service that lacks a part of what is asked serves each kind a part: nobody who could be served in time is shut
-/// out since others bear a longer wait.
+/// A service with too little capacity serves each kind a share: no kind that could be served in time starves
+/// because others tolerate a longer wait.
 #[test_case(113.0, 86.0, 1; "somewhat too many of both")]
-#[test_case(113.0, 86.0, 2; "somewhat too many of both, otherwise drawn")]
+#[test_case(113.0, 86.0, 2; "somewhat too many of both, another seed")]
 #[test_case(150.0, 86.0, 3; "a fifth too many")]
 #[test_case(170.0, 45.0, 4; "few of the shorter objective")]
 #[test_case(226.0, 172.0, 5; "twice too many")]
-fn kinds_with_a_short_objective_are_not_shut_out(readings: f64, records: f64, seed: u64) {
+fn kinds_with_a_short_objective_do_not_starve(readings: f64, records: f64, seed: u64) {
     let kinds = [RequestKind { rate: readings, ..READINGS }, RequestKind { rate: records, ..RECORDS }];
     let outcomes = SmallService::new(seed, &kinds).play();
     let [reading, record] = [outcomes[0].part_in_time(), outcomes[1].part_in_time()];
@@ -238,9 +242,9 @@
     );
 }
 
-/// The same beside a kind that bears a much longer wait.
+/// The same beside a kind that tolerates a much longer wait.
 #[test]
-fn a_kind_that_bears_a_second_does_not_shut_out_the_others() {
+fn a_kind_that_tolerates_a_second_does_not_starve_the_others() {
     let patient = RequestKind { objective: 1_000, rate: 37.0, patience: 1_000 };
     let outcomes = SmallService::new(6, &[RequestKind { rate: 150.0, ..READINGS }, RECORDS, patient]).play();
     let parts: Vec<f64> = outcomes.iter().map(KindOutcome::part_in_time).collect();
@@ -248,45 +252,46 @@
     assert!(parts.iter().all(|part| *part >= 0.5 * most), "{parts:.3?} in time: {outcomes:?}");
 }
 
-/// Callers who were refused come back when their objective has passed. They are not given what a first try could be
-/// answered in time with.
+/// Refused callers retry when their objective has passed. They must not get the slots in which a first try
+/// could be answered in time.
 #[test_case(150.0, 86.0, 3; "a fifth too many")]
 #[test_case(226.0, 172.0, 5; "twice too many")]
-fn second_tries_do_not_take_the_place_of_first_ones(readings: f64, records: f64, seed: u64) {
+fn second_tries_do_not_displace_first_tries(readings: f64, records: f64, seed: u64) {
     let kinds = [RequestKind { rate: readings, ..READINGS }, RequestKind { rate: records, ..RECORDS }];
-    let outcomes = SmallService::telling(seed, &kinds).play();
+    let outcomes = SmallService::with_patience(seed, &kinds).play();
     let in_time: u32 = outcomes.iter().map(|outcome| outcome.in_time).sum();
-    let most = (PLAY - WARM_UP - 1_000) as f64 * f64::from(SLOTS) / MEAN_WORK;
-    assert!(f64::from(in_time) >= 0.85 * most, "{in_time} in time of {most:.0} that can be: {outcomes:?}");
+    let most = (PLAY_MILLIS - WARM_UP_MILLIS - 1_000) as f64 * f64::from(SLOTS) / MEAN_SERVICE_MILLIS;
+    assert!(f64::from(in_time) >= 0.85 * most, "{in_time} in time of at most {most:.0}: {outcomes:?}");
 }
 
-/// What callers say that they wait for tells who comes back, once calm requests have shown what they say at first.
+/// The patience that callers send shows which tries are retries, once requests at times without refusals
+/// have shown the usual first values.
 #[test_case(Some(1_000), true; "the usual time, so a first try")]
-#[test_case(Some(997), true; "less by a new connection")]
-#[test_case(Some(400), true; "less, but others begin with it too")]
+#[test_case(Some(997), true; "less by the time of a new connection")]
+#[test_case(Some(400), true; "less, but also a usual first value")]
 #[test_case(Some(700), false; "clearly less, so the objective has passed")]
-#[test_case(Some(1_300), true; "more than anybody")]
-#[test_case(None, true; "nothing")]
-fn a_caller_that_has_waited_before_counts_from_its_first_try(patience: Option<u64>, waits: bool) {
+#[test_case(Some(1_300), true; "more than any usual value")]
+#[test_case(None, true; "no patience sent")]
+fn a_retry_counts_from_the_first_try_of_its_caller(patience: Option<u64>, is_admitted: bool) {
     const WORK: u64 = 20;
     let mut harness = ShardHarness::new(1, 1, &["public"]);
     harness.join(1, hello("r1", 1));
-    let asked = |number, patience: Option<u64>| RequestTicket {
+    let ticket_with_patience = |number, patience: Option<u64>| RequestTicket {
         objective: Some(Duration::from_millis(200)),
         patience: patience.map(Duration::from_millis),
         ..ticket(number, "public", 1)
     };
     for number in 0..48 {
         let usual = if number % 4 == 0 { 400 } else { 1_000 };
-        harness.submit(1, asked(number, Some(usual)));
+        harness.submit(1, ticket_with_patience(number, Some(usual)));
         harness.advance_with_heartbeats(WORK, &[1]);
         harness.settle(1, number, 1, GrantFate::Done);
     }
     for number in 100..104 {
-        harness.submit(1, asked(number, Some(1_000)));
+        harness.submit(1, ticket_with_patience(number, Some(1_000)));
     }
     harness.actions.clear();
-    harness.submit(1, asked(200, patience));
+    harness.submit(1, ticket_with_patience(200, patience));
     let refused = harness.actions.iter().any(|action| matches!(action, ShardAction::Refuse { .. }));
-    assert_eq!(refused, !waits, "three wait, for 60 ms in all");
+    assert_eq!(refused, !is_admitted, "three tickets wait, for 60 ms in total");
 }
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -1,4 +1,4 @@
-//! How shards learn the pace of engines: modelled engines that read in order of arrival.
+//! How shards learn the reading pace of engines, with modelled engines that read in order of arrival.
 
 use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{
@@ -9,54 +9,55 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// From the end of reading to the first event at the shard, in milliseconds.
+/// Time from the end of reading to the first event at the shard, in milliseconds.
 const LATENCY: f64 = 50.0;
-/// How long a prompt is on its way to the engine, in milliseconds: a tenth of its reading at the fastest one.
-const ARRIVAL: f64 = 1.0;
-/// How long a request runs after its first event, in milliseconds.
+/// Time that a prompt takes to reach the engine, in milliseconds: a tenth of its reading time at the fastest
+/// engine.
+const TRANSIT: f64 = 1.0;
+/// Time that a request runs after its first event, in milliseconds.
 const RUN: u64 = 500;
-/// The time within which first events are wanted, in milliseconds.
+/// The objective of all requests, in milliseconds.
 const OBJECTIVE: u64 = 100;
 
 /// An engine that reads one prompt after the other.
 #[derive(Debug)]
 struct EngineModel {
-    /// Tokens a millisecond.
+    /// Reading pace in tokens per millisecond.
     pace: f64,
-    /// When it will have read everything, in milliseconds of the play.
+    /// Time at which it has read everything, in milliseconds of the run.
     busy_until: f64,
-    /// The tokens that each shard had read, and how long its prompts waited, by the moment of the grant.
-    read: HashMap<usize, Vec<(u64, u64, f64)>>,
+    /// Time of the grant, tokens and wait of each prompt, by shard.
+    prompts_by_shard: HashMap<usize, Vec<(u64, u64, f64)>>,
 }
 
 impl EngineModel {
     fn new(pace: f64) -> EngineModel {
-        EngineModel { pace, busy_until: 0.0, read: HashMap::new() }
+        EngineModel { pace, busy_until: 0.0, prompts_by_shard: HashMap::new() }
     }
 
-    /// Takes a prompt in; gives when its first event comes.
-    fn take(&mut self, shard: usize, now: u64, tokens: u64) -> u64 {
-        let start = self.busy_until.max(now as f64 + ARRIVAL);
+    /// Accepts a prompt and returns the time of its first event.
+    fn accept(&mut self, shard: usize, now: u64, tokens: u64) -> u64 {
+        let start = self.busy_until.max(now as f64 + TRANSIT);
         self.busy_until = start + tokens as f64 / self.pace;
-        self.read.entry(shard).or_default().push((now, tokens, start - now as f64));
+        self.prompts_by_shard.entry(shard).or_default().push((now, tokens, start - now as f64));
         (self.busy_until + LATENCY).ceil() as u64
     }
 
     fn tokens(&self, shard: usize, from: u64, to: u64) -> u64 {
-        let read = self.read.get(&shard).map(Vec::as_slice).unwrap_or_default();
-        read.iter().filter(|(at, ..)| (from..to).contains(at)).map(|(_, tokens, _)| tokens).sum()
+        let prompts_by_shard = self.prompts_by_shard.get(&shard).map(Vec::as_slice).unwrap_or_default();
+        prompts_by_shard.iter().filter(|(at, ..)| (from..to).contains(at)).map(|(_, tokens, _)| tokens).sum()
     }
 
-    /// The part of the time in which it read for a shard or a prompt was on its way to it.
-    fn used(&self, shard: usize, from: u64, to: u64) -> f64 {
-        let prompts = self.read[&shard].iter().filter(|(at, ..)| (from..to).contains(at)).count();
+    /// The part of the time in which the engine read for a shard or a prompt was on its way to it.
+    fn utilisation(&self, shard: usize, from: u64, to: u64) -> f64 {
+        let prompts = self.prompts_by_shard[&shard].iter().filter(|(at, ..)| (from..to).contains(at)).count();
         let reading = self.tokens(shard, from, to) as f64 / self.pace;
-        (reading + prompts as f64 * ARRIVAL) / (to - from) as f64
+        (reading + prompts as f64 * TRANSIT) / (to - from) as f64
     }
 
-    /// The wait that nineteen of twenty prompts did not exceed, in milliseconds.
-    fn usual_wait(&self, from: u64, to: u64) -> f64 {
-        let all = self.read.values().flatten().filter(|(at, ..)| (from..to).contains(at));
+    /// The 95th percentile of the wait of prompts, in milliseconds.
+    fn wait_percentile_95(&self, from: u64, to: u64) -> f64 {
+        let all = self.prompts_by_shard.values().flatten().filter(|(at, ..)| (from..to).contains(at));
         let mut waits: Vec<f64> = all.map(|(_, _, wait)| *wait).collect();
         waits.sort_by(f64::total_cmp);
         waits[waits.len() * 19 / 20]
@@ -69,7 +70,7 @@
     End(u128, u64),
 }
 
-/// A shard whose callers ask for more than its engine gives.
+/// A shard whose callers ask for more than its engine can read.
 struct BusyShard {
     index: usize,
     harness: ShardHarness,
@@ -91,7 +92,7 @@
         BusyShard { index, harness, number: 0, sizes: HashMap::new(), due: BTreeMap::new(), running: 0 }
     }
 
-    /// One millisecond in which the shard is asked for `tokens` or more.
+    /// Advances one millisecond and submits prompts of at least `wanted` tokens.
     fn play(&mut self, now: u64, engine: &mut EngineModel, wanted: &mut f64) {
         self.harness.now = self.harness.now + Duration::from_millis(1);
         while *wanted > 0.0 {
@@ -121,7 +122,7 @@
         for number in self.harness.take_granted_requests() {
             let tokens = self.sizes[&number];
             self.running += 1;
-            self.due.insert((engine.take(self.index, now, tokens), number), Step::Begin(number, tokens));
+            self.due.insert((engine.accept(self.index, now, tokens), number), Step::Begin(number, tokens));
         }
     }
 
@@ -132,7 +133,7 @@
     }
 
     fn pace(&self) -> PaceStatus {
-        self.harness.core.status(self.harness.now).endpoints[0].pace.expect("it is an engine")
+        self.harness.core.status(self.harness.now).endpoints[0].pace.expect("the endpoint is an engine")
     }
 }
 
@@ -146,8 +147,8 @@
     }
 }
 
-/// Plays shards on one engine whose pace changes at times; each shard is asked for one and a half times
-/// what the engine reads.
+/// Runs shards on one engine whose pace changes at the times in `paces`; each shard is asked for one and a
+/// half times what the engine reads.
 fn play(shards: &mut [BusyShard], engine: &mut EngineModel, paces: &[(u64, f64)], end: u64) {
     let mut wanted = vec![0.0; shards.len()];
     for now in 0..end {
@@ -165,7 +166,7 @@
     }
 }
 
-/// Engines of any pace are kept busy, with little to read ahead, whatever settings planned.
+/// Engines of any pace are kept busy with little work granted in advance, whatever pace settings plan.
 #[test_case(10.0, 0.0)]
 #[test_case(35.0, 0.0)]
 #[test_case(51.0, 33.0)]
@@ -179,39 +180,40 @@
     let learnt = shards[0].pace();
     assert!((0.75..=1.3).contains(&(learnt.tokens_per_milli / pace)), "{learnt:?}");
     assert!(learnt.age.is_some_and(|age| age < Duration::from_secs(2)), "{learnt:?}");
-    let used = engine.used(0, 2_000, 12_000);
-    assert!(used > 0.7, "{used}");
+    let utilisation = engine.utilisation(0, 2_000, 12_000);
+    assert!(utilisation > 0.7, "{utilisation}");
     let longest = 7_500.0 / pace;
-    let wait = engine.usual_wait(2_000, 12_000);
+    let wait = engine.wait_percentile_95(2_000, 12_000);
     assert!(wait < 150.0 + longest, "{wait}");
 }
 
-/// A shard that has just begun does not flood its engine before the first event came.
-#[test_case(0.0, 2; "nothing is known")]
-#[test_case(48.0, 4; "settings plan")]
-fn a_new_shard_begins_carefully(planned: f64, most: usize) {
+/// A shard that has just started does not flood its engine before the first event arrives.
+#[test_case(0.0, 2; "without a planned pace")]
+#[test_case(48.0, 4; "with a planned pace")]
+fn a_new_shard_grants_little_before_the_first_event(planned: f64, most: usize) {
     let mut shards = [BusyShard::new(0, ShardOptions::default(), planned)];
     let mut engine = EngineModel::new(51.0);
     play(&mut shards, &mut engine, &[], 60);
-    let granted = engine.read[&0].len();
+    let granted = engine.prompts_by_shard[&0].len();
     assert!((1..=most).contains(&granted), "{granted}");
 }
 
-/// An engine that turns slow is followed within two seconds, and found again when it is well.
+/// The learnt pace follows an engine that slows down within two seconds, and the engine is used again when
+/// it has recovered.
 #[test_case(4.0)]
 #[test_case(8.0)]
-fn a_slow_engine_is_followed(times: f64) {
+fn the_pace_follows_an_engine_that_slows_down(times: f64) {
     let mut shards = [BusyShard::new(0, ShardOptions::default(), 48.0)];
     let mut engine = EngineModel::new(100.0);
     play(&mut shards, &mut engine, &[(5_000, 100.0 / times), (12_000, 100.0)], 18_000);
     let longest = 7_500.0 / (100.0 / times);
-    let wait = engine.usual_wait(7_000, 12_000);
+    let wait = engine.wait_percentile_95(7_000, 12_000);
     assert!(wait < 150.0 + longest, "{wait}");
-    let used = engine.used(0, 16_000, 18_000);
-    assert!(used > 0.55, "{used}");
+    let utilisation = engine.utilisation(0, 16_000, 18_000);
+    assert!(utilisation > 0.55, "{utilisation}");
 }
 
-/// Two shards on one engine: neither starves, and together they leave it little more to read.
+/// Two shards on one engine: neither starves, and together they grant it little work in advance.
 #[test]
 fn two_shards_share_an_engine() {
     let late = ShardOptions::builder().first_share(20).build();
@@ -223,13 +225,13 @@
         let part = engine.tokens(shard, 5_000, 15_000) as f64 / all;
         assert!(part > 0.3, "shard {shard} got {part}");
     }
-    let wait = engine.usual_wait(5_000, 15_000);
+    let wait = engine.wait_percentile_95(5_000, 15_000);
     assert!(wait < 300.0, "{wait}");
 }
 
-/// Endpoints' errors and a process that did not run for a while say nothing lasting of the pace.
+/// Endpoint errors and a pause of the process have no lasting effect on the learnt pace.
 #[test]
-fn a_pause_and_errors_do_not_spoil_the_pace() {
+fn errors_and_a_process_pause_have_no_lasting_effect_on_the_pace() {
     let mut shards = [BusyShard::new(0, ShardOptions::default(), 48.0)];
     let mut engine = EngineModel::new(80.0);
     play(&mut shards, &mut engine, &[], 5_000);
--- a/crates/micaspool-dispatch/tests/shard/recovery.rs
+++ b/crates/micaspool-dispatch/tests/shard/recovery.rs
@@ -1,4 +1,4 @@
-//! A shard that starts empty is rebuilt from its routers.
+//! A shard that starts without state rebuilds it from its routers.
 
 use crate::harness::{
     customer, held_grant, held_total, hello, ordered_ticket, request_id, ticket, ShardHarness,
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn tickets_run_in_their_old_order_whichever_router_joins_first() {
+fn tickets_keep_their_order_whichever_router_joins_first() {
     let mut harness = ShardHarness::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
     harness.join(1, waiting_hello("r1", vec![ordered_ticket(12, "a", 2), ordered_ticket(14, "a", 4)]));
     harness.join(2, waiting_hello("r2", vec![ordered_ticket(11, "a", 1), ordered_ticket(13, "a", 3)]));
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn nothing_is_granted_before_the_routers_have_joined() {
+fn nothing_is_granted_before_all_expected_routers_have_joined() {
     let mut harness = ShardHarness::recovering(1, 1, &["a"], expecting(&["r1", "r2"]));
     harness.join(1, waiting_hello("r1", vec![ordered_ticket(1, "a", 1)]));
     assert!(harness.take_granted_requests().is_empty());
     let running = RouterHello { running: vec![held_grant(2, "a", 0, 0)], ..hello("r2", 1) };
     harness.join(2, running);
-    assert!(harness.take_granted_requests().is_empty(), "the slot is taken by what r2 runs");
+    assert!(harness.take_granted_requests().is_empty(), "the slot is taken by the request that r2 runs");
     harness.settle(2, 2, 5, GrantFate::Done);
     assert_eq!(harness.take_granted_requests(), vec![1]);
 }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn levels_are_taken_from_the_newest_grant_that_any_router_heard() {
+fn levels_are_recovered_from_the_newest_grant_known_to_any_router() {
     let mut harness = ShardHarness::recovering(1, 1, &["a", "b"], expecting(&["r1", "r2"]));
     let totals = vec![held_total("a", 900_000, 7), held_total("b", 100_000, 5)];
     harness.join(1, RouterHello { totals, waiting: vec![ordered_ticket(1, "a", 8)], ..hello("r1", 1) });
@@ -73,8 +73,8 @@
     assert_eq!(harness.take_granted_requests(), vec![1], "a is at 900000 and b at 950000");
 }
 
-/// Routers that were cut off used dispatchers of their own, whose levels began later. What they bring
-/// together must not starve the customer with the longest count.
+/// Routers that were cut off used dispatchers of their own, whose levels started later. The combined levels
+/// must not starve the customer whose level has counted for longest.
 #[test]
 fn levels_of_different_dispatchers_do_not_starve_a_customer() {
     let mut harness = ShardHarness::recovering(1, 1, &["long", "short"], ShardOptions::default());
@@ -83,7 +83,7 @@
     let short = RouterHello { totals: vec![held_total("short", 20_000, 7)], ..hello("r2", 2) };
     harness.join(1, long);
     harness.join(2, short);
-    // Both wait already while the shard recovers, so neither begins to wait beside the other.
+    // Both customers already wait while the shard recovers, so neither level is lifted on submission.
     for number in 0..40 {
         harness.submit(1, ticket(number, "long", 10));
         harness.submit(2, ticket(100 + number, "short", 10));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn killed_again_during_recovery() {
+fn a_shard_killed_during_recovery_recovers_from_the_same_routers() {
     let held_by_routers = || {
         let first = RouterHello { running: vec![held_grant(1, "a", 0, 1)], ..hello("r1", 1) };
         (first, waiting_hello("r2", vec![ordered_ticket(2, "a", 2), ordered_ticket(3, "a", 3)]))
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_router_that_restarts_empty_is_known_again_and_its_old_slots_are_freed_by_lease() {
+fn the_slots_of_a_restarted_router_are_freed_when_the_old_lease_ends() {
     let mut harness = ShardHarness::new(1, 1, &["a"]);
     harness.join(1, hello("r1", 1));
     harness.submit(1, ticket(1, "a", 10));
@@ -127,13 +127,13 @@
     harness.join(2, hello("r1", 2));
     harness.submit(2, ticket(2, "a", 10));
     harness.advance_with_heartbeats(2_500, &[2]);
-    assert!(harness.take_granted_requests().is_empty(), "the earlier life's lease still runs");
+    assert!(harness.take_granted_requests().is_empty(), "the lease of the earlier incarnation has not ended");
     harness.advance_with_heartbeats(1_000, &[2]);
     assert_eq!(harness.take_granted_requests(), vec![2]);
 }
 
 #[test]
-fn a_planned_stop_asks_every_router_to_go_elsewhere() {
+fn a_planned_stop_asks_every_router_to_rejoin() {
     let mut harness = ShardHarness::new(1, 1, &["a"]);
     harness.join(1, hello("r1", 1));
     harness.join(2, hello("r2", 1));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_request_is_never_in_the_queue_and_running_at_once() {
+fn a_request_is_never_waiting_and_running_at_once() {
     let mut harness = ShardHarness::new(1, 4, &["a"]);
     harness.join(1, RouterHello { running: vec![held_grant(1, "a", 0, 1)], ..hello("r1", 1) });
     harness.submit(1, ticket(1, "a", 10));
--- a/crates/micaspool-dispatch/tests/shard/regions.rs
+++ b/crates/micaspool-dispatch/tests/shard/regions.rs
@@ -1,4 +1,4 @@
-//! Shards of two regions that tell each other what they have delivered.
+//! Shards of two regions that exchange the totals that they have delivered.
 
 use crate::harness::{customer, hello, ticket, ShardHarness};
 use micaspool_dispatch::{CustomerTotal, GrantFate, RegionTotals, ShardEvent};
@@ -8,19 +8,19 @@
 
 const COST: u64 = 100;
 
-struct Region {
+struct RegionModel {
     harness: ShardHarness,
     running: VecDeque<u128>,
     served: [u64; 2],
     next: u128,
 }
 
-impl Region {
-    /// Customer `a` has work in every region, `b` only where it is said so.
-    fn new(with_b: bool) -> Region {
+impl RegionModel {
+    /// Creates a region in which customer `a` always has waiting requests, and customer `b` if `with_b`.
+    fn new(with_b: bool) -> RegionModel {
         let mut harness = ShardHarness::new(1, 2, &["a", "b"]);
         harness.join(1, hello("r1", 1));
-        let mut region = Region { harness, running: VecDeque::new(), served: [0, 0], next: 2 };
+        let mut region = RegionModel { harness, running: VecDeque::new(), served: [0, 0], next: 2 };
         for _ in 0..4 {
             region.submit(0);
             if with_b {
@@ -30,23 +30,23 @@
         region
     }
 
-    fn submit(&mut self, who: usize) {
-        let number = self.next * 2 + who as u128;
+    fn submit(&mut self, index: usize) {
+        let number = self.next * 2 + index as u128;
         self.next += 1;
-        self.harness.submit(1, ticket(number, ["a", "b"][who], COST));
+        self.harness.submit(1, ticket(number, ["a", "b"][index], COST));
         self.running.extend(self.harness.take_granted_requests());
     }
 
     fn finish_one(&mut self) {
         let number = self.running.pop_front().expect("every slot is busy");
-        let who = (number % 2) as usize;
-        self.served[who] += COST;
+        let index = (number % 2) as usize;
+        self.served[index] += COST;
         self.harness.settle(1, number, COST, GrantFate::Done);
         self.running.extend(self.harness.take_granted_requests());
-        self.submit(who);
+        self.submit(index);
     }
 
-    fn totals(&self, name: &str) -> ShardEvent {
+    fn shared_totals(&self, name: &str) -> ShardEvent {
         let region = RegionName::parse(name).expect("a name");
         ShardEvent::Shared(RegionTotals {
             region,
@@ -58,13 +58,13 @@
 
 #[test_case(true; "with exchange")]
 #[test_case(false; "without exchange")]
-fn what_a_customer_receives_elsewhere_counts_here(exchange: bool) {
-    let (mut here, mut there) = (Region::new(true), Region::new(false));
+fn service_received_in_another_region_counts(exchange: bool) {
+    let (mut here, mut there) = (RegionModel::new(true), RegionModel::new(false));
     for round in 0..400 {
         here.finish_one();
         there.finish_one();
         if exchange && round % 4 == 0 {
-            let (from_here, from_there) = (here.totals("here"), there.totals("there"));
+            let (from_here, from_there) = (here.shared_totals("here"), there.shared_totals("there"));
             here.harness.step(from_there.clone());
             here.harness.step(from_there);
             there.harness.step(from_here);
@@ -74,15 +74,18 @@
     let b = here.served[1] + there.served[1];
     let gap = a.abs_diff(b) / COST;
     if exchange {
-        assert!(gap <= 12, "a {a}, b {b}, also with doubled messages");
+        assert!(gap <= 12, "a {a}, b {b}, with duplicated messages");
     } else {
-        assert!(gap > 300, "the baseline favours the customer with work in both: a {a}, b {b}");
+        assert!(
+            gap > 300,
+            "without exchange the customer with work in both regions is favoured: a {a}, b {b}"
+        );
     }
 }
 
 #[test]
-fn after_a_long_cut_the_correction_is_clamped() {
-    let mut here = Region::new(true);
+fn the_correction_after_a_long_disconnection_is_clamped() {
+    let mut here = RegionModel::new(true);
     let total = |served: u64| {
         let totals = vec![CustomerTotal { customer: customer("a"), served: Cost(served) }];
         let region = RegionName::parse("there").expect("a name");
