--- a/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
@@ -1,4 +1,4 @@
-//! A shard, the routers before it with their throttles, and engines of which some are lost.
+//! Simulates a shard, its routers with their throttles, and engines of which some are lost.
 
 use super::load::{LoadPlan, LossKind, RetryHabit, LOSS_AT, PACE_PER_SECOND};
 use super::share::ShareRecord;
@@ -13,31 +13,34 @@
 const ROUTERS: u64 = 6;
 const SLOTS: u32 = 16;
 const MEMORY_TOKENS: u64 = 500_000;
+/// Length of a run.
 const LENGTH: Duration = Duration::from_secs(12);
-/// From the end of reading to the first event.
+/// Time from the end of reading to the first event.
 const LATENCY: Duration = Duration::from_millis(50);
-/// How long a request runs after its first event at most.
-const LONGEST_RUN: Duration = Duration::from_millis(2_000);
-/// How long a refused connection takes, one that nobody answers, and a run that says nothing.
+/// The longest time that a request runs after its first event.
+const MAX_RUN: Duration = Duration::from_millis(2_000);
+/// Time until a refused connection, an unanswered connection and a silent run fail.
 const REFUSED_CONNECT: Duration = Duration::from_millis(1);
 const SILENT_CONNECT: Duration = Duration::from_millis(500);
 const SILENT_RUN: Duration = Duration::from_millis(3_000);
+/// How many times longer a slow engine reads.
 const SLOW_FACTOR: f64 = 4.0;
 const TICK: Duration = Duration::from_millis(50);
-/// How soon a caller that presses comes back, and how often callers try.
-const PRESSING: Duration = Duration::from_millis(50);
-const MOST_TRIES: u32 = 3;
+/// The retry delay of callers that retry at once.
+const IMMEDIATE_RETRY: Duration = Duration::from_millis(50);
+/// The most tries of a caller.
+const MAX_TRIES: u32 = 3;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A caller of this customer comes for the first time.
+    /// A caller of this customer sends its first try.
     Arrive(usize),
-    /// A caller comes again.
-    Return(CallerTry),
+    /// A caller retries.
+    Retry(CallerTry),
     Begin(u128),
     End(u128, GrantFate),
     /// The engine with this number is lost.
-    Lose(usize),
+    LoseEngine(usize),
     Tick,
 }
 
@@ -50,7 +53,7 @@
     tries: u32,
 }
 
-/// A request that waits or runs.
+/// A waiting or running request.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     caller: CallerTry,
@@ -59,23 +62,23 @@
     engine: Option<usize>,
 }
 
-/// What really happens at an engine.
+/// The true state of an engine.
 #[derive(Debug, Default)]
-struct RealEngine {
+struct EngineModel {
     loss: Option<LossKind>,
     busy_until: Duration,
     kept: BTreeSet<u64>,
 }
 
-/// One day.
+/// A simulated run of a load plan.
 pub struct ScarceFleet<'a> {
     plan: &'a LoadPlan,
     harness: ShardHarness,
     start: Moment,
     now: Duration,
     throttles: Vec<AskThrottle>,
-    engines: Vec<RealEngine>,
-    numbers: HashMap<EndpointName, usize>,
+    engines: Vec<EngineModel>,
+    engine_numbers: HashMap<EndpointName, usize>,
     open: HashMap<u128, OpenRequest>,
     due: BTreeMap<(Duration, u64), Step>,
     steps: u64,
@@ -102,8 +105,8 @@
             harness,
             now: Duration::ZERO,
             throttles: vec![AskThrottle::default(); ROUTERS as usize],
-            engines: (0..plan.engines).map(|_| RealEngine::default()).collect(),
-            numbers: (0..plan.engines).map(|number| (endpoint(number), number)).collect(),
+            engines: (0..plan.engines).map(|_| EngineModel::default()).collect(),
+            engine_numbers: (0..plan.engines).map(|number| (endpoint(number), number)).collect(),
             open: HashMap::new(),
             due: BTreeMap::new(),
             steps: 0,
@@ -111,24 +114,25 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             record: ShareRecord::new(plan.customers.len(), LENGTH),
         };
-        fleet.at(TICK, Step::Tick);
-        (0..plan.customers.len()).for_each(|customer| fleet.expect_arrival(customer));
-        (0..plan.lost).for_each(|number| fleet.at(LOSS_AT + plan.gap * number as u32, Step::Lose(number)));
+        fleet.schedule(TICK, Step::Tick);
+        (0..plan.customers.len()).for_each(|customer| fleet.schedule_arrival(customer));
+        (0..plan.lost)
+            .for_each(|number| fleet.schedule(LOSS_AT + plan.gap * number as u32, Step::LoseEngine(number)));
         fleet
     }
 
     pub fn play(mut self) -> ShareRecord {
         while self.now < LENGTH {
-            let ((at, _), step) = self.due.pop_first().expect("ticks never end");
+            let ((at, _), step) = self.due.pop_first().expect("a tick is always scheduled");
             self.wake_until(at);
             self.set_time(at);
-            self.take(step);
-            self.heed();
+            self.run_step(step);
+            self.take_actions();
         }
         self.record
     }
 
-    fn at(&mut self, at: Duration, step: Step) {
+    fn schedule(&mut self, at: Duration, step: Step) {
         self.steps += 1;
         self.due.insert((at, self.steps), step);
     }
@@ -138,7 +142,7 @@
         self.harness.now = self.start + now;
     }
 
-    /// Lets the shard do by itself what is due before a moment.
+    /// Handles the shard's own wake-ups that are due before `at`.
     fn wake_until(&mut self, at: Duration) {
         while let Some(wake) = self.harness.core.next_wake().map(|wake| wake.since(self.start)) {
             if wake >= at {
@@ -146,23 +150,23 @@
             }
             self.set_time(wake.max(self.now));
             self.harness.step(ShardEvent::Wake);
-            self.heed();
+            self.take_actions();
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
             Step::Arrive(customer) => {
-                self.expect_arrival(customer);
+                self.schedule_arrival(customer);
                 let caller = self.draw_caller(customer);
-                self.ask(caller);
+                self.submit(caller);
             }
-            Step::Return(caller) => self.ask(caller),
+            Step::Retry(caller) => self.submit(caller),
             Step::Begin(number) => self.begin(number),
             Step::End(number, fate) => self.end(number, fate),
-            Step::Lose(engine) => self.lose(engine),
+            Step::LoseEngine(engine) => self.lose_engine(engine),
             Step::Tick => {
-                self.at(self.now + TICK, Step::Tick);
+                self.schedule(self.now + TICK, Step::Tick);
                 (1..=ROUTERS)
                     .for_each(|router| self.harness.step(ShardEvent::Heartbeat(SessionId(router), 1)));
                 self.harness.step(ShardEvent::Tick);
@@ -170,10 +174,10 @@
         }
     }
 
-    fn expect_arrival(&mut self, customer: usize) {
+    fn schedule_arrival(&mut self, customer: usize) {
         let mean = 1.0 / self.plan.customers[customer].rate;
         let gap = -self.rng.random_range(f64::MIN_POSITIVE..1.0).ln() * mean;
-        self.at(self.now + Duration::from_secs_f64(gap), Step::Arrive(customer));
+        self.schedule(self.now + Duration::from_secs_f64(gap), Step::Arrive(customer));
     }
 
     fn draw_caller(&mut self, customer: usize) -> CallerTry {
@@ -187,10 +191,10 @@
         }
     }
 
-    fn ask(&mut self, caller: CallerTry) {
+    fn submit(&mut self, caller: CallerTry) {
         let load = self.plan.customers[caller.customer];
         let tokens = load.part_tokens + caller.own_tokens;
-        self.record.ask(self.now, caller.customer, u64::from(tokens));
+        self.record.record_demand(self.now, caller.customer, u64::from(tokens));
         let router = self.rng.random_range(1..=ROUTERS);
         let draw = self.rng.random();
         let name = customer(&format!("c{}", caller.customer));
@@ -212,21 +216,21 @@
         self.harness.submit(router, prompt);
     }
 
-    /// A caller is turned away and may come back.
+    /// A caller is refused and may retry.
     fn refuse(&mut self, caller: CallerTry, retry_after: Duration) {
-        self.record.leave_unserved(self.now, caller.customer);
-        self.record.tell(self.now, retry_after);
-        if caller.tries >= MOST_TRIES {
+        self.record.mark_unserved(self.now, caller.customer);
+        self.record.record_retry_delay(self.now, retry_after);
+        if caller.tries >= MAX_TRIES {
             return;
         }
         let wait = match self.plan.habit {
-            RetryHabit::Pressing => PRESSING,
-            RetryHabit::Told => retry_after,
+            RetryHabit::Immediate => IMMEDIATE_RETRY,
+            RetryHabit::AsTold => retry_after,
         };
-        self.at(self.now + wait, Step::Return(CallerTry { tries: caller.tries + 1, ..caller }));
+        self.schedule(self.now + wait, Step::Retry(CallerTry { tries: caller.tries + 1, ..caller }));
     }
 
-    fn heed(&mut self) {
+    fn take_actions(&mut self) {
         for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request, endpoint, .. } => self.send(request.0, &endpoint),
@@ -242,57 +246,57 @@
         }
     }
 
-    /// A router sends a granted request on.
+    /// A router sends a granted request to its engine.
     fn send(&mut self, number: u128, endpoint: &EndpointName) {
-        let engine = self.numbers[endpoint];
+        let engine = self.engine_numbers[endpoint];
         let open = self.open.get_mut(&number).expect("granted requests are open");
         open.engine = Some(engine);
         let OpenRequest { caller, router, .. } = *open;
         let name = customer(&format!("c{}", caller.customer));
         self.throttles[router as usize - 1].note_taken(self.harness.now, &name);
-        let real = &mut self.engines[engine];
-        let slowness = match real.loss {
+        let model = &mut self.engines[engine];
+        let slowness = match model.loss {
             Some(LossKind::Gone) => {
-                self.at(self.now + REFUSED_CONNECT, Step::End(number, GrantFate::Unreachable));
+                self.schedule(self.now + REFUSED_CONNECT, Step::End(number, GrantFate::Unreachable));
                 return;
             }
             Some(LossKind::Silent) => {
-                self.at(self.now + SILENT_CONNECT, Step::End(number, GrantFate::Unreachable));
+                self.schedule(self.now + SILENT_CONNECT, Step::End(number, GrantFate::Unreachable));
                 return;
             }
             Some(LossKind::Slow) => SLOW_FACTOR,
             None => 1.0,
         };
         let load = &self.plan.customers[caller.customer];
-        let is_new = real.kept.insert(caller.part);
+        let is_new = model.kept.insert(caller.part);
         let tokens = caller.own_tokens + if is_new { load.part_tokens } else { 0 };
         let reading = Duration::from_secs_f64(f64::from(tokens) / PACE_PER_SECOND * slowness);
-        real.busy_until = self.now.max(real.busy_until) + reading;
-        let begins = real.busy_until + LATENCY;
-        self.at(begins, Step::Begin(number));
+        model.busy_until = self.now.max(model.busy_until) + reading;
+        let begins = model.busy_until + LATENCY;
+        self.schedule(begins, Step::Begin(number));
     }
 
     fn begin(&mut self, number: u128) {
         let Some(open) = self.open.get(&number).copied() else { return };
-        let engine = open.engine.expect("it was granted");
+        let engine = open.engine.expect("the request was granted");
         if matches!(self.engines[engine].loss, Some(LossKind::Gone | LossKind::Silent)) {
             return;
         }
         let load = self.plan.customers[open.caller.customer];
         let tokens = u64::from(load.part_tokens + open.caller.own_tokens);
-        self.record.begin(self.now, open.caller.customer, tokens);
+        self.record.record_begun(self.now, open.caller.customer, tokens);
         if self.now - open.since > load.objective {
-            self.record.leave_unserved(self.now, open.caller.customer);
+            self.record.mark_unserved(self.now, open.caller.customer);
         }
         let begun = ShardEvent::Progress(SessionId(open.router), RequestId(number), Cost(tokens));
         self.harness.step(begun);
-        let run = LONGEST_RUN.mul_f64(self.rng.random());
-        self.at(self.now + run, Step::End(number, GrantFate::Done));
+        let run = MAX_RUN.mul_f64(self.rng.random());
+        self.schedule(self.now + run, Step::End(number, GrantFate::Done));
     }
 
     fn end(&mut self, number: u128, fate: GrantFate) {
         let Some(open) = self.open.get(&number).copied() else { return };
-        let engine = open.engine.expect("it was granted");
+        let engine = open.engine.expect("the request was granted");
         let is_lost = matches!(self.engines[engine].loss, Some(LossKind::Gone | LossKind::Silent));
         if fate == GrantFate::Done && is_lost {
             return;
@@ -309,7 +313,7 @@
         }
     }
 
-    fn lose(&mut self, engine: usize) {
+    fn lose_engine(&mut self, engine: usize) {
         self.engines[engine].loss = Some(self.plan.loss);
         let (fate, after) = match self.plan.loss {
             LossKind::Gone => (GrantFate::Severed, Duration::ZERO),
@@ -318,6 +322,6 @@
         };
         let running = self.open.iter().filter(|(_, open)| open.engine == Some(engine));
         let running: BTreeSet<u128> = running.map(|(number, _)| *number).collect();
-        running.into_iter().for_each(|number| self.at(self.now + after, Step::End(number, fate)));
+        running.into_iter().for_each(|number| self.schedule(self.now + after, Step::End(number, fate)));
     }
 }
--- a/crates/micaspool-dispatch/tests/shard/scarcity/load.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/load.rs
@@ -1,43 +1,43 @@
-//! What is asked for, and which engines are lost when.
+//! Random plans of a run: what each customer asks for, and which engines are lost when.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// What an engine reads in a second, in tokens.
+/// Tokens per second that an engine reads.
 pub const PACE_PER_SECOND: f64 = 50_000.0;
-/// When engines begin to be lost.
+/// When the first engine is lost.
 pub const LOSS_AT: Duration = Duration::from_secs(3);
 
 /// How an engine is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossKind {
-    /// Connections are refused, and what ran is broken at once.
+    /// Connections are refused, and running requests are broken at once.
     Gone,
-    /// Nothing comes any more; connections and runs are given up after a while.
+    /// The engine sends nothing any more; connections and runs fail after a timeout.
     Silent,
     /// It reads at a quarter of its pace.
     Slow,
 }
 
-/// When a refused caller comes back.
+/// When a refused caller retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryHabit {
-    /// At once.
-    Pressing,
-    /// After as long as it was told.
-    Told,
+    /// Almost at once.
+    Immediate,
+    /// After the delay that it was told.
+    AsTold,
 }
 
-/// What one customer asks for.
+/// The load of one customer.
 #[derive(Clone, Copy, Debug)]
 pub struct CustomerLoad {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How many shared parts its prompts begin with, one each.
+    /// The number of shared parts; each prompt begins with one of them.
     pub parts: u64,
     pub part_tokens: u32,
-    /// The mean of what a prompt has of its own.
+    /// Mean number of tokens that only this prompt has.
     pub own_tokens: u32,
     pub objective: Duration,
 }
@@ -48,20 +48,22 @@
     }
 }
 
-/// One day.
+/// The load and the lost engines of one run.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     pub engines: usize,
     pub lost: usize,
     pub loss: LossKind,
-    /// From one lost engine to the next.
+    /// Time from the loss of one engine to the next.
     pub gap: Duration,
     pub habit: RetryHabit,
     pub customers: Vec<CustomerLoad>,
+    /// The number of customers with the load of a flood, which come last.
     pub floods: usize,
 }
 
 impl LoadPlan {
+    /// Draws a plan.
     pub fn draw(seed: u64) -> LoadPlan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let engines: usize = rng.random_range(10..=24);
@@ -78,14 +80,14 @@
             lost: ((engines as f64 * share).round() as usize).clamp(1, engines - 2),
             loss: [LossKind::Gone, LossKind::Silent, LossKind::Slow][rng.random_range(0..3)],
             gap: [Duration::ZERO, Duration::from_millis(150)][rng.random_range(0..2)],
-            habit: [RetryHabit::Pressing, RetryHabit::Told][rng.random_range(0..2)],
+            habit: [RetryHabit::Immediate, RetryHabit::AsTold][rng.random_range(0..2)],
             customers: usual_loads.into_iter().chain(flood_loads).collect(),
             floods,
         }
     }
 
-    /// What tells this day from others.
-    pub fn name(&self) -> String {
+    /// Describes the plan in failure messages.
+    pub fn describe(&self) -> String {
         format!(
             "{} of {} engines {:?}, gap {:?}, {} customers, {} of them flood, {:?}",
             self.lost,
@@ -99,7 +101,8 @@
     }
 }
 
-/// Loads of customers that ask for so many tokens a second together, some for several times as much as others.
+/// Draws loads of customers that together ask for `tokens_per_second`, some for several times as much as
+/// others.
 fn draw_loads(rng: &mut ChaCha8Rng, count: usize, tokens_per_second: f64) -> Vec<CustomerLoad> {
     let weights: Vec<f64> = (0..count).map(|_| rng.random_range(0.3..2.0)).collect();
     let all: f64 = weights.iter().sum();
--- a/crates/micaspool-dispatch/tests/shard/scarcity/share.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/share.rs
@@ -1,16 +1,16 @@
-//! Who got how much of what was asked for, and who was starved.
+//! Records what each customer asked for and got, and finds starved customers.
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// Over how many seconds shares are compared.
-const WINDOW: usize = 6;
-/// How many of the largest requests one may have less.
-const SPARED_REQUESTS: u64 = 3;
-/// Of how many refused callers a mean is taken.
-const LEAST_TOLD: u32 = 20;
+/// The number of seconds over which shares are compared.
+const WINDOW_SECONDS: usize = 6;
+/// A shortfall of up to this many of the largest requests is tolerated.
+const TOLERATED_REQUESTS: u64 = 3;
+/// The number of refused callers needed for a mean.
+const MIN_REFUSALS: u32 = 20;
 
-/// One customer in one second.
+/// Tokens of one customer in one second.
 #[derive(Clone, Copy, Debug, Default)]
 struct SecondFlow {
     asked: u64,
@@ -19,56 +19,57 @@
     unserved: bool,
 }
 
-/// What each customer asked for and got, by seconds.
+/// What each customer asked for and got in each second.
 #[derive(Debug)]
 pub struct ShareRecord {
     customers: Vec<Vec<SecondFlow>>,
     largest: u64,
-    /// When refused callers were told to come back after how long.
-    told: Vec<(Duration, Duration)>,
+    /// Times of refusals and the retry delays that callers were told.
+    retry_delays: Vec<(Duration, Duration)>,
 }
 
 impl ShareRecord {
     pub fn new(customers: usize, length: Duration) -> ShareRecord {
-        let seconds = usize::try_from(length.as_secs()).expect("a short day") + 1;
+        let seconds = usize::try_from(length.as_secs()).expect("a short run") + 1;
         ShareRecord {
             customers: vec![vec![SecondFlow::default(); seconds]; customers],
             largest: 0,
-            told: Vec::new(),
+            retry_delays: Vec::new(),
         }
     }
 
-    pub fn ask(&mut self, now: Duration, customer: usize, tokens: u64) {
+    pub fn record_demand(&mut self, now: Duration, customer: usize, tokens: u64) {
         self.flow(now, customer).asked += tokens;
         self.largest = self.largest.max(tokens);
     }
 
-    pub fn begin(&mut self, now: Duration, customer: usize, tokens: u64) {
+    pub fn record_begun(&mut self, now: Duration, customer: usize, tokens: u64) {
         self.flow(now, customer).begun += tokens;
     }
 
-    pub fn leave_unserved(&mut self, now: Duration, customer: usize) {
+    pub fn mark_unserved(&mut self, now: Duration, customer: usize) {
         self.flow(now, customer).unserved = true;
     }
 
-    /// A refused caller is told when to come back.
-    pub fn tell(&mut self, now: Duration, retry_after: Duration) {
-        self.told.push((now, retry_after));
+    /// Records the retry delay that a refused caller is told.
+    pub fn record_retry_delay(&mut self, now: Duration, retry_after: Duration) {
+        self.retry_delays.push((now, retry_after));
     }
 
-    /// The mean of what callers were told in a span; `None` where hardly any was refused.
-    pub fn mean_told(&self, span: Range<Duration>) -> Option<Duration> {
-        let told: Vec<Duration> =
-            self.told.iter().filter(|(at, _)| span.contains(at)).map(|(_, told)| *told).collect();
-        let count = u32::try_from(told.len()).expect("a short day");
-        (count >= LEAST_TOLD).then(|| told.iter().sum::<Duration>() / count)
+    /// The mean retry delay of the callers refused in `span`; `None` for fewer than [`MIN_REFUSALS`].
+    pub fn mean_retry_delay(&self, span: Range<Duration>) -> Option<Duration> {
+        let delays: Vec<Duration> =
+            self.retry_delays.iter().filter(|(at, _)| span.contains(at)).map(|(_, delay)| *delay).collect();
+        let count = u32::try_from(delays.len()).expect("a short run");
+        (count >= MIN_REFUSALS).then(|| delays.iter().sum::<Duration>() / count)
     }
 
-    /// The customers that were refused in each second of a window and got less than half of what they asked for or the
-    /// best served got, whichever is less, second by second.
+    /// Describes the customers that had an unserved request in each second of a window and got less than
+    /// half of what they were owed: second by second, what they asked for or what the best served customer
+    /// got, whichever is less. A shortfall of [`TOLERATED_REQUESTS`] of the largest requests is tolerated.
     pub fn starved(&self) -> Vec<String> {
         let seconds = self.customers.first().map_or(0, Vec::len) - 1;
-        let windows = (1..=seconds - WINDOW).map(|start| start..start + WINDOW);
+        let windows = (1..=seconds - WINDOW_SECONDS).map(|start| start..start + WINDOW_SECONDS);
         let mut found = Vec::new();
         for window in windows {
             let begun = |flows: &[SecondFlow]| flows.iter().map(|flow| flow.begun).sum::<u64>();
@@ -76,8 +77,8 @@
             let Some(best) = spans().max_by_key(|flows| begun(flows)) else { continue };
             for (customer, flows) in spans().enumerate() {
                 let owed: u64 = flows.iter().zip(best).map(|(own, best)| own.asked.min(best.begun)).sum();
-                let spared = begun(flows) + SPARED_REQUESTS * self.largest;
-                if flows.iter().all(|flow| flow.unserved) && spared < owed / 2 {
+                let got_or_tolerated = begun(flows) + TOLERATED_REQUESTS * self.largest;
+                if flows.iter().all(|flow| flow.unserved) && got_or_tolerated < owed / 2 {
                     let start = window.start;
                     let (got, most) = (begun(flows), begun(best));
                     found
@@ -89,7 +90,7 @@
     }
 
     fn flow(&mut self, now: Duration, customer: usize) -> &mut SecondFlow {
-        let second = usize::try_from(now.as_secs()).expect("a short day");
+        let second = usize::try_from(now.as_secs()).expect("a short run");
         let flows = &mut self.customers[customer];
         let last = flows.len() - 1;
         &mut flows[second.min(last)]
--- a/crates/micaspool-dispatch/tests/shard/suspects.rs
+++ b/crates/micaspool-dispatch/tests/shard/suspects.rs
@@ -1,4 +1,4 @@
-//! What is held against a request, by how its runs and its endpoints end.
+//! Which endings of runs and endpoints count as evidence against a request.
 
 use crate::harness::{customer, endpoint, hello, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{
@@ -9,14 +9,14 @@
 use std::time::Duration;
 use test_case::test_case;
 
-const LETTER: RequestDigest = RequestDigest(7);
-const OTHER: RequestDigest = RequestDigest(8);
+const SUSPECT_DIGEST: RequestDigest = RequestDigest(7);
+const OTHER_DIGEST: RequestDigest = RequestDigest(8);
 
-fn asked(number: u128, digest: RequestDigest) -> RequestTicket {
+fn ticket_with_digest(number: u128, digest: RequestDigest) -> RequestTicket {
     RequestTicket { digest: Some(digest), ..ticket(number, "a", 10) }
 }
 
-/// Endpoints with many slots, and two routers.
+/// A shard of endpoints with eight slots each, and two routers.
 fn fleet(endpoints: usize) -> ShardHarness {
     let mut harness = ShardHarness::new(endpoints, 8, &["a"]);
     harness.join(1, hello("r1", 1));
@@ -25,18 +25,22 @@
     harness
 }
 
-/// Submits a request that is granted, and gives where.
-fn granted(harness: &mut ShardHarness, session: u64, ticket: RequestTicket) -> EndpointName {
+/// Submits a ticket, asserts that it is granted and returns its endpoint.
+fn submit_granted(harness: &mut ShardHarness, session: u64, ticket: RequestTicket) -> EndpointName {
     let request = ticket.request;
     harness.actions.clear();
     harness.submit(session, ticket);
     let grants = harness.take_grants();
-    assert_eq!(grants.iter().map(|grant| grant.request).collect::<Vec<_>>(), [request], "it is granted");
+    assert_eq!(
+        grants.iter().map(|grant| grant.request).collect::<Vec<_>>(),
+        [request],
+        "the ticket is granted"
+    );
     grants[0].endpoint.clone()
 }
 
-/// Why a ticket is refused at once, and when its caller may come back.
-fn refused(
+/// Submits a ticket and returns the reason and the retry delay if it is refused at once.
+fn submit_refusal(
     harness: &mut ShardHarness,
     session: u64,
     ticket: RequestTicket,
@@ -58,23 +62,24 @@
     harness.actions.iter().filter_map(refusal).collect()
 }
 
-/// What routers were told of a request: the stream, and how many crashes.
-fn told(harness: &ShardHarness, digest: RequestDigest) -> Vec<(u64, usize)> {
-    let word = |action: &ShardAction| match action {
+/// The records of a request that routers were sent: session and number of crashes.
+fn sent_records(harness: &ShardHarness, digest: RequestDigest) -> Vec<(u64, usize)> {
+    let sent = |action: &ShardAction| match action {
         ShardAction::TellRecord { session, record } if record.digest == digest => {
             Some((session.0, record.crashes.len()))
         }
         _ => None,
     };
-    harness.actions.iter().filter_map(word).collect()
+    harness.actions.iter().filter_map(sent).collect()
 }
 
-/// Ends an endpoint under one run of a request after another, each at another endpoint that is paused then.
-fn end_endpoints(harness: &mut ShardHarness, digest: RequestDigest, first: u128, times: u128) {
+/// Crashes `times` endpoints one after the other, each under one run of the request; a crashed endpoint is
+/// paused.
+fn crash_endpoints(harness: &mut ShardHarness, digest: RequestDigest, first: u128, times: u128) {
     for number in first..first + times {
-        let ended = granted(harness, 1, asked(number, digest));
+        let crashed = submit_granted(harness, 1, ticket_with_digest(number, digest));
         harness.settle(1, number, 0, GrantFate::Severed);
-        harness.step(ShardEvent::Unreachable(ended));
+        harness.step(ShardEvent::Unreachable(crashed));
     }
 }
 
@@ -82,112 +87,113 @@
     EndpointCrash { endpoint: endpoint(number), age: Duration::from_millis(100) }
 }
 
-fn told_by(router: &str, crashes: Vec<EndpointCrash>) -> RouterHello {
-    let record = CrashRecord { digest: LETTER, customer: customer("a"), crashes };
+fn hello_with_crashes(router: &str, crashes: Vec<EndpointCrash>) -> RouterHello {
+    let record = CrashRecord { digest: SUSPECT_DIGEST, customer: customer("a"), crashes };
     RouterHello { crashes: vec![record], ..hello(router, 1) }
 }
 
 #[test]
-fn a_request_in_doubt_runs_once_at_a_time_and_others_are_told_at_once() {
+fn a_suspected_request_runs_one_copy_at_a_time_and_refuses_others_at_once() {
     let mut harness = fleet(4);
-    end_endpoints(&mut harness, LETTER, 1, 1);
-    granted(&mut harness, 1, asked(2, LETTER));
-    let second = refused(&mut harness, 2, asked(3, LETTER));
+    crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 1);
+    submit_granted(&mut harness, 1, ticket_with_digest(2, SUSPECT_DIGEST));
+    let second = submit_refusal(&mut harness, 2, ticket_with_digest(3, SUSPECT_DIGEST));
     assert_eq!(second, Some((ReleaseReason::CopyRunning, Duration::from_secs(1))));
-    granted(&mut harness, 2, asked(4, OTHER));
+    submit_granted(&mut harness, 2, ticket_with_digest(4, OTHER_DIGEST));
     harness.settle(1, 2, 10, GrantFate::Abandoned);
-    granted(&mut harness, 2, asked(5, LETTER));
+    submit_granted(&mut harness, 2, ticket_with_digest(5, SUSPECT_DIGEST));
 }
 
 #[test]
-fn copies_that_wait_when_it_comes_into_doubt_are_refused_but_for_one() {
+fn waiting_copies_are_refused_when_a_request_becomes_suspected() {
     let mut harness = ShardHarness::new(2, 1, &["a"]);
     harness.join(1, hello("r1", 1));
     for number in 1..=5 {
-        harness.submit(1, asked(number, LETTER));
+        harness.submit(1, ticket_with_digest(number, SUSPECT_DIGEST));
     }
     assert_eq!(harness.take_granted_requests(), [1, 2]);
     harness.settle(1, 1, 0, GrantFate::Severed);
-    assert_eq!(refusals(&harness).len(), 3, "a copy runs, so none of three need wait");
+    assert_eq!(refusals(&harness).len(), 3, "a copy runs, so all three waiting copies are refused");
     harness.actions.clear();
-    harness.submit(1, asked(6, OTHER));
+    harness.submit(1, ticket_with_digest(6, OTHER_DIGEST));
     assert!(refusals(&harness).is_empty());
 }
 
-#[test_case(GrantFate::Done, true; "an answer that came whole")]
+#[test_case(GrantFate::Done, true; "a complete answer")]
 #[test_case(GrantFate::Abandoned, false; "a caller that left")]
 #[test_case(GrantFate::Broken, false; "a deadline")]
 #[test_case(GrantFate::Refused, false; "an endpoint that was full")]
-fn only_a_whole_answer_acquits(fate: GrantFate, acquits: bool) {
+fn only_a_complete_answer_clears_a_request(fate: GrantFate, clears: bool) {
     let mut harness = fleet(6);
-    end_endpoints(&mut harness, LETTER, 1, 2);
-    granted(&mut harness, 1, asked(3, LETTER));
+    crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 2);
+    submit_granted(&mut harness, 1, ticket_with_digest(3, SUSPECT_DIGEST));
     harness.settle(1, 3, 10, fate);
-    end_endpoints(&mut harness, LETTER, 4, 1);
-    let next = refused(&mut harness, 1, asked(5, LETTER));
-    assert_eq!(next.is_none(), acquits, "{next:?}");
+    crash_endpoints(&mut harness, SUSPECT_DIGEST, 4, 1);
+    let next = submit_refusal(&mut harness, 1, ticket_with_digest(5, SUSPECT_DIGEST));
+    assert_eq!(next.is_none(), clears, "{next:?}");
 }
 
-#[test_case(GrantFate::Broken; "a deadline or an answer that can't be used")]
+#[test_case(GrantFate::Broken; "a deadline or an unusable answer")]
 #[test_case(GrantFate::Unreachable; "no connection")]
 #[test_case(GrantFate::Draining; "an endpoint that leaves")]
-fn other_failures_say_nothing_of_a_request(fate: GrantFate) {
+fn other_failures_are_no_evidence_against_a_request(fate: GrantFate) {
     let mut harness = fleet(8);
     for number in 1..=6 {
-        granted(&mut harness, 1, asked(number, LETTER));
+        submit_granted(&mut harness, 1, ticket_with_digest(number, SUSPECT_DIGEST));
         harness.settle(1, number, 0, fate);
         harness.advance_with_heartbeats(1_000, &[1, 2]);
     }
-    assert_eq!(refused(&mut harness, 1, asked(7, LETTER)), None);
+    assert_eq!(submit_refusal(&mut harness, 1, ticket_with_digest(7, SUSPECT_DIGEST)), None);
 }
 
 #[test]
-fn two_copies_at_one_endpoint_are_one_end() {
+fn copies_at_one_endpoint_count_as_one_crash() {
     let mut harness = ShardHarness::new(1, 8, &["a"]);
     harness.join(1, hello("r1", 1));
     for number in 1..=4 {
-        harness.submit(1, asked(number, LETTER));
+        harness.submit(1, ticket_with_digest(number, SUSPECT_DIGEST));
     }
     for number in 1..=4 {
         harness.settle(1, number, 0, GrantFate::Severed);
     }
-    assert_eq!(refused(&mut harness, 1, asked(5, LETTER)), None);
+    assert_eq!(submit_refusal(&mut harness, 1, ticket_with_digest(5, SUSPECT_DIGEST)), None);
 }
 
 #[test]
-fn after_three_it_is_shut_out_for_an_hour_and_every_router_knows() {
+fn after_three_crashes_a_request_is_quarantined_for_an_hour_at_every_router() {
     let mut harness = fleet(6);
-    end_endpoints(&mut harness, LETTER, 1, 2);
-    let third = granted(&mut harness, 1, asked(3, LETTER));
+    crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 2);
+    let third = submit_granted(&mut harness, 1, ticket_with_digest(3, SUSPECT_DIGEST));
     harness.settle(1, 3, 0, GrantFate::Severed);
-    assert_eq!(told(&harness, LETTER), [(1, 3), (2, 3)]);
+    assert_eq!(sent_records(&harness, SUSPECT_DIGEST), [(1, 3), (2, 3)]);
     harness.step(ShardEvent::Unreachable(third));
-    let fresh = refused(&mut harness, 2, asked(4, LETTER));
+    let fresh = submit_refusal(&mut harness, 2, ticket_with_digest(4, SUSPECT_DIGEST));
     assert_eq!(
         fresh,
         Some((ReleaseReason::Quarantined, Duration::from_secs(2))),
-        "it may turn out otherwise"
+        "the crash may still be disproved"
     );
     harness.advance_with_heartbeats(10_000, &[1, 2]);
-    let (reason, after) = refused(&mut harness, 2, asked(5, LETTER)).expect("it is shut out");
+    let (reason, after) = submit_refusal(&mut harness, 2, ticket_with_digest(5, SUSPECT_DIGEST))
+        .expect("the request is quarantined");
     assert_eq!(reason, ReleaseReason::Quarantined);
     assert!(after > Duration::from_secs(3_500) && after <= Duration::from_secs(3_590), "{after:?}");
     harness.join(3, hello("r3", 1));
-    assert_eq!(told(&harness, LETTER), [(3, 3)], "one that joins later is told");
+    assert_eq!(sent_records(&harness, SUSPECT_DIGEST), [(3, 3)], "a router that joins later is told");
     let status = harness.core.status(harness.now);
     assert_eq!(status.suspects.len(), 1);
     assert_eq!(status.suspects[0].record.crashes.len(), 3);
 }
 
 #[test]
-fn a_suspected_request_is_not_sent_on() {
+fn a_suspected_request_is_not_retried_at_another_endpoint() {
     let mut harness = fleet(6);
-    end_endpoints(&mut harness, LETTER, 1, 1);
-    let again = RequestTicket { attempt: 1, ..asked(1, LETTER) };
-    granted(&mut harness, 1, again.clone());
+    crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 1);
+    let again = RequestTicket { attempt: 1, ..ticket_with_digest(1, SUSPECT_DIGEST) };
+    submit_granted(&mut harness, 1, again.clone());
     harness.settle(1, 1, 0, GrantFate::Severed);
-    assert!(refused(&mut harness, 1, RequestTicket { attempt: 2, ..again }).is_some());
-    granted(&mut harness, 1, asked(2, LETTER));
+    assert!(submit_refusal(&mut harness, 1, RequestTicket { attempt: 2, ..again }).is_some());
+    submit_granted(&mut harness, 1, ticket_with_digest(2, SUSPECT_DIGEST));
 }
 
 #[test]
@@ -195,13 +201,15 @@
     let mut harness = fleet(6);
     let digests: Vec<RequestDigest> = (100..104).map(RequestDigest).collect();
     for (number, digest) in digests.iter().enumerate() {
-        end_endpoints(&mut harness, *digest, 10 * number as u128 + 1, 2);
+        crash_endpoints(&mut harness, *digest, 10 * number as u128 + 1, 2);
         harness.advance_with_heartbeats(1_000, &[1, 2]);
     }
     harness.advance_with_heartbeats(40_000, &[1, 2]);
     let places = digests.iter().enumerate();
     let mut places: Vec<EndpointName> = places
-        .map(|(number, digest)| granted(&mut harness, 1, asked(100 + number as u128, *digest)))
+        .map(|(number, digest)| {
+            submit_granted(&mut harness, 1, ticket_with_digest(100 + number as u128, *digest))
+        })
         .collect();
     places.sort();
     places.dedup();
@@ -209,10 +217,10 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_is_not_held_against_what_ran_there() {
+fn a_leaving_endpoint_is_no_evidence_against_its_requests() {
     let mut harness = fleet(3);
     for number in 1..=4 {
-        let at = granted(&mut harness, 1, asked(number, LETTER));
+        let at = submit_granted(&mut harness, 1, ticket_with_digest(number, SUSPECT_DIGEST));
         let leaves = |leaving: bool| {
             let at = at.clone();
             move |policy: &mut micaspool_dispatch::ShardPolicy| {
@@ -223,23 +231,27 @@
         harness.update_policy(leaves(true));
         harness.actions.clear();
         harness.settle(1, number, 0, GrantFate::Severed);
-        assert_eq!(told(&harness, LETTER), [(1, 0)], "its router holds nothing against it either");
+        assert_eq!(
+            sent_records(&harness, SUSPECT_DIGEST),
+            [(1, 0)],
+            "its router is told to clear the record"
+        );
         harness.update_policy(leaves(false));
         harness.advance_with_heartbeats(20_000, &[1, 2]);
     }
-    assert_eq!(refused(&mut harness, 1, asked(5, LETTER)), None);
+    assert_eq!(submit_refusal(&mut harness, 1, ticket_with_digest(5, SUSPECT_DIGEST)), None);
 }
 
-#[test_case(100, 50, true; "asked for after the break")]
-#[test_case(100, 150, false; "asked for before the break")]
-#[test_case(3_000, 0, false; "so late that another may have the address")]
+#[test_case(100, 50, true; "requested after the crash")]
+#[test_case(100, 150, false; "requested before the crash")]
+#[test_case(3_000, 0, false; "so late that another endpoint may have the address")]
 fn a_load_report_shows_that_an_endpoint_is_alive(after: u64, asked_before: u64, is_alive: bool) {
     let mut harness = fleet(4);
-    let at = granted(&mut harness, 1, asked(1, LETTER));
+    let at = submit_granted(&mut harness, 1, ticket_with_digest(1, SUSPECT_DIGEST));
     harness.settle(1, 1, 0, GrantFate::Severed);
     let asks =
         harness.actions.iter().any(|action| *action == ShardAction::AskEndpoint { endpoint: at.clone() });
-    assert!(asks, "it is asked at once");
+    assert!(asks, "the endpoint is asked for a report at once");
     harness.advance_with_heartbeats(after, &[1, 2]);
     harness.actions.clear();
     let asked_at = micaspool_types::Moment(harness.now.0 - asked_before * 1_000);
@@ -250,48 +262,48 @@
         draining: false,
         asked_at,
     }));
-    assert_eq!(told(&harness, LETTER) == [(1, 0)], is_alive);
+    assert_eq!(sent_records(&harness, SUSPECT_DIGEST) == [(1, 0)], is_alive);
 }
 
-#[test_case(700, false; "a straggler")]
-#[test_case(1_300, true; "later")]
-fn a_run_that_goes_on_shows_that_an_endpoint_is_alive(after: u64, is_alive: bool) {
+#[test_case(700, false; "so early that it may have been sent before the crash")]
+#[test_case(1_300, true; "late enough to prove it")]
+fn progress_of_another_run_shows_that_an_endpoint_is_alive(after: u64, is_alive: bool) {
     let mut harness = ShardHarness::new(1, 8, &["a"]);
     harness.join(1, hello("r1", 1));
-    granted(&mut harness, 1, asked(1, LETTER));
-    granted(&mut harness, 1, asked(2, OTHER));
+    submit_granted(&mut harness, 1, ticket_with_digest(1, SUSPECT_DIGEST));
+    submit_granted(&mut harness, 1, ticket_with_digest(2, OTHER_DIGEST));
     harness.settle(1, 1, 0, GrantFate::Severed);
     harness.advance_with_heartbeats(after, &[1]);
     harness.actions.clear();
     harness.step(ShardEvent::Progress(SessionId(1), request_id(2), Cost(5)));
-    assert_eq!(told(&harness, LETTER) == [(1, 0)], is_alive);
+    assert_eq!(sent_records(&harness, SUSPECT_DIGEST) == [(1, 0)], is_alive);
 }
 
 #[test]
-fn a_new_shard_adds_up_what_its_routers_saw() {
+fn a_new_shard_combines_the_crash_records_of_its_routers() {
     let mut harness = ShardHarness::recovering(6, 8, &["a"], micaspool_dispatch::ShardOptions::default());
-    harness.join(1, told_by("r1", vec![crash(0)]));
-    harness.join(2, told_by("r2", vec![crash(1), crash(0)]));
-    harness.submit(2, asked(1, LETTER));
-    assert!(refusals(&harness).is_empty(), "two endpoints ended under it");
-    harness.join(3, told_by("r3", vec![crash(2)]));
+    harness.join(1, hello_with_crashes("r1", vec![crash(0)]));
+    harness.join(2, hello_with_crashes("r2", vec![crash(1), crash(0)]));
+    harness.submit(2, ticket_with_digest(1, SUSPECT_DIGEST));
+    assert!(refusals(&harness).is_empty(), "two endpoints crashed under it");
+    harness.join(3, hello_with_crashes("r3", vec![crash(2)]));
     assert_eq!(refusals(&harness), [(1, ReleaseReason::Quarantined, Duration::from_secs(2))]);
     harness.advance_with_heartbeats(1_000, &[1, 2, 3]);
-    let waiting = RouterHello { waiting: vec![asked(9, LETTER)], ..hello("r4", 1) };
+    let waiting = RouterHello { waiting: vec![ticket_with_digest(9, SUSPECT_DIGEST)], ..hello("r4", 1) };
     harness.actions.clear();
     harness.join(4, waiting);
-    assert_eq!(refusals(&harness).len(), 1, "what a router brings with it is refused as well");
+    assert_eq!(refusals(&harness).len(), 1, "waiting tickets of a joining router are refused as well");
     assert!(harness.take_granted_requests().is_empty());
 }
 
 #[test]
-fn an_operator_lifts_a_quarantine_everywhere() {
+fn an_operator_lifts_a_quarantine_at_every_router() {
     let mut harness = fleet(6);
-    end_endpoints(&mut harness, LETTER, 1, 3);
-    assert!(refused(&mut harness, 1, asked(4, LETTER)).is_some());
+    crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 3);
+    assert!(submit_refusal(&mut harness, 1, ticket_with_digest(4, SUSPECT_DIGEST)).is_some());
     harness.actions.clear();
-    harness.step(ShardEvent::Lift(LETTER));
-    assert_eq!(told(&harness, LETTER), [(1, 0), (2, 0)]);
-    granted(&mut harness, 2, asked(5, LETTER));
-    harness.step(ShardEvent::Lift(OTHER));
+    harness.step(ShardEvent::Lift(SUSPECT_DIGEST));
+    assert_eq!(sent_records(&harness, SUSPECT_DIGEST), [(1, 0), (2, 0)]);
+    submit_granted(&mut harness, 2, ticket_with_digest(5, SUSPECT_DIGEST));
+    harness.step(ShardEvent::Lift(OTHER_DIGEST));
 }
--- a/crates/micaspool-dispatch/tests/shard/throttling.rs
+++ b/crates/micaspool-dispatch/tests/shard/throttling.rs
@@ -1,7 +1,7 @@
-//! Customers that ask for many times their share through hundreds of routers at once.
+//! Customers that send many times their share through hundreds of routers at once.
 //!
-//! A stand-in for the shard takes a customer's requests at a rate and refuses the rest at once; the figures are
-//! what reaches it, and what it could have taken and did not get.
+//! A model of the shard takes a customer's requests at a fixed rate and refuses the rest at once. The tests
+//! check how many requests reach it, and how many it could have taken but did not get.
 
 use micaspool_dispatch::AskThrottle;
 use micaspool_types::{CustomerName, Moment};
@@ -11,62 +11,62 @@
 use test_case::test_case;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How many requests the stand-in lets wait.
-const DEPTH: f64 = 16.0;
+/// Requests that the model of the shard queues.
+const QUEUE_DEPTH: f64 = 16.0;
 
-/// Routers before one shard that takes so much a second of one customer.
+/// The routers of one customer, and the shard's queue for it.
 struct CrowdedFleet {
     routers: Vec<AskThrottle>,
     customer: CustomerName,
-    taken_a_second: f64,
+    taken_per_second: f64,
     queue: f64,
     now: f64,
     random: ChaCha8Rng,
 }
 
-/// What came of the requests of a while.
+/// Counts of the requests of one span.
 #[derive(Debug, Default)]
 struct FlowOutcome {
     asked: u32,
     reached: u32,
     taken: u32,
-    /// Refused by a router though the shard had room.
-    wrongly: u32,
+    /// Requests refused by a router although the shard had room.
+    wrongly_refused: u32,
 }
 
 impl CrowdedFleet {
-    fn new(routers: usize, taken_a_second: f64) -> CrowdedFleet {
+    fn new(routers: usize, taken_per_second: f64) -> CrowdedFleet {
         CrowdedFleet {
             routers: vec![AskThrottle::default(); routers],
             customer: CustomerName::parse("coop-01").expect("a name"),
-            taken_a_second,
+            taken_per_second,
             queue: 0.0,
             now: 1.0,
             random: ChaCha8Rng::seed_from_u64(7),
         }
     }
 
-    /// Lets requests come evenly for a while, each to some router.
-    fn run(&mut self, asked_a_second: f64, seconds: f64) -> FlowOutcome {
+    /// Submits requests at an even rate for `seconds`, each at a random router.
+    fn run(&mut self, asked_per_second: f64, seconds: f64) -> FlowOutcome {
         let mut outcome = FlowOutcome::default();
         let end = self.now + seconds;
         while self.now < end {
-            self.now += 1.0 / asked_a_second;
-            self.queue = (self.queue - self.taken_a_second / asked_a_second).max(0.0);
-            self.ask(&mut outcome);
+            self.now += 1.0 / asked_per_second;
+            self.queue = (self.queue - self.taken_per_second / asked_per_second).max(0.0);
+            self.submit(&mut outcome);
         }
         outcome
     }
 
-    fn ask(&mut self, outcome: &mut FlowOutcome) {
+    fn submit(&mut self, outcome: &mut FlowOutcome) {
         let now = Moment((self.now * 1e6) as u64);
-        let place = self.random.random_range(0..self.routers.len());
+        let index = self.random.random_range(0..self.routers.len());
         let draw = self.random.random();
-        let has_room = self.queue + 1.0 <= DEPTH;
+        let has_room = self.queue + 1.0 <= QUEUE_DEPTH;
         outcome.asked += 1;
-        let router = &mut self.routers[place];
+        let router = &mut self.routers[index];
         if router.admit(now, &self.customer, draw).is_err() {
-            outcome.wrongly += u32::from(has_room);
+            outcome.wrongly_refused += u32::from(has_room);
             return;
         }
         outcome.reached += 1;
@@ -83,7 +83,7 @@
 #[test_case(30, 100.0, 1_200.0; "30 routers, twelve times the share")]
 #[test_case(295, 100.0, 3_500.0; "295 routers, 35 times the share")]
 #[test_case(600, 100.0, 8_000.0; "600 routers, 80 times the share")]
-fn a_flood_reaches_the_shard_in_part_and_its_queue_stays_full(routers: usize, taken: f64, asked: f64) {
+fn a_flood_is_throttled_while_the_queue_of_the_shard_stays_full(routers: usize, taken: f64, asked: f64) {
     let mut fleet = CrowdedFleet::new(routers, taken);
     fleet.run(asked, 2.0);
     let flood = fleet.run(asked, 5.0);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_customer_that_asks_for_little_more_than_its_share_gets_all_of_it() {
+fn a_customer_slightly_above_its_share_gets_all_of_its_share() {
     let mut fleet = CrowdedFleet::new(12, 100.0);
     fleet.run(130.0, 2.0);
     let flow = fleet.run(130.0, 10.0);
