--- a/crates/micaspool-fair/src/account.rs
+++ b/crates/micaspool-fair/src/account.rs
@@ -1,30 +1,30 @@
-//! What one customer has received in one shard.
+//! The service that one customer has received in one shard.
 
 use micaspool_types::{Cost, Weight};
 
-/// How many level units one unit of cost is at weight 1.
+/// Level units per unit of cost at weight 1.
 pub const LEVEL_SCALE: u64 = 1_024;
 
-/// Service received, divided by the customer's weight; see [`LEVEL_SCALE`].
+/// Service received, divided by the customer's weight, in units of 1/[`LEVEL_SCALE`].
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Debug, Hash)]
 pub struct ServiceLevel(pub u64);
 
 impl ServiceLevel {
-    /// The level that a cost adds for a customer of this weight.
+    /// Returns the level that a cost adds for a customer of this weight; `u64::MAX` if it does not fit.
     pub fn from_cost(cost: Cost, weight: Weight) -> ServiceLevel {
         let scaled = u128::from(cost.0) * u128::from(LEVEL_SCALE) / u128::from(weight.get());
         ServiceLevel(u64::try_from(scaled).unwrap_or(u64::MAX))
     }
 
-    /// The sum of two levels.
+    /// Returns the sum of two levels; `u64::MAX` if it does not fit.
     pub fn plus(self, other: ServiceLevel) -> ServiceLevel {
         ServiceLevel(self.0.saturating_add(other.0))
     }
 }
 
-/// The service that one customer has received, as policies see it.
+/// The service that one customer has received, from which policies compute its level.
 ///
-/// All sums count from the last [`ServiceAccount::rebase`]; what came before is in the base level.
+/// All sums count from the last [`ServiceAccount::rebase`]; earlier service is part of the base level.
 #[derive(Clone, Debug)]
 pub struct ServiceAccount {
     weight: Weight,
@@ -40,11 +40,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct RunningCharge {
     delivered: Cost,
-    rest: Cost,
+    remaining: Cost,
 }
 
 impl ServiceAccount {
-    /// An account that has received nothing.
+    /// Creates an account that has received no service.
     pub fn new(weight: Weight) -> ServiceAccount {
         ServiceAccount {
             weight,
@@ -62,7 +62,8 @@
         self.weight
     }
 
-    /// The level that stands for service before the current sums, and for idle time.
+    /// The level that covers service before the current sums, service received elsewhere and lifts after
+    /// idle time.
     pub fn base(&self) -> ServiceLevel {
         self.base
     }
@@ -72,12 +73,12 @@
         self.settled
     }
 
-    /// The cost delivered so far by requests that run.
+    /// The cost delivered so far by running requests.
     pub fn running_delivered(&self) -> Cost {
         self.running_delivered
     }
 
-    /// What running requests are estimated to cost beyond what they delivered.
+    /// The estimated cost that running requests have not delivered yet.
     pub fn running_remaining(&self) -> Cost {
         self.running_remaining
     }
@@ -92,14 +93,15 @@
         self.granted_count
     }
 
-    /// Charges a request that starts.
+    /// Charges the estimate of a request that starts.
     pub fn charge_grant(&mut self, estimate: Cost) {
         self.granted_count += 1;
         self.granted_estimate = self.granted_estimate.plus(estimate);
         self.running_remaining = self.running_remaining.plus(estimate);
     }
 
-    /// Charges a request that was found running after a recovery.
+    /// Charges a request that was found running after a recovery and has already delivered a part of its
+    /// cost.
     pub fn charge_recovered(&mut self, estimate: Cost, delivered: Cost) {
         let charge = RunningCharge::new(estimate, delivered);
         self.granted_count += 1;
@@ -107,26 +109,27 @@
         self.add_running(charge);
     }
 
-    /// Moves the charge of a running request from `before` to `after` units delivered.
+    /// Updates the charge of a running request whose delivered cost grows from `before` to `after`.
     pub fn charge_progress(&mut self, estimate: Cost, before: Cost, after: Cost) {
         self.remove_running(RunningCharge::new(estimate, before));
         self.add_running(RunningCharge::new(estimate, after));
     }
 
-    /// Replaces the charge of a running request by its real cost.
+    /// Replaces the charge of a running request by its actual cost.
     pub fn charge_end(&mut self, estimate: Cost, delivered: Cost, cost: Cost) {
         self.remove_running(RunningCharge::new(estimate, delivered));
         self.settled = self.settled.plus(cost);
     }
 
-    /// Takes back a grant whose request did not run.
+    /// Reverts the charge of a grant whose request did not run.
     pub fn revoke_grant(&mut self, estimate: Cost, delivered: Cost) {
         self.remove_running(RunningCharge::new(estimate, delivered));
         self.granted_count = self.granted_count.saturating_sub(1);
         self.granted_estimate = self.granted_estimate.minus(estimate);
     }
 
-    /// Raises the base so that the level is at least `floor`; `level` is the level without base.
+    /// Raises the base so that base and `level` together are at least `floor`; `level` is the level without
+    /// the base.
     pub fn lift(&mut self, level: ServiceLevel, floor: ServiceLevel) {
         let current = self.base.plus(level);
         if current < floor {
@@ -134,12 +137,12 @@
         }
     }
 
-    /// Raises the base by service that was received elsewhere.
+    /// Raises the base by service that the customer received from other shards.
     pub fn add_remote(&mut self, level: ServiceLevel) {
         self.base = self.base.plus(level);
     }
 
-    /// Starts new sums at a known level, with a new weight; running charges stay.
+    /// Restarts the sums at the level `base` with a new weight; the charges of running requests stay.
     pub fn rebase(&mut self, base: ServiceLevel, weight: Weight) {
         self.base = base;
         self.weight = weight;
@@ -150,17 +153,17 @@
 
     fn add_running(&mut self, charge: RunningCharge) {
         self.running_delivered = self.running_delivered.plus(charge.delivered);
-        self.running_remaining = self.running_remaining.plus(charge.rest);
+        self.running_remaining = self.running_remaining.plus(charge.remaining);
     }
 
     fn remove_running(&mut self, charge: RunningCharge) {
         self.running_delivered = self.running_delivered.minus(charge.delivered);
-        self.running_remaining = self.running_remaining.minus(charge.rest);
+        self.running_remaining = self.running_remaining.minus(charge.remaining);
     }
 }
 
 impl RunningCharge {
     fn new(estimate: Cost, delivered: Cost) -> RunningCharge {
-        RunningCharge { delivered, rest: estimate.minus(delivered) }
+        RunningCharge { delivered, remaining: estimate.minus(delivered) }
     }
 }
--- a/crates/micaspool-fair/src/gap.rs
+++ b/crates/micaspool-fair/src/gap.rs
@@ -2,23 +2,23 @@
 
 use micaspool_types::{Cost, HallMask, Weight};
 
-/// The largest gaps over one run, in units of cost at weight 1.
+/// The fairness gaps of one run, in units of cost at weight 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GapReport {
-    /// The largest gap of any pair over any time in which both were backlogged.
+    /// The largest gap of any pair over any span in which both were backlogged.
     pub largest: f64,
-    /// The 99th percentile of the gap over the sampled moments.
+    /// The 99th percentile of the sampled gaps.
     pub percentile_99: f64,
-    /// How many moments were sampled.
+    /// The number of samples.
     pub samples: usize,
 }
 
 /// Measures the fairness gap.
 ///
-/// For two customers with the same allowed data halls, over any span in which both wait without
-/// a break, the gap is the difference of the service that they received in that span, each
-/// divided by its weight. The meter follows, for each pair, the highest and lowest difference
-/// since both began to wait; the gap at a moment is the largest such spread over all pairs.
+/// For two customers with the same allowed data halls, over any span in which both wait without a break, the
+/// gap is the difference of the service that they received in that span, each divided by its weight. The
+/// meter tracks the highest and lowest difference of each pair since both began to wait; the current gap is
+/// the largest such spread over all pairs.
 #[derive(Debug)]
 pub struct GapMeter {
     customers: Vec<MeteredCustomer>,
@@ -29,6 +29,7 @@
 }
 
 #[derive(Debug)]
+/// A customer and its service, divided by its weight.
 struct MeteredCustomer {
     halls: HallMask,
     weight: f64,
@@ -37,13 +38,14 @@
 }
 
 #[derive(Clone, Copy, Debug)]
+/// The range of the difference of a pair's service since both began to wait.
 struct PairSpan {
     low: f64,
     high: f64,
 }
 
 impl GapMeter {
-    /// A meter for customers with these weights and allowed halls.
+    /// Creates a meter for customers with these weights and allowed halls.
     pub fn new(customers: &[(Weight, HallMask)]) -> GapMeter {
         let metered = customers.iter().map(|(weight, halls)| MeteredCustomer {
             halls: *halls,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Says whether a customer has waiting work from now on.
+    /// Sets whether a customer has waiting requests from now on.
     pub fn set_waiting(&mut self, customer: usize, waiting: bool) {
         if self.customers[customer].waiting == waiting {
             return;
@@ -71,8 +73,8 @@
             let (low, high) = (customer.min(other), customer.max(other));
             let start = self.difference(low, high);
             let span = (both && other != customer).then_some(PairSpan { low: start, high: start });
-            let slot = self.slot(low, high);
-            self.spans[slot] = span;
+            let pair_index = self.pair_index(low, high);
+            self.spans[pair_index] = span;
         }
     }
 
@@ -83,8 +85,8 @@
         for other in 0..self.customers.len() {
             let (low, high) = (customer.min(other), customer.max(other));
             let difference = self.difference(low, high);
-            let slot = self.slot(low, high);
-            if let Some(span) = &mut self.spans[slot] {
+            let pair_index = self.pair_index(low, high);
+            if let Some(span) = &mut self.spans[pair_index] {
                 span.low = span.low.min(difference);
                 span.high = span.high.max(difference);
                 self.current = self.current.max(span.high - span.low);
@@ -93,14 +95,14 @@
         self.largest = self.largest.max(self.current);
     }
 
-    /// Samples the gap of this moment for the percentile.
+    /// Adds the current gap to the samples.
     pub fn sample(&mut self) {
         let spreads = self.spans.iter().flatten().map(|span| span.high - span.low);
         self.current = spreads.fold(0.0, f64::max);
         self.samples.push(self.current);
     }
 
-    /// The gaps so far.
+    /// Returns the gaps measured so far.
     pub fn report(&self) -> GapReport {
         let mut sorted = self.samples.clone();
         sorted.sort_by(f64::total_cmp);
@@ -120,7 +122,7 @@
         self.customers[low].received - self.customers[high].received
     }
 
-    fn slot(&self, low: usize, high: usize) -> usize {
+    fn pair_index(&self, low: usize, high: usize) -> usize {
         low * self.customers.len() + high
     }
 }
--- a/crates/micaspool-fair/src/index.rs
+++ b/crates/micaspool-fair/src/index.rs
@@ -1,17 +1,17 @@
-//! The waiting customers in rank order, for each set of data halls that they may use.
+//! Waiting customers in rank order, grouped by the data halls that they may use.
 
 use crate::policy::Rank;
 use micaspool_types::HallMask;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The position of a customer in its shard's list.
+/// The index of a customer in its shard's list.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct CustomerIndex(pub u32);
 
 /// Backlogged customers by placement and rank.
 ///
-/// Customers with the same halls share one ordered set, so that a search looks only at as many
-/// sets as there are different placements.
+/// Customers with the same halls form one ordered set, so that a search visits only as many sets as there
+/// are different placements.
 #[derive(Debug, Default)]
 pub struct RankIndex {
     classes: BTreeMap<HallMask, BTreeSet<(Rank, CustomerIndex)>>,
@@ -23,7 +23,7 @@
         self.classes.entry(halls).or_default().insert((rank, customer));
     }
 
-    /// Removes a customer that was added with the same halls and rank.
+    /// Removes a customer that was inserted with the same halls and rank.
     pub fn remove(&mut self, halls: HallMask, rank: Rank, customer: CustomerIndex) {
         if let Some(class) = self.classes.get_mut(&halls) {
             class.remove(&(rank, customer));
@@ -33,14 +33,14 @@
         }
     }
 
-    /// The lowest rank of the customers that may use one of `halls`.
+    /// Returns the lowest rank among the customers that may use one of `halls`.
     pub fn lowest_rank(&self, halls: HallMask) -> Option<Rank> {
-        let sharing = self.classes.iter().filter(|(class, _)| !class.intersect(halls).is_empty());
-        sharing.filter_map(|(_, class)| class.first()).map(|(rank, _)| *rank).min()
+        let usable = self.classes.iter().filter(|(class, _)| !class.intersect(halls).is_empty());
+        usable.filter_map(|(_, class)| class.first()).map(|(rank, _)| *rank).min()
     }
 
-    /// Offers the customers that may use one of `free` to `choose`, lowest rank first, until it
-    /// takes one.
+    /// Passes the customers that may use one of `free` to `choose`, lowest rank first, and returns its first
+    /// choice.
     pub fn find<T>(&self, free: HallMask, mut choose: impl FnMut(CustomerIndex) -> Option<T>) -> Option<T> {
         let usable = self.classes.iter().filter(|(halls, _)| !halls.intersect(free).is_empty());
         let mut cursors: Vec<ClassCursor<'_>> =
@@ -57,13 +57,13 @@
         }
     }
 
-    /// True when a customer that may use one of `free` waits.
+    /// Returns true if a waiting customer may use one of `free`.
     pub fn has_usable_customer(&self, free: HallMask) -> bool {
         self.classes.keys().any(|halls| !halls.intersect(free).is_empty())
     }
 }
 
-/// A position in one class during a search.
+/// The position of a search in one placement class.
 struct ClassCursor<'a> {
     entry: (Rank, CustomerIndex),
     rest: std::collections::btree_set::Iter<'a, (Rank, CustomerIndex)>,
--- a/crates/micaspool-fair/src/lib.rs
+++ b/crates/micaspool-fair/src/lib.rs
@@ -1,12 +1,12 @@
-//! In what order waiting customers are served: accounts, estimates, policies and the gap measure.
+//! The order in which waiting customers are served: accounts, cost estimates, policies and the fairness gap.
 //!
-//! * [`ServiceAccount`] holds what one customer has received in one shard,
-//! * [`CostEstimator`] predicts what a request will cost,
-//! * [`OrderPolicy`] ranks customers; [`policies`] has ours and the baselines,
+//! * [`ServiceAccount`] records the service that one customer has received in one shard,
+//! * [`CostEstimator`] predicts the cost of a request,
+//! * [`OrderPolicy`] ranks customers; [`policies`] contains the default policy and the baselines,
 //! * [`RankIndex`] finds the lowest rank among the customers that may use a free data hall,
 //! * [`GapMeter`] measures the fairness gap between backlogged customers.
 //!
-//! Everything here is free of I/O and clocks.
+//! The crate performs no I/O and reads no clock.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-fair/src/policy/arrival.rs
+++ b/crates/micaspool-fair/src/policy/arrival.rs
@@ -1,9 +1,9 @@
-//! Baseline: the request that came first runs first.
+//! Baseline: first come, first served.
 
 use super::{HeadTicket, OrderPolicy, Rank};
 use crate::account::{ServiceAccount, ServiceLevel};
 
-/// Serves requests in the order of their arrival, whoever sent them.
+/// Serves requests in order of arrival, regardless of their customer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ArrivalOrder;
 
--- a/crates/micaspool-fair/src/policy/counters.rs
+++ b/crates/micaspool-fair/src/policy/counters.rs
@@ -1,16 +1,16 @@
-//! Service counters: the customer that received least for its weight is served next.
+//! Service counters: the customer with the least service for its weight is served next.
 
 use super::OrderPolicy;
 use crate::account::{ServiceAccount, ServiceLevel};
 use micaspool_types::Cost;
 
-/// The part of a running request's estimated rest that is charged beforehand, in percent.
+/// The part of a running request's estimated remaining cost that is charged in advance, in percent.
 const DEFAULT_REMAINING_PERCENT: u64 = 10;
 
-/// Charges what was delivered so far and a part of what running requests still need.
+/// Charges the delivered cost and a part of the estimated remaining cost of running requests.
 ///
-/// Charging all of the estimated rest beforehand makes the gap follow the errors of the
-/// estimate; charging none of it grants too many requests at once to a customer that starts.
+/// Charging all of the remaining cost in advance makes the gap follow the errors of the estimate; charging
+/// none of it grants too many requests at once to a customer that starts.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressCounters {
     remaining_percent: u64,
@@ -23,7 +23,8 @@
 }
 
 impl ProgressCounters {
-    /// Counters that charge this part of the estimated rest, 0 to 100 percent.
+    /// Creates counters that charge this part of the estimated remaining cost in advance; at most 100
+    /// percent.
     pub fn with_remaining_percent(remaining_percent: u64) -> Self {
         ProgressCounters { remaining_percent: remaining_percent.min(100) }
     }
@@ -35,13 +36,13 @@
     }
 
     fn level(&self, account: &ServiceAccount) -> ServiceLevel {
-        let rest = Cost(account.running_remaining().0.saturating_mul(self.remaining_percent) / 100);
-        let charged = account.settled().plus(account.running_delivered()).plus(rest);
+        let remaining = Cost(account.running_remaining().0.saturating_mul(self.remaining_percent) / 100);
+        let charged = account.settled().plus(account.running_delivered()).plus(remaining);
         ServiceLevel::from_cost(charged, account.weight())
     }
 }
 
-/// Charges the whole estimate at the grant and corrects it at the end.
+/// Charges the whole estimate at the grant and replaces it by the actual cost at the end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EstimateCounters;
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// Charges a request when it ends.
+/// Charges the actual cost of a request when it ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SettledCounters;
 
--- a/crates/micaspool-fair/src/policy/mod.rs
+++ b/crates/micaspool-fair/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Which waiting customer is served next.
+//! Policies that decide which waiting customer is served next.
 
 mod arrival;
 mod counters;
@@ -9,42 +9,42 @@
 use std::fmt::Debug;
 use std::sync::Arc;
 
-/// The position of a customer among those that wait; the lowest is served next.
+/// The rank of a waiting customer; the lowest is served next.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Debug, Hash)]
 pub struct Rank(pub u64);
 
-/// What a policy may know of the first waiting request of a customer.
+/// What a policy is told of the first waiting request of a customer.
 #[derive(Clone, Copy, Debug)]
 pub struct HeadTicket {
-    /// Its place in the arrival order of the shard.
+    /// Its position in the shard's arrival order.
     pub order: OrderNumber,
 }
 
-/// Ranks customers from their accounts.
+/// Ranks customers by their accounts.
 pub trait OrderPolicy: Debug + Send + Sync {
-    /// The name by which settings and reports select the policy.
+    /// The name that selects the policy in settings and reports.
     fn name(&self) -> &'static str;
 
-    /// The level of an account without its base.
+    /// Returns the level of an account without its base.
     fn level(&self, account: &ServiceAccount) -> ServiceLevel;
 
-    /// The rank of a customer that waits.
+    /// Returns the rank of a waiting customer.
     fn rank(&self, account: &ServiceAccount, head: HeadTicket) -> Rank {
         let _ = head;
         Rank(account.base().plus(self.level(account)).0)
     }
 
-    /// True when a customer that comes back from idle time starts at the lowest level of those
-    /// that wait.
+    /// Returns true if the level of a customer that returns from idle time is raised to those of waiting or
+    /// recently served customers.
     fn lifts_returning(&self) -> bool {
         true
     }
 }
 
-/// The names that [`policy_named`] knows, ours first.
+/// The names that [`policy_named`] accepts, the default policy first.
 pub const POLICY_NAMES: &[&str] = &["progress", "estimate", "hint", "settled", "rounds", "arrival"];
 
-/// The policy with this name.
+/// Returns the policy with this name, or `None` if there is none.
 pub fn policy_named(name: &str) -> Option<Arc<dyn OrderPolicy>> {
     let policy: Arc<dyn OrderPolicy> = match name {
         "progress" => Arc::new(counters::ProgressCounters::default()),
@@ -58,7 +58,7 @@
     Some(policy)
 }
 
-/// The policies by type, for those that embed this crate.
+/// The policy types, for users that construct policies directly.
 pub mod policies {
     pub use super::arrival::ArrivalOrder;
     pub use super::counters::{EstimateCounters, HintCounters, ProgressCounters, SettledCounters};
--- a/crates/micaspool-fair/src/policy/rounds.rs
+++ b/crates/micaspool-fair/src/policy/rounds.rs
@@ -1,10 +1,10 @@
-//! Baseline: customers take turns, request by request.
+//! Baseline: customers take turns, one request at a time.
 
 use super::OrderPolicy;
 use crate::account::{ServiceAccount, ServiceLevel};
 use micaspool_types::Cost;
 
-/// Weighted round robin over requests, whatever they cost.
+/// Weighted round robin over requests, regardless of their cost.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestRounds;
 
--- a/crates/micaspool-fair/tests/policies.rs
+++ b/crates/micaspool-fair/tests/policies.rs
@@ -1,4 +1,4 @@
-//! Accounts, estimates, ranks and the gap measure.
+//! Tests of accounts, cost estimates, ranks and the fairness gap.
 
 use micaspool_fair::{
     policy_named, CostEstimator, CustomerIndex, GapMeter, HeadTicket, Rank, RankIndex, ServiceAccount,
@@ -9,16 +9,16 @@
 use test_case::test_case;
 
 fn weight(value: u32) -> Weight {
-    Weight::new(value).expect("above zero")
+    Weight::new(value).expect("weight is positive")
 }
 
-#[test_case("progress", 100 + 10; "a tenth of the rest is charged beforehand")]
-#[test_case("estimate", 200; "the whole estimate is charged beforehand")]
-#[test_case("hint", 200; "the estimate at the grant")]
-#[test_case("settled", 0; "nothing before the end")]
-#[test_case("rounds", 1; "one request")]
-fn what_a_running_request_is_charged(policy: &str, units: u64) {
-    let policy = policy_named(policy).expect("a known policy");
+#[test_case("progress", 100 + 10; "a tenth of the remaining cost is charged in advance")]
+#[test_case("estimate", 200; "the whole estimate is charged in advance")]
+#[test_case("hint", 200; "the estimate is charged at the grant")]
+#[test_case("settled", 0; "nothing is charged before the end")]
+#[test_case("rounds", 1; "one request is counted")]
+fn a_running_request_is_charged_by_its_policy(policy: &str, units: u64) {
+    let policy = policy_named(policy).expect("known policy");
     let mut account = ServiceAccount::new(Weight::ONE);
     account.charge_grant(Cost(200));
     account.charge_progress(Cost(200), Cost(0), Cost(100));
@@ -26,23 +26,23 @@
 }
 
 #[test]
-fn every_named_policy_exists_and_keeps_its_name() {
+fn every_policy_name_resolves_to_its_policy() {
     for name in POLICY_NAMES {
-        assert_eq!(policy_named(name).expect("it exists").name(), *name);
+        assert_eq!(policy_named(name).expect("known policy").name(), *name);
     }
     assert!(policy_named("other").is_none());
 }
 
 #[test]
 fn arrival_order_ranks_by_arrival() {
-    let policy = policy_named("arrival").expect("it exists");
+    let policy = policy_named("arrival").expect("known policy");
     let account = ServiceAccount::new(Weight::ONE);
     assert_eq!(policy.rank(&account, HeadTicket { order: OrderNumber(7) }), Rank(7));
 }
 
 #[test]
-fn a_revoked_grant_leaves_no_trace() {
-    let policy = policy_named("estimate").expect("it exists");
+fn a_revoked_grant_leaves_no_charge() {
+    let policy = policy_named("estimate").expect("known policy");
     let mut account = ServiceAccount::new(weight(2));
     account.charge_grant(Cost(50));
     account.charge_progress(Cost(50), Cost(0), Cost(20));
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn a_lift_raises_and_never_lowers() {
-    let policy = policy_named("settled").expect("it exists");
+fn a_lift_never_lowers_a_level() {
+    let policy = policy_named("settled").expect("known policy");
     let mut account = ServiceAccount::new(Weight::ONE);
     account.charge_grant(Cost(5));
     account.charge_end(Cost(5), Cost(0), Cost(5));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn estimates_follow_what_requests_cost() {
+fn estimates_follow_actual_costs() {
     let mut estimator = CostEstimator::new(Cost(1_000));
     assert_eq!(estimator.predict(Cost(40)), Cost(40));
     for _ in 0..50 {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_gap_counts_only_while_both_wait() {
+fn the_gap_counts_only_service_while_both_customers_wait() {
     let mut meter =
         GapMeter::new(&[(weight(1), HallMask(1)), (weight(2), HallMask(1)), (weight(1), HallMask(2))]);
     meter.record_service(0, Cost(1_000));
@@ -122,7 +122,7 @@
         steps in proptest::collection::vec(1u64..100, 0..10),
         cost in 1u64..2_000,
     ) {
-        let policy = policy_named("progress").expect("it exists");
+        let policy = policy_named("progress").expect("known policy");
         let mut account = ServiceAccount::new(Weight::ONE);
         account.charge_grant(Cost(estimate));
         let mut delivered = 0;
