--- a/crates/micaspool-dispatch/src/shard/level_floor.rs
+++ b/crates/micaspool-dispatch/src/shard/level_floor.rs
@@ -21,7 +21,7 @@
     /// Raises the level of a waiting customer that lags too far behind. A customer with recent refusals
     /// is treated as if it had been waiting all along, and may lag further than one that was idle.
     pub(super) fn raise_to_floor(&mut self, now: Moment, customer: CustomerIndex) {
-        if !self.options.policy.lifts() || self.recovering_until.is_some() {
+        if !self.options.policy.lifts_returning() || self.recovering_until.is_some() {
             return;
         }
         let state = self.customers.get(customer);
@@ -47,7 +47,7 @@
             return begins.then(|| self.floor_for(state.halls)).flatten().map(|floor| ServiceLevel(floor.0));
         }
         let credits = if refused_recently { REFUSED_CREDITS } else { 1 };
-        let credit = ServiceLevel::of(Cost(self.idle_credit.0 * credits), state.account.weight());
+        let credit = ServiceLevel::from_cost(Cost(self.idle_credit.0 * credits), state.account.weight());
         let lag = credit.min(self.catch_up_limit(now));
         let served = self.highest_served(state.halls)?;
         Some(ServiceLevel(served.0.saturating_sub(lag.0)))
--- a/crates/micaspool-dispatch/src/shard/sharing.rs
+++ b/crates/micaspool-dispatch/src/shard/sharing.rs
@@ -66,8 +66,8 @@
         for increase in self.remote.increase(totals) {
             let customer = self.customers.ensure(&increase.customer);
             let state = self.customers.get_mut(customer);
-            let level = ServiceLevel::of(increase.served.min(max_raise), state.account.weight());
-            state.account.raise(level);
+            let level = ServiceLevel::from_cost(increase.served.min(max_raise), state.account.weight());
+            state.account.add_remote(level);
             self.reindex(customer);
         }
     }
