--- a/crates/micaspool-gateway/src/dialect.rs
+++ b/crates/micaspool-gateway/src/dialect.rs
@@ -29,7 +29,7 @@
     /// The tokens of the whole prompt.
     pub prompt_tokens: u64,
     /// The most tokens that the answer may have.
-    pub most_output_tokens: u64,
+    pub max_output_tokens: u64,
     /// The parts in their order.
     pub parts: Vec<PromptPart>,
 }
@@ -49,7 +49,7 @@
 
 /// What is told to an endpoint with a request.
 #[derive(Clone, Debug)]
-pub struct SendOrder<'a> {
+pub struct ForwardContext<'a> {
     /// The caller's name for its attempt.
     pub id: &'a str,
     /// The endpoint that shall run the request, and no other at its address.
@@ -57,7 +57,7 @@
     /// The customer; `None` on public routes.
     pub customer: Option<&'a CustomerName>,
     /// The time left until nobody waits any more.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The last event that the caller has; set to go on with a stream that broke.
     pub last_event: Option<&'a str>,
 }
@@ -68,7 +68,7 @@
     /// It has no room, or the deadline passed while the request waited there.
     Full,
     /// Another endpoint has the address now.
-    OtherEndpoint,
+    WrongEndpoint,
     /// It did not understand the request.
     Malformed,
 }
@@ -81,20 +81,20 @@
     /// The endpoint says that the request did not run.
     NotRun(NotRunReason),
     /// It answers another request.
-    Foreign,
+    WrongRequest,
     /// It lacks what every whole answer of an endpoint has.
-    Unproven,
+    Unverified,
 }
 
 impl AnswerVerdict {
     /// True when the answer is the word of the endpoint that was asked, of whatever use it is otherwise.
     pub fn is_of_asked(self) -> bool {
-        !matches!(self, AnswerVerdict::Foreign | AnswerVerdict::NotRun(NotRunReason::OtherEndpoint))
+        !matches!(self, AnswerVerdict::WrongRequest | AnswerVerdict::NotRun(NotRunReason::WrongEndpoint))
     }
 }
 
 /// True for a status by which an endpoint turns a request away; `Retry-After` beside it is meant for whoever asked.
-pub fn turns_away(status: StatusCode) -> bool {
+pub fn is_rejection_status(status: StatusCode) -> bool {
     matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
 }
 
@@ -106,17 +106,17 @@
 /// How callers and endpoints speak.
 pub trait GatewayDialect: fmt::Debug + Send + Sync + 'static {
     /// Reads what a caller says of its request.
-    fn read(&self, head: &request::Parts) -> Result<CallerHead, Refusal>;
+    fn read_head(&self, head: &request::Parts) -> Result<CallerHead, Refusal>;
 
     /// The answer to a caller whose request is refused.
     fn refuse(&self, id: Option<&str>, refusal: &Refusal) -> Response<EdgeBody>;
 
     /// Changes a caller's headers into those that an endpoint gets. Headers that concern a single
     /// connection are gone already.
-    fn prepare(&self, headers: &mut HeaderMap, order: &SendOrder<'_>);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, order: &ForwardContext<'_>);
 
     /// What the head of an endpoint's answer means.
-    fn judge(&self, head: &response::Parts, id: &str) -> AnswerVerdict;
+    fn classify_answer(&self, head: &response::Parts, id: &str) -> AnswerVerdict;
 
     /// What the head of an endpoint's answer says of the endpoint itself.
     fn advice(&self, head: &response::Parts) -> HeardAdvice;
--- a/crates/micaspool-gateway/src/lib.rs
+++ b/crates/micaspool-gateway/src/lib.rs
@@ -20,8 +20,8 @@
 
 pub use daemon::{start_gateway, GatewayDaemon, GatewayOptions, GatewayOptionsBuilder};
 pub use dialect::{
-    header_text, header_texts, turns_away, AnswerVerdict, CallerHead, GatewayDialect, NotRunReason,
-    PromptOutline, PromptPart, SendOrder,
+    header_text, header_texts, is_rejection_status, AnswerVerdict, CallerHead, ForwardContext,
+    GatewayDialect, NotRunReason, PromptOutline, PromptPart,
 };
 pub use events::{EventSplitter, SplitChunk};
 pub use metrics::GatewayMetrics;
--- a/crates/micaspool-gateway/src/native.rs
+++ b/crates/micaspool-gateway/src/native.rs
@@ -1,8 +1,8 @@
 //! The product's own headers.
 
 use crate::dialect::{
-    header_text, header_texts, turns_away, AnswerVerdict, CallerHead, GatewayDialect, NotRunReason,
-    PromptOutline, PromptPart, SendOrder,
+    header_text, header_texts, is_rejection_status, AnswerVerdict, CallerHead, ForwardContext,
+    GatewayDialect, NotRunReason, PromptOutline, PromptPart,
 };
 use http::header::{HeaderName, HeaderValue, AUTHORIZATION, CONTENT_TYPE, RETRY_AFTER};
 use http::{request, response, HeaderMap, Response};
@@ -31,18 +31,18 @@
 fn read_prompt(value: &str) -> Option<PromptOutline> {
     let mut fields = value.split(',').map(str::trim);
     let prompt_tokens = fields.next()?.parse().ok()?;
-    let most_output_tokens = fields.next()?.parse().ok()?;
+    let max_output_tokens = fields.next()?.parse().ok()?;
     let mut prefix = 0;
     let parts = fields.map_while(|field| {
         let (id, tokens) = field.split_once(':')?;
         prefix = stable_hash(u64::to_be_bytes(prefix).into_iter().chain(id.bytes()));
         Some(PromptPart { prefix, tokens: tokens.parse().ok()? })
     });
-    Some(PromptOutline { prompt_tokens, most_output_tokens, parts: parts.collect() })
+    Some(PromptOutline { prompt_tokens, max_output_tokens, parts: parts.collect() })
 }
 
 impl GatewayDialect for NativeDialect {
-    fn read(&self, head: &request::Parts) -> Result<CallerHead, Refusal> {
+    fn read_head(&self, head: &request::Parts) -> Result<CallerHead, Refusal> {
         let headers = &head.headers;
         let id =
             header_text(headers, &ID).map_or_else(|| RequestId(rand::random()).to_string(), str::to_owned);
@@ -75,10 +75,10 @@
         response.body(whole_body(body.to_string())).expect("the headers are valid")
     }
 
-    fn prepare(&self, headers: &mut HeaderMap, order: &SendOrder<'_>) {
+    fn rewrite_headers(&self, headers: &mut HeaderMap, order: &ForwardContext<'_>) {
         headers.remove(AUTHORIZATION);
         headers.remove(CUSTOMER);
-        let millis = order.left.as_millis().to_string();
+        let millis = order.time_left.as_millis().to_string();
         let customer = order.customer.map(|customer| (CUSTOMER, customer.as_str()));
         let event = order.last_event.map(|event| (LAST_EVENT, event));
         let own = [(ID, order.id), (ENDPOINT, order.endpoint.as_str()), (PATIENCE, millis.as_str())];
@@ -89,23 +89,23 @@
         }
     }
 
-    fn judge(&self, head: &response::Parts, id: &str) -> AnswerVerdict {
+    fn classify_answer(&self, head: &response::Parts, id: &str) -> AnswerVerdict {
         let said = header_text(&head.headers, &ID);
         if said.is_some_and(|said| said != id) {
-            return AnswerVerdict::Foreign;
+            return AnswerVerdict::WrongRequest;
         }
         match (header_text(&head.headers, &RUN), head.status.as_u16()) {
-            (Some("not-run"), 421) => AnswerVerdict::NotRun(NotRunReason::OtherEndpoint),
+            (Some("not-run"), 421) => AnswerVerdict::NotRun(NotRunReason::WrongEndpoint),
             (Some("not-run"), 400) => AnswerVerdict::NotRun(NotRunReason::Malformed),
             (Some("not-run"), _) => AnswerVerdict::NotRun(NotRunReason::Full),
-            (None, _) if said.is_none() => AnswerVerdict::Unproven,
+            (None, _) if said.is_none() => AnswerVerdict::Unverified,
             _ => AnswerVerdict::Answer,
         }
     }
 
     fn advice(&self, head: &response::Parts) -> HeardAdvice {
         let times = header_texts(&head.headers, &RETRY_AFTER);
-        let mut heard = HeardAdvice::read(turns_away(head.status), times, false);
+        let mut heard = HeardAdvice::read(is_rejection_status(head.status), times, false);
         // Its next start has the same name, so leaving can't be final here.
         if header_text(&head.headers, &DRAINING) == Some("true") {
             heard.advice.rest = heard.advice.rest.max(DRAINING_REST);
--- a/crates/micaspool-gateway/src/path/attempt.rs
+++ b/crates/micaspool-gateway/src/path/attempt.rs
@@ -4,7 +4,7 @@
 use super::headers::{request_headers, strip_single_hop};
 use super::target::CallTarget;
 use super::{Gateway, TakenCall, RETRY_AFTER};
-use crate::dialect::{AnswerVerdict, SendOrder};
+use crate::dialect::{AnswerVerdict, ForwardContext};
 use crate::relay::{relay_body, AnswerRelay, EventMeter};
 use crate::trail::RequestTrail;
 use http::{response, Request, Response, Uri};
@@ -229,7 +229,7 @@
     fn ticket(&self) -> RequestTicket {
         let prompt = self.call.caller.prompt.as_ref();
         let tokens = prompt.map_or(0, |prompt| prompt.prompt_tokens);
-        let hint = prompt.map_or(1, |prompt| prompt.prompt_tokens + prompt.most_output_tokens);
+        let hint = prompt.map_or(1, |prompt| prompt.prompt_tokens + prompt.max_output_tokens);
         let parts = prompt.map(|prompt| prompt.parts.as_slice()).unwrap_or_default();
         RequestTicket {
             request: self.request,
@@ -268,22 +268,22 @@
         last_event: Option<&str>,
     ) -> Result<UsableAnswer, SendFailure> {
         let parts = &gateway.shared.parts;
-        let left = self.deadline.saturating_duration_since(BootInstant::now());
-        let order = SendOrder {
+        let time_left = self.deadline.saturating_duration_since(BootInstant::now());
+        let order = ForwardContext {
             id: &self.call.caller.id,
             endpoint: &endpoint.identity,
             customer: self.target.customer.as_ref(),
-            left,
+            time_left,
             last_event,
         };
         let request = self.build(gateway, &order);
         lease.mark_sent();
         let may_send = || parts.advice.may_send(&endpoint.name) && !parts.mirror.is_evacuated(&endpoint.hall);
-        let sent = timeout(left, parts.pool.send_while(endpoint.address, request, may_send)).await;
+        let sent = timeout(time_left, parts.pool.send_while(endpoint.address, request, may_send)).await;
         let failure = match sent {
             Ok(Ok(response)) => {
                 let (head, body) = response.into_parts();
-                let verdict = parts.dialect.judge(&head, &self.call.caller.id);
+                let verdict = parts.dialect.classify_answer(&head, &self.call.caller.id);
                 if verdict.is_of_asked() {
                     self.heed(gateway, endpoint, &head);
                 }
@@ -326,10 +326,10 @@
         gateway.shard(&endpoint.service).advise(advice);
     }
 
-    fn build(&self, gateway: &Gateway, order: &SendOrder<'_>) -> Request<Full<bytes::Bytes>> {
+    fn build(&self, gateway: &Gateway, order: &ForwardContext<'_>) -> Request<Full<bytes::Bytes>> {
         let head = &self.call.head;
         let mut headers = request_headers(&head.headers);
-        gateway.shared.parts.dialect.prepare(&mut headers, order);
+        gateway.shared.parts.dialect.rewrite_headers(&mut headers, order);
         let mut request = Request::new(Full::new(self.call.body.clone()));
         *request.method_mut() = head.method.clone();
         *request.uri_mut() = origin_form(&head.uri);
--- a/crates/micaspool-gateway/src/path/failure.rs
+++ b/crates/micaspool-gateway/src/path/failure.rs
@@ -47,12 +47,14 @@
     pub fn of_answer(verdict: AnswerVerdict, status: StatusCode) -> SendFailure {
         let (kind, fate, not_run) = match verdict {
             AnswerVerdict::NotRun(NotRunReason::Full) => ("full", GrantFate::Refused, true),
-            AnswerVerdict::NotRun(NotRunReason::OtherEndpoint) => {
+            AnswerVerdict::NotRun(NotRunReason::WrongEndpoint) => {
                 ("other-endpoint", GrantFate::Draining, true)
             }
             AnswerVerdict::NotRun(NotRunReason::Malformed) => ("malformed", GrantFate::Unsent, true),
-            AnswerVerdict::Foreign => ("foreign-answer", GrantFate::Broken, false),
-            AnswerVerdict::Unproven | AnswerVerdict::Answer => ("unproven-answer", GrantFate::Broken, false),
+            AnswerVerdict::WrongRequest => ("foreign-answer", GrantFate::Broken, false),
+            AnswerVerdict::Unverified | AnswerVerdict::Answer => {
+                ("unproven-answer", GrantFate::Broken, false)
+            }
         };
         SendFailure { fate, kind, cause: format!("status {status}"), not_run, arrived: true }
     }
--- a/crates/micaspool-gateway/src/path/mod.rs
+++ b/crates/micaspool-gateway/src/path/mod.rs
@@ -182,7 +182,7 @@
         let arrived = BootInstant::now();
         let (head, body) = request.into_parts();
         let parts = &self.shared.parts;
-        match parts.dialect.read(&head) {
+        match parts.dialect.read_head(&head) {
             Ok(caller) => {
                 let trail = RequestTrail::new(parts.metrics.clone(), caller.id.clone(), arrived);
                 self.take(head, caller, body, trail).await
@@ -196,7 +196,7 @@
     }
     async fn refuse(&self, head: request::Parts) -> Response<EdgeBody> {
         let parts = &self.shared.parts;
-        let id = parts.dialect.read(&head).ok().map(|caller| caller.id);
+        let id = parts.dialect.read_head(&head).ok().map(|caller| caller.id);
         let refusal = Refusal::not_run(RefusalKind::TooManyConnections).after(RETRY_AFTER);
         let name = id.clone().unwrap_or_else(|| Arc::from("unread"));
         RequestTrail::new(parts.metrics.clone(), name, BootInstant::now()).refuse(&refusal);
