--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -3,7 +3,7 @@
 use crate::dialect::GatewayDialect;
 use crate::metrics::GatewayMetrics;
 use crate::native::NativeDialect;
-use crate::path::{Gateway, GatewayParts};
+use crate::proxy::{Gateway, GatewayParts};
 use async_std::task;
 use micaspool_backpressure::AdviceBoard;
 use micaspool_client::{AddressNamed, FleetMirror, FleetMirrorOptions, PeerDirectory, ENDPOINT_LIFE};
@@ -28,21 +28,21 @@
 use std::time::Duration;
 
 /// How often resting connections are looked at.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long balancers may need to notice that a gateway stops: two questions a second apart, and the
 /// answer. What comes later would have too little time left.
-const NOTICE_TIME: Duration = Duration::from_millis(2_600);
+const DRAIN_NOTICE: Duration = Duration::from_millis(2_600);
 
 /// What a gateway uses without any caller, in bytes; 13 MB were measured on the users' small sites.
-const BASE_BYTES: u64 = 30_000_000;
+const BASELINE_BYTES: u64 = 30_000_000;
 /// What a caller's connection takes with its request and the endpoint's connection, in bytes. A gateway
 /// with 3,900 descriptors, so some 3,000 callers, was measured at 127 MB on the grown milk site, and one
 /// over 160 MB; half of them may hold a long body that is not read yet.
 const CONNECTION_BYTES: u64 = 55_000;
 /// One connection of so many is kept for callers that are refused at once; it is free again after a round trip.
-const REFUSED_PART: usize = 16;
+const REFUSED_DIVISOR: usize = 16;
 /// The least number of callers that are accepted, however little memory there is.
-const FEWEST_CONNECTIONS: usize = 64;
+const MIN_CONNECTIONS: usize = 64;
 
 /// What a gateway runs with; made by [`GatewayOptions::builder`].
 #[derive(Debug, Clone)]
@@ -71,13 +71,13 @@
 impl GatewayOptions {
     /// Options of a gateway on this instance.
     pub fn builder(instance: InstanceName, hall: HallName, region: RegionName) -> GatewayOptionsBuilder {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let options = GatewayOptions {
             instance,
             hall,
             region,
-            callers: any,
-            status: vec![any],
+            callers: loopback,
+            status: vec![loopback],
             seeds: Vec::new(),
             keepers: Arc::new(AddressNamed { port: 7_400 }),
             dispatchers: Arc::new(AddressNamed { port: 7_401 }),
@@ -147,11 +147,11 @@
 
     /// How much memory the process may use, in bytes: as many callers are accepted as fit into it.
     pub fn memory(mut self, bytes: u64) -> Self {
-        let fitting = usize::try_from(bytes.saturating_sub(BASE_BYTES) / CONNECTION_BYTES);
-        let most = EdgeOptions::default().connections;
-        let all = fitting.unwrap_or(most).clamp(FEWEST_CONNECTIONS, most);
-        self.options.edge.refused = all / REFUSED_PART;
-        self.options.edge.connections = all - self.options.edge.refused;
+        let affordable = usize::try_from(bytes.saturating_sub(BASELINE_BYTES) / CONNECTION_BYTES);
+        let maximum = EdgeOptions::default().connections;
+        let total = affordable.unwrap_or(maximum).clamp(MIN_CONNECTIONS, maximum);
+        self.options.edge.refused = total / REFUSED_DIVISOR;
+        self.options.edge.connections = total - self.options.edge.refused;
         self
     }
 
@@ -186,7 +186,7 @@
         self.server.drain();
         let now = BootInstant::now();
         let latest = now + limit;
-        self.server.drained(now + NOTICE_TIME.min(limit), latest).await
+        self.server.drained(now + DRAIN_NOTICE.min(limit), latest).await
     }
 }
 
@@ -203,7 +203,7 @@
         endpoint_life: ENDPOINT_LIFE,
     });
     let spans = SpanSink::default();
-    let own_dispatcher = FleetDispatcher::new(FleetDispatcherOptions {
+    let local_dispatcher = FleetDispatcher::new(FleetDispatcherOptions {
         region: options.region.clone(),
         incarnation,
         mirror: mirror.clone(),
@@ -220,7 +220,7 @@
         incarnation,
         mirror: mirror.clone(),
         dispatchers: options.dispatchers.clone(),
-        own_dispatcher,
+        local_dispatcher,
         pool: pool.clone(),
         advice: options.advice.clone(),
         dialect: options.dialect.clone(),
@@ -230,7 +230,7 @@
     });
     let server = EdgeServer::new(Arc::new(gateway.clone()), options.edge);
     let callers = server.listen(options.callers).await.map_err(StartError::bind(options.callers))?;
-    task::spawn(tend(gateway.clone(), mirror.clone(), pool.clone(), options.advice.clone()));
+    task::spawn(run_maintenance(gateway.clone(), mirror.clone(), pool.clone(), options.advice.clone()));
     let stopping: Arc<AtomicBool> = Arc::default();
     let traffic = counters.register(&mut registry);
     let source = Arc::new(GatewayStatusSource {
@@ -252,7 +252,12 @@
 }
 
 /// Opens shards as plans name them, closes connections that rested for too long and ends the rests of endpoints.
-async fn tend(gateway: Gateway, mirror: Arc<FleetMirror>, pool: Arc<EndpointPool>, advice: Arc<AdviceBoard>) {
+async fn run_maintenance(
+    gateway: Gateway,
+    mirror: Arc<FleetMirror>,
+    pool: Arc<EndpointPool>,
+    advice: Arc<AdviceBoard>,
+) {
     let mut prepared = 0;
     loop {
         let number = mirror.plan().number;
@@ -262,7 +267,7 @@
         }
         pool.sweep();
         advice.expire();
-        task::sleep(SWEEP_INTERVAL).await;
+        task::sleep(MAINTENANCE_INTERVAL).await;
     }
 }
 
--- a/crates/micaspool-gateway/src/dialect.rs
+++ b/crates/micaspool-gateway/src/dialect.rs
@@ -88,7 +88,7 @@
 
 impl AnswerVerdict {
     /// True when the answer is the word of the endpoint that was asked, of whatever use it is otherwise.
-    pub fn is_of_asked(self) -> bool {
+    pub fn is_from_target(self) -> bool {
         !matches!(self, AnswerVerdict::WrongRequest | AnswerVerdict::NotRun(NotRunReason::WrongEndpoint))
     }
 }
@@ -113,7 +113,7 @@
 
     /// Changes a caller's headers into those that an endpoint gets. Headers that concern a single
     /// connection are gone already.
-    fn rewrite_headers(&self, headers: &mut HeaderMap, order: &ForwardContext<'_>);
+    fn rewrite_headers(&self, headers: &mut HeaderMap, context: &ForwardContext<'_>);
 
     /// What the head of an endpoint's answer means.
     fn classify_answer(&self, head: &response::Parts, id: &str) -> AnswerVerdict;
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -14,10 +14,10 @@
 
 /// The dispatcher inside this process.
 #[derive(Debug)]
-struct OwnDispatcher(FleetDispatcher);
+struct InProcessDispatcher(FleetDispatcher);
 
 #[async_trait]
-impl LocalDispatcher for OwnDispatcher {
+impl LocalDispatcher for InProcessDispatcher {
     async fn open(&self, messages: Receiver<RouterMessage>) -> Option<MessageStream> {
         let stream = self.0.open(messages).await.ok()?;
         Some(Box::pin(stream))
@@ -31,16 +31,16 @@
 pub(crate) struct FleetDispatchers {
     mirror: Arc<FleetMirror>,
     directory: Arc<dyn PeerDirectory>,
-    own: Arc<dyn LocalDispatcher>,
+    local: Arc<dyn LocalDispatcher>,
 }
 
 impl FleetDispatchers {
     pub fn new(
         mirror: Arc<FleetMirror>,
         directory: Arc<dyn PeerDirectory>,
-        own: FleetDispatcher,
+        local: FleetDispatcher,
     ) -> FleetDispatchers {
-        FleetDispatchers { mirror, directory, own: Arc::new(OwnDispatcher(own)) }
+        FleetDispatchers { mirror, directory, local: Arc::new(InProcessDispatcher(local)) }
     }
 
     /// The candidate on a keeper's instance. Its process is the keeper's, so the stream from the keeper
@@ -61,7 +61,7 @@
 }
 
 /// The instances of keepers that are members, ranked for a service.
-fn ranked_sights<'a>(
+fn rank_keepers<'a>(
     service: &ServiceName,
     services: &[ServiceName],
     sights: &'a [KeeperSight],
@@ -81,11 +81,11 @@
         let sights = self.mirror.keepers();
         let plan = self.mirror.plan().plan;
         let services: Vec<ServiceName> = plan.parts().services.iter().map(|rule| rule.name.clone()).collect();
-        let ranked = ranked_sights(service, &services, &sights);
-        let own = DispatcherCandidate {
-            address: DispatcherAddress::Local(self.own.clone()),
+        let ranked = rank_keepers(service, &services, &sights);
+        let local = DispatcherCandidate {
+            address: DispatcherAddress::Local(self.local.clone()),
             kind: CandidateKind::LastResort,
         };
-        ranked.into_iter().filter_map(|sight| self.candidate(sight)).chain([own]).collect()
+        ranked.into_iter().filter_map(|sight| self.candidate(sight)).chain([local]).collect()
     }
 }
--- a/crates/micaspool-gateway/src/events.rs
+++ b/crates/micaspool-gateway/src/events.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct SplitChunk {
     /// Whole events, to be passed on.
-    pub whole: Bytes,
+    pub complete: Bytes,
     /// How many there are.
     pub events: u32,
 }
@@ -24,9 +24,9 @@
     /// Takes a chunk in and gives the events that it completes, without those that were seen before.
     pub fn push(&mut self, chunk: &[u8]) -> SplitChunk {
         self.partial.extend_from_slice(chunk);
-        let mut whole = BytesMut::new();
+        let mut complete = BytesMut::new();
         let mut events = 0;
-        while let Some(end) = find_end(&self.partial) {
+        while let Some(end) = find_event_end(&self.partial) {
             let event = self.partial.split_to(end);
             let id = event_id(&event);
             if id.is_some() && id <= self.last_id {
@@ -34,13 +34,13 @@
             }
             self.last_id = id.or(self.last_id);
             events += 1;
-            whole.extend_from_slice(&event);
+            complete.extend_from_slice(&event);
         }
-        SplitChunk { whole: whole.freeze(), events }
+        SplitChunk { complete: complete.freeze(), events }
     }
 
     /// Forgets an event that was cut off, before the stream goes on elsewhere.
-    pub fn drop_partial(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
@@ -57,31 +57,31 @@
 
 /// How many events end in a chunk. An end that falls between two chunks is counted with the second
 /// when the first ended with a line feed.
-pub(crate) fn count_ends(after_line: &mut bool, chunk: &[u8]) -> u32 {
+pub(crate) fn count_event_ends(after_newline: &mut bool, chunk: &[u8]) -> u32 {
     let mut ends = 0;
     for byte in chunk {
         match byte {
-            b'\n' if *after_line => {
+            b'\n' if *after_newline => {
                 ends += 1;
-                *after_line = false;
+                *after_newline = false;
             }
-            b'\n' => *after_line = true,
+            b'\n' => *after_newline = true,
             b'\r' => {}
-            _ => *after_line = false,
+            _ => *after_newline = false,
         }
     }
     ends
 }
 
 /// The position after the first empty line.
-fn find_end(bytes: &[u8]) -> Option<usize> {
-    let mut after_line = false;
-    for (place, byte) in bytes.iter().enumerate() {
+fn find_event_end(bytes: &[u8]) -> Option<usize> {
+    let mut after_newline = false;
+    for (index, byte) in bytes.iter().enumerate() {
         match byte {
-            b'\n' if after_line => return Some(place + 1),
-            b'\n' => after_line = true,
+            b'\n' if after_newline => return Some(index + 1),
+            b'\n' => after_newline = true,
             b'\r' => {}
-            _ => after_line = false,
+            _ => after_newline = false,
         }
     }
     None
--- a/crates/micaspool-gateway/src/lib.rs
+++ b/crates/micaspool-gateway/src/lib.rs
@@ -14,9 +14,9 @@
 mod events;
 mod metrics;
 mod native;
-mod path;
+mod proxy;
 mod relay;
-mod trail;
+mod request_log;
 
 pub use daemon::{start_gateway, GatewayDaemon, GatewayOptions, GatewayOptionsBuilder};
 pub use dialect::{
@@ -26,4 +26,4 @@
 pub use events::{EventSplitter, SplitChunk};
 pub use metrics::GatewayMetrics;
 pub use native::NativeDialect;
-pub use path::{Gateway, GatewayParts};
+pub use proxy::{Gateway, GatewayParts};
--- a/crates/micaspool-gateway/src/metrics.rs
+++ b/crates/micaspool-gateway/src/metrics.rs
@@ -12,9 +12,9 @@
 /// The smallest bucket of the latency histograms, in seconds, and how many there are; each is twice
 /// as long as the one before, up to some 16 s.
 const FIRST_BUCKET: f64 = 0.002;
-const BUCKETS: u16 = 14;
+const BUCKET_COUNT: u16 = 14;
 /// How many throttled requests have a log line of their own in a second.
-const THROTTLED_LINES: u32 = 20;
+const MAX_THROTTLED_LINES: u32 = 20;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct KindLabel {
@@ -29,7 +29,7 @@
     refused: Family<KindLabel, Counter>,
     failures: Family<KindLabel, Counter>,
     /// Requests whose caller left before the end.
-    pub left: Counter,
+    pub callers_left: Counter,
     /// Answers that broke on their way.
     pub broken: Counter,
     /// Streams that went on at another endpoint.
@@ -53,18 +53,18 @@
     /// Data halls that are evacuated.
     pub halls_evacuated: Gauge,
     /// Bounds the log lines on throttled requests, which a flood makes by the hundred.
-    pub throttled_lines: Arc<LineLimit>,
+    pub throttled_log_limit: Arc<LineLimit>,
 }
 
 impl GatewayMetrics {
     /// Makes the metrics and registers them.
     pub fn register(registry: &mut Registry) -> GatewayMetrics {
-        let histogram = || Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS));
+        let histogram = || Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKET_COUNT));
         let metrics = GatewayMetrics {
             answered: Counter::default(),
             refused: Family::default(),
             failures: Family::default(),
-            left: Counter::default(),
+            callers_left: Counter::default(),
             broken: Counter::default(),
             resumed: Counter::default(),
             wait_seconds: histogram(),
@@ -76,39 +76,51 @@
             endpoints_resting: Gauge::default(),
             endpoints_leaving: Gauge::default(),
             halls_evacuated: Gauge::default(),
-            throttled_lines: Arc::new(LineLimit::new(THROTTLED_LINES)),
+            throttled_log_limit: Arc::new(LineLimit::new(MAX_THROTTLED_LINES)),
         };
-        metrics.name_counters(registry);
-        metrics.name_times(registry);
+        metrics.register_counters(registry);
+        metrics.register_histograms_and_gauges(registry);
         metrics
     }
 
-    fn name_counters(&self, registry: &mut Registry) {
+    fn register_counters(&self, registry: &mut Registry) {
         registry.register("micaspool_gateway_answers", "Whole answers passed on", self.answered.clone());
         registry.register("micaspool_gateway_refusals", "Refused requests by kind", self.refused.clone());
         registry.register("micaspool_gateway_failures", "Failed sends by kind", self.failures.clone());
-        registry.register("micaspool_gateway_left", "Requests whose caller left", self.left.clone());
+        registry.register("micaspool_gateway_left", "Requests whose caller left", self.callers_left.clone());
         registry.register("micaspool_gateway_broken", "Answers that broke", self.broken.clone());
         registry.register("micaspool_gateway_resumed", "Streams resumed elsewhere", self.resumed.clone());
     }
 
-    fn name_times(&self, registry: &mut Registry) {
-        let waits = "Seconds from ticket to grant";
-        registry.register("micaspool_gateway_wait_seconds", waits, self.wait_seconds.clone());
-        let firsts = "Seconds from arrival to the first byte of the answer";
-        registry.register("micaspool_gateway_first_byte_seconds", firsts, self.first_byte_seconds.clone());
-        let totals = "Seconds from arrival to the end of the answer";
-        registry.register("micaspool_gateway_total_seconds", totals, self.total_seconds.clone());
-        let opened = "Connections to endpoints opened so far";
-        registry.register("micaspool_gateway_opened", opened, self.connections_opened.clone());
+    fn register_histograms_and_gauges(&self, registry: &mut Registry) {
+        let wait_help = "Seconds from ticket to grant";
+        registry.register("micaspool_gateway_wait_seconds", wait_help, self.wait_seconds.clone());
+        let first_byte_help = "Seconds from arrival to the first byte of the answer";
+        registry.register(
+            "micaspool_gateway_first_byte_seconds",
+            first_byte_help,
+            self.first_byte_seconds.clone(),
+        );
+        let total_help = "Seconds from arrival to the end of the answer";
+        registry.register("micaspool_gateway_total_seconds", total_help, self.total_seconds.clone());
+        let opened_help = "Connections to endpoints opened so far";
+        registry.register("micaspool_gateway_opened", opened_help, self.connections_opened.clone());
         registry.register("micaspool_gateway_callers", "Open connections", self.callers_open.clone());
         registry.register("micaspool_gateway_plan", "Plan in force", self.plan_number.clone());
-        let resting = "Endpoints that asked this gateway for rest";
-        registry.register("micaspool_gateway_resting_endpoints", resting, self.endpoints_resting.clone());
-        let leaving = "Endpoints that said in an answer that they leave";
-        registry.register("micaspool_gateway_leaving_endpoints", leaving, self.endpoints_leaving.clone());
-        let evacuated = "Data halls that are evacuated by an operator's order";
-        registry.register("micaspool_gateway_evacuated_halls", evacuated, self.halls_evacuated.clone());
+        let resting_help = "Endpoints that asked this gateway for rest";
+        registry.register(
+            "micaspool_gateway_resting_endpoints",
+            resting_help,
+            self.endpoints_resting.clone(),
+        );
+        let leaving_help = "Endpoints that said in an answer that they leave";
+        registry.register(
+            "micaspool_gateway_leaving_endpoints",
+            leaving_help,
+            self.endpoints_leaving.clone(),
+        );
+        let evacuated_help = "Data halls that are evacuated by an operator's order";
+        registry.register("micaspool_gateway_evacuated_halls", evacuated_help, self.halls_evacuated.clone());
     }
 
     /// Counts a refusal.
--- a/crates/micaspool-gateway/src/native.rs
+++ b/crates/micaspool-gateway/src/native.rs
@@ -75,13 +75,13 @@
         response.body(whole_body(body.to_string())).expect("the headers are valid")
     }
 
-    fn rewrite_headers(&self, headers: &mut HeaderMap, order: &ForwardContext<'_>) {
+    fn rewrite_headers(&self, headers: &mut HeaderMap, context: &ForwardContext<'_>) {
         headers.remove(AUTHORIZATION);
         headers.remove(CUSTOMER);
-        let millis = order.time_left.as_millis().to_string();
-        let customer = order.customer.map(|customer| (CUSTOMER, customer.as_str()));
-        let event = order.last_event.map(|event| (LAST_EVENT, event));
-        let own = [(ID, order.id), (ENDPOINT, order.endpoint.as_str()), (PATIENCE, millis.as_str())];
+        let millis = context.time_left.as_millis().to_string();
+        let customer = context.customer.map(|customer| (CUSTOMER, customer.as_str()));
+        let event = context.last_event.map(|event| (LAST_EVENT, event));
+        let own = [(ID, context.id), (ENDPOINT, context.endpoint.as_str()), (PATIENCE, millis.as_str())];
         for (name, value) in own.into_iter().chain(customer).chain(event) {
             if let Ok(value) = HeaderValue::from_str(value) {
                 headers.insert(name, value);
@@ -90,26 +90,26 @@
     }
 
     fn classify_answer(&self, head: &response::Parts, id: &str) -> AnswerVerdict {
-        let said = header_text(&head.headers, &ID);
-        if said.is_some_and(|said| said != id) {
+        let echoed_id = header_text(&head.headers, &ID);
+        if echoed_id.is_some_and(|echoed_id| echoed_id != id) {
             return AnswerVerdict::WrongRequest;
         }
         match (header_text(&head.headers, &RUN), head.status.as_u16()) {
             (Some("not-run"), 421) => AnswerVerdict::NotRun(NotRunReason::WrongEndpoint),
             (Some("not-run"), 400) => AnswerVerdict::NotRun(NotRunReason::Malformed),
             (Some("not-run"), _) => AnswerVerdict::NotRun(NotRunReason::Full),
-            (None, _) if said.is_none() => AnswerVerdict::Unverified,
+            (None, _) if echoed_id.is_none() => AnswerVerdict::Unverified,
             _ => AnswerVerdict::Answer,
         }
     }
 
     fn advice(&self, head: &response::Parts) -> HeardAdvice {
-        let times = header_texts(&head.headers, &RETRY_AFTER);
-        let mut heard = HeardAdvice::read(is_rejection_status(head.status), times, false);
+        let values = header_texts(&head.headers, &RETRY_AFTER);
+        let mut parsed = HeardAdvice::read(is_rejection_status(head.status), values, false);
         // Its next start has the same name, so leaving can't be final here.
         if header_text(&head.headers, &DRAINING) == Some("true") {
-            heard.advice.rest = heard.advice.rest.max(DRAINING_REST);
+            parsed.advice.rest = parsed.advice.rest.max(DRAINING_REST);
         }
-        heard
+        parsed
     }
 }
--- a/crates/micaspool-gateway/src/path/failure.rs
+++ b/crates/micaspool-gateway/src/proxy/failure.rs
@@ -16,7 +16,7 @@
     /// True when the request provably did not run.
     pub not_run: bool,
     /// True when the endpoint may have got the request.
-    pub arrived: bool,
+    pub reached_endpoint: bool,
 }
 
 impl SendFailure {
@@ -27,24 +27,24 @@
             kind: "deadline",
             cause: "no answer before the deadline".to_owned(),
             not_run: false,
-            arrived: true,
+            reached_endpoint: true,
         }
     }
 
     /// No answer came.
-    pub fn of_error(error: &SendError) -> SendFailure {
+    pub fn from_error(error: &SendError) -> SendFailure {
         let (kind, fate) = match error {
             SendError::Unreachable(_) => ("unreachable", GrantFate::Unreachable),
             SendError::NotSent => ("not-sent", GrantFate::Unreachable),
             SendError::Withheld => ("withheld", GrantFate::NotHeld),
             SendError::Broken(_) => ("broken", GrantFate::Severed),
         };
-        let unsent = error.is_not_sent();
-        SendFailure { fate, kind, cause: error.to_string(), not_run: unsent, arrived: !unsent }
+        let not_sent = error.is_not_sent();
+        SendFailure { fate, kind, cause: error.to_string(), not_run: not_sent, reached_endpoint: !not_sent }
     }
 
     /// An answer came that can't be passed on.
-    pub fn of_answer(verdict: AnswerVerdict, status: StatusCode) -> SendFailure {
+    pub fn from_answer(verdict: AnswerVerdict, status: StatusCode) -> SendFailure {
         let (kind, fate, not_run) = match verdict {
             AnswerVerdict::NotRun(NotRunReason::Full) => ("full", GrantFate::Refused, true),
             AnswerVerdict::NotRun(NotRunReason::WrongEndpoint) => {
@@ -56,6 +56,6 @@
                 ("unproven-answer", GrantFate::Broken, false)
             }
         };
-        SendFailure { fate, kind, cause: format!("status {status}"), not_run, arrived: true }
+        SendFailure { fate, kind, cause: format!("status {status}"), not_run, reached_endpoint: true }
     }
 }
--- a/crates/micaspool-gateway/src/path/mod.rs
+++ b/crates/micaspool-gateway/src/proxy/mod.rs
@@ -8,7 +8,7 @@
 use crate::dialect::{CallerHead, GatewayDialect};
 use crate::dispatchers::FleetDispatchers;
 use crate::metrics::GatewayMetrics;
-use crate::trail::RequestTrail;
+use crate::request_log::RequestLog;
 use async_trait::async_trait;
 pub(crate) use attempt::Attempts;
 use bytes::Bytes;
@@ -36,7 +36,7 @@
 /// When a request may come back that found no plan, no dispatcher or no endpoint.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(300);
 /// How long a body may take when its caller names no time.
-const BODY_LIMIT: Duration = Duration::from_secs(15);
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// What a gateway works with.
 #[derive(Debug, Clone)]
@@ -52,7 +52,7 @@
     /// Where the dispatchers of other instances listen.
     pub dispatchers: Arc<dyn PeerDirectory>,
     /// The dispatcher inside this process.
-    pub own_dispatcher: FleetDispatcher,
+    pub local_dispatcher: FleetDispatcher,
     /// Connections to endpoints.
     pub pool: Arc<EndpointPool>,
     /// What endpoints asked of this process.
@@ -82,10 +82,10 @@
 
 /// A request as the gateway took it.
 #[derive(Debug)]
-struct TakenCall {
+struct AcceptedCall {
     head: request::Parts,
     caller: CallerHead,
-    arrived: BootInstant,
+    arrived_at: BootInstant,
     body: Bytes,
 }
 
@@ -95,7 +95,7 @@
         let dispatchers = Arc::new(FleetDispatchers::new(
             parts.mirror.clone(),
             parts.dispatchers.clone(),
-            parts.own_dispatcher.clone(),
+            parts.local_dispatcher.clone(),
         ));
         Gateway { shared: Arc::new(GatewayShared { parts, dispatchers, shards: Mutex::default() }) }
     }
@@ -133,63 +133,63 @@
         self.shared.shards.lock().expect("no holder of the shards panics")
     }
 
-    async fn take(
+    async fn serve(
         &self,
         head: request::Parts,
         caller: CallerHead,
         body: Incoming,
-        trail: RequestTrail,
+        log: RequestLog,
     ) -> Response<EdgeBody> {
         let id = caller.id.clone();
-        let mut trail = trail;
-        match self.try_take(head, caller, body, &mut trail).await {
-            Ok(attempts) => attempts.run(self, trail).await,
+        let mut log = log;
+        match self.accept(head, caller, body, &mut log).await {
+            Ok(attempts) => attempts.run(self, log).await,
             Err(refusal) => {
-                trail.refuse(&refusal);
+                log.refuse(&refusal);
                 self.shared.parts.dialect.refuse(Some(&id), &refusal)
             }
         }
     }
 
     /// Everything before the first wait for a grant.
-    async fn try_take(
+    async fn accept(
         &self,
         head: request::Parts,
         caller: CallerHead,
         body: Incoming,
-        trail: &mut RequestTrail,
+        log: &mut RequestLog,
     ) -> Result<Attempts, Refusal> {
-        let arrived = trail.arrived();
+        let arrived_at = log.arrived_at();
         let plan = self.shared.parts.mirror.plan();
-        let target = CallTarget::find(&plan, &head, &caller)?;
-        target.describe(trail);
+        let target = CallTarget::resolve(&plan, &head, &caller)?;
+        target.write_to_log(log);
         let limit = plan.plan.parts().limits.body_bytes;
         check_length(&head, limit)?;
-        let patience = caller.patience.unwrap_or(BODY_LIMIT).min(target.time_limit);
-        if let Err(refusal) = self.shard(&target.service).admit(&target.waiting_customer()) {
-            let _ = timeout(patience, discard(body)).await;
+        let patience = caller.patience.unwrap_or(DEFAULT_BODY_TIMEOUT).min(target.time_limit);
+        if let Err(refusal) = self.shard(&target.service).admit(&target.queue_customer()) {
+            let _ = timeout(patience, drain_body(body)).await;
             return Err(refusal);
         }
-        let read = timeout(patience, collect(body, limit)).await;
+        let read = timeout(patience, read_body(body, limit)).await;
         let body = read.unwrap_or_else(|_| Err(Refusal::not_run(RefusalKind::SlowRequest)))?;
-        Ok(Attempts::new(TakenCall { head, caller, arrived, body }, target))
+        Ok(Attempts::new(AcceptedCall { head, caller, arrived_at, body }, target))
     }
 }
 
 #[async_trait]
 impl EdgeHandler for Gateway {
     async fn handle(&self, request: Request<Incoming>) -> Response<EdgeBody> {
-        let arrived = BootInstant::now();
+        let arrived_at = BootInstant::now();
         let (head, body) = request.into_parts();
         let parts = &self.shared.parts;
         match parts.dialect.read_head(&head) {
             Ok(caller) => {
-                let trail = RequestTrail::new(parts.metrics.clone(), caller.id.clone(), arrived);
-                self.take(head, caller, body, trail).await
+                let log = RequestLog::new(parts.metrics.clone(), caller.id.clone(), arrived_at);
+                self.serve(head, caller, body, log).await
             }
             Err(refusal) => {
-                let mut trail = RequestTrail::new(parts.metrics.clone(), Arc::from("unread"), arrived);
-                trail.refuse(&refusal);
+                let mut log = RequestLog::new(parts.metrics.clone(), Arc::from("unread"), arrived_at);
+                log.refuse(&refusal);
                 parts.dialect.refuse(None, &refusal)
             }
         }
@@ -199,7 +199,7 @@
         let id = parts.dialect.read_head(&head).ok().map(|caller| caller.id);
         let refusal = Refusal::not_run(RefusalKind::TooManyConnections).after(RETRY_AFTER);
         let name = id.clone().unwrap_or_else(|| Arc::from("unread"));
-        RequestTrail::new(parts.metrics.clone(), name, BootInstant::now()).refuse(&refusal);
+        RequestLog::new(parts.metrics.clone(), name, BootInstant::now()).refuse(&refusal);
         parts.dialect.refuse(id.as_deref(), &refusal)
     }
 
@@ -221,12 +221,12 @@
 }
 
 /// Reads a body for nothing: bytes that nobody reads would reset the connection before the caller has its answer.
-async fn discard(mut body: Incoming) {
+async fn drain_body(mut body: Incoming) {
     while let Some(Ok(_)) = body.frame().await {}
 }
 
 /// Reads a whole body.
-async fn collect(body: Incoming, limit: u64) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, limit: u64) -> Result<Bytes, Refusal> {
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
--- a/crates/micaspool-gateway/src/path/target.rs
+++ b/crates/micaspool-gateway/src/proxy/target.rs
@@ -1,8 +1,8 @@
 //! Where a request goes by the plan: its route, customer and service.
 
 use crate::dialect::CallerHead;
-use crate::path::RETRY_AFTER;
-use crate::trail::RequestTrail;
+use crate::proxy::RETRY_AFTER;
+use crate::request_log::RequestLog;
 use http::header::HOST;
 use http::request;
 use micaspool_dispatcher::PUBLIC_CUSTOMER;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct CallTarget {
     /// The number of the plan.
-    pub number: u64,
+    pub plan_number: u64,
     /// The name of the route.
     pub route: Arc<str>,
     /// The service that the request goes to.
@@ -37,11 +37,11 @@
 }
 
 /// The ranks that a route may have; a customer's rank counts this much more.
-const ROUTE_RANKS: u8 = 16;
+const ROUTE_PRIORITY_LEVELS: u8 = 16;
 
 impl CallTarget {
     /// Finds route, customer and service, or says why there are none.
-    pub fn find(
+    pub fn resolve(
         plan: &NumberedPlan,
         head: &request::Parts,
         caller: &CallerHead,
@@ -54,50 +54,51 @@
         let rules = &plan.plan;
         let unknown = || Refusal::not_run(RefusalKind::UnknownService);
         let route = rules.find(host, head.uri.path()).ok_or_else(unknown)?;
-        let (customer, rank) = identify(plan, route, caller)?;
+        let (customer, customer_priority) = identify_customer(plan, route, caller)?;
         let service = route.choose_service(&caller.id).ok_or_else(unknown)?.clone();
         Ok(CallTarget {
-            number: plan.number,
+            plan_number: plan.number,
             route: route.name.clone(),
             customer,
             run: route.run,
             time_limit: route.time_limit(),
             objective: route.objective(),
             attempts: route.attempts.max(1),
-            priority: rank.min(ROUTE_RANKS - 1) * ROUTE_RANKS + route.priority.min(ROUTE_RANKS - 1),
+            priority: customer_priority.min(ROUTE_PRIORITY_LEVELS - 1) * ROUTE_PRIORITY_LEVELS
+                + route.priority.min(ROUTE_PRIORITY_LEVELS - 1),
             engine: rules.service(service.as_str()).and_then(|rule| rule.engine),
             service,
         })
     }
 
     /// Writes the decision into the request's log line.
-    pub fn describe(&self, trail: &mut RequestTrail) {
-        trail.route = self.route.clone();
-        trail.plan = self.number;
-        trail.customer = self.customer.as_ref().map_or("", |name| name.as_str()).into();
+    pub fn write_to_log(&self, log: &mut RequestLog) {
+        log.route = self.route.clone();
+        log.plan = self.plan_number;
+        log.customer = self.customer.as_ref().map_or("", |name| name.as_str()).into();
     }
 
     /// The time within which its first event is wanted, or its answer; a shard refuses it once that can't be
     /// kept. `None` where the plan names none. Held until their deadlines instead, requests of a plain service that
     /// is asked for more than it does come late one and all.
-    pub fn wanted_within(&self) -> Option<Duration> {
+    pub fn stated_objective(&self) -> Option<Duration> {
         (!self.objective.is_zero()).then_some(self.objective)
     }
 
     /// The customer under which the request waits.
-    pub fn waiting_customer(&self) -> CustomerName {
+    pub fn queue_customer(&self) -> CustomerName {
         let public = || CustomerName::parse(PUBLIC_CUSTOMER).expect("a constant of valid characters");
         self.customer.clone().unwrap_or_else(public)
     }
 
     /// True when both send a request to the same place for the same customer.
-    pub fn agrees(&self, other: &CallTarget) -> bool {
+    pub fn has_same_destination(&self, other: &CallTarget) -> bool {
         self.service == other.service && self.customer == other.customer
     }
 }
 
 /// The customer that holds the caller's key, and its rank.
-fn identify(
+fn identify_customer(
     plan: &NumberedPlan,
     route: &RouteRule,
     caller: &CallerHead,
--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -1,9 +1,9 @@
 //! An answer on its way from an endpoint to a caller.
 
 use crate::dialect::PromptOutline;
-use crate::events::{count_ends, EventSplitter};
-use crate::path::{Attempts, Gateway};
-use crate::trail::RequestTrail;
+use crate::events::{count_event_ends, EventSplitter};
+use crate::proxy::{Attempts, Gateway};
+use crate::request_log::RequestLog;
 use bytes::Bytes;
 use futures::future::{select, BoxFuture, Either};
 use futures::stream::unfold;
@@ -21,10 +21,10 @@
 
 /// How long after the deadline an answer may still flow: the endpoint stops at the deadline by
 /// itself, and its end is better than ours.
-const LATE_LIMIT: Duration = Duration::from_millis(150);
+const DEADLINE_GRACE: Duration = Duration::from_millis(150);
 
 /// What a token made costs, in tokens read.
-const MADE_COST: u64 = 2;
+const OUTPUT_TOKEN_COST: u64 = 2;
 
 /// Why an answer broke.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
     prompt: u64,
     event: u64,
     events: u64,
-    after_line: bool,
+    after_newline: bool,
 }
 
 impl EventMeter {
@@ -70,14 +70,14 @@
         let event = engine.map_or(1, |engine| u64::from(engine.event_tokens.max(1)));
         EventMeter {
             prompt: prompt.map_or(0, |prompt| prompt.prompt_tokens),
-            event: event * MADE_COST,
+            event: event * OUTPUT_TOKEN_COST,
             events: 0,
-            after_line: false,
+            after_newline: false,
         }
     }
 
     fn observe(&mut self, chunk: &[u8]) {
-        self.events += u64::from(count_ends(&mut self.after_line, chunk));
+        self.events += u64::from(count_event_ends(&mut self.after_newline, chunk));
     }
 
     /// What was delivered so far; a call of a plain service costs one unit.
@@ -100,7 +100,7 @@
     lease: Option<GrantLease>,
     meter: EventMeter,
     splitter: Option<EventSplitter>,
-    trail: RequestTrail,
+    log: RequestLog,
     expiry: BoxFuture<'static, ()>,
     ended: bool,
 }
@@ -112,7 +112,7 @@
         body: PooledBody,
         lease: GrantLease,
         meter: EventMeter,
-        trail: RequestTrail,
+        log: RequestLog,
     ) -> AnswerRelay {
         let left = attempts.deadline().saturating_duration_since(BootInstant::now());
         AnswerRelay {
@@ -122,8 +122,8 @@
             body,
             lease: Some(lease),
             meter,
-            trail,
-            expiry: Box::pin(tokio::time::sleep(left + LATE_LIMIT)),
+            log,
+            expiry: Box::pin(tokio::time::sleep(left + DEADLINE_GRACE)),
             ended: false,
         }
     }
@@ -131,16 +131,16 @@
     /// The next bytes for the caller; `None` after the end.
     async fn next_chunk(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         while !self.ended {
-            match self.read().await {
+            match self.read_chunk().await {
                 Ok(Some(chunk)) => {
-                    if let Some(bytes) = self.take(chunk) {
+                    if let Some(bytes) = self.process_chunk(chunk) {
                         return Some(Ok(Frame::data(bytes)));
                     }
                 }
                 Ok(None) => return self.finish(),
                 Err(error) => {
                     if !self.resume(&error).await {
-                        return Some(Err(self.break_off(error)));
+                        return Some(Err(self.abort_answer(error)));
                     }
                 }
             }
@@ -148,7 +148,7 @@
         None
     }
 
-    async fn read(&mut self) -> Result<Option<Bytes>, RelayError> {
+    async fn read_chunk(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
             match select(self.body.frame(), &mut self.expiry).await {
                 Either::Left((Some(Ok(frame)), _)) => {
@@ -165,35 +165,35 @@
     }
 
     /// Charges a chunk and gives what of it may be passed on now.
-    fn take(&mut self, chunk: Bytes) -> Option<Bytes> {
+    fn process_chunk(&mut self, chunk: Bytes) -> Option<Bytes> {
         self.meter.observe(&chunk);
         let delivered = self.meter.cost();
         if let Some(lease) = &mut self.lease {
             lease.progress(delivered);
         }
         let bytes = match &mut self.splitter {
-            Some(splitter) => splitter.push(&chunk).whole,
+            Some(splitter) => splitter.push(&chunk).complete,
             None => chunk,
         };
         if bytes.is_empty() {
             return None;
         }
-        self.trail.note_first_byte();
+        self.log.record_first_byte();
         Some(bytes)
     }
 
     fn finish(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         self.ended = true;
         self.settle(GrantFate::Done);
-        self.trail.finish();
+        self.log.finish();
         let rest = self.splitter.as_mut().map(EventSplitter::take_partial).unwrap_or_default();
         (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
     }
 
-    fn break_off(&mut self, error: RelayError) -> BodyError {
+    fn abort_answer(&mut self, error: RelayError) -> BodyError {
         self.ended = true;
         self.settle(error.fate());
-        self.trail.break_off(&error.to_string());
+        self.log.finish_broken(&error.to_string());
         Box::new(error)
     }
 
@@ -211,15 +211,15 @@
         if !self.attempts.may_run_again() {
             return false;
         }
-        self.trail.note_failure("stream-broken", &cause.to_string(), false);
+        self.log.log_failure("stream-broken", &cause.to_string(), false);
         self.settle(error.fate());
         let last_event = last.to_string();
-        let next = self.attempts.next_answer(&self.gateway, &mut self.trail, Some(&last_event)).await;
+        let next = self.attempts.next_answer(&self.gateway, &mut self.log, Some(&last_event)).await;
         match next {
             Ok(answer) if answer.response.status().is_success() => {
-                self.trail.note_resume(last);
+                self.log.log_resume(last);
                 if let Some(splitter) = &mut self.splitter {
-                    splitter.drop_partial();
+                    splitter.discard_partial();
                 }
                 self.lease = Some(answer.lease);
                 self.body = answer.response.into_body();
--- a/crates/micaspool-gateway/src/trail.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -13,10 +13,10 @@
 
 /// What happened to a request so far. One that is dropped before its end had a caller that left.
 #[derive(Debug)]
-pub(crate) struct RequestTrail {
+pub(crate) struct RequestLog {
     metrics: GatewayMetrics,
     id: Arc<str>,
-    arrived: BootInstant,
+    arrived_at: BootInstant,
     ended: bool,
     /// The route, once it is known.
     pub route: Arc<str>,
@@ -40,12 +40,12 @@
     status: u16,
 }
 
-impl RequestTrail {
-    pub fn new(metrics: GatewayMetrics, id: Arc<str>, arrived: BootInstant) -> RequestTrail {
-        RequestTrail {
+impl RequestLog {
+    pub fn new(metrics: GatewayMetrics, id: Arc<str>, arrived_at: BootInstant) -> RequestLog {
+        RequestLog {
             metrics,
             id,
-            arrived,
+            arrived_at,
             ended: false,
             route: Arc::from(""),
             plan: 0,
@@ -62,8 +62,8 @@
     }
 
     /// When the request arrived.
-    pub fn arrived(&self) -> BootInstant {
-        self.arrived
+    pub fn arrived_at(&self) -> BootInstant {
+        self.arrived_at
     }
 
     /// The caller's name for its attempt.
@@ -72,34 +72,34 @@
     }
 
     /// Notes that a grant, or a refusal in its place, took this long.
-    pub fn note_wait(&mut self, wait: Duration) {
+    pub fn record_wait(&mut self, wait: Duration) {
         self.waited += wait;
         self.metrics.wait_seconds.observe(wait.as_secs_f64());
     }
 
     /// Notes the head of the answer.
-    pub fn note_status(&mut self, status: u16) {
+    pub fn set_status(&mut self, status: u16) {
         self.status = status;
     }
 
     /// Notes the first byte of the answer's body.
-    pub fn note_first_byte(&mut self) {
+    pub fn record_first_byte(&mut self) {
         if self.first_byte.is_none() {
-            let passed = self.arrived.elapsed();
+            let passed = self.arrived_at.elapsed();
             self.first_byte = Some(passed);
             self.metrics.first_byte_seconds.observe(passed.as_secs_f64());
         }
     }
 
     /// Logs a grant for an endpoint that this process does not hold as serving, and as what it holds it.
-    pub fn note_unusable(&self, endpoint: &EndpointName, held: Option<EndpointStage>) {
+    pub fn log_unusable_grant(&self, endpoint: &EndpointName, held: Option<EndpointStage>) {
         let held = held.map_or("unknown", EndpointStage::as_str);
         let fields = [field("request", &self.id), field("endpoint", endpoint), field("held_as", held)];
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
     /// Logs a grant for an endpoint that asked this process for rest, or said that it leaves.
-    pub fn note_withheld(&self, held: &AdviceRecord) {
+    pub fn log_withheld_grant(&self, held: &AdviceRecord) {
         let held_as = if held.advice.leaving { "said-leaving" } else { "resting" };
         self.metrics.count_failure(held_as);
         let fields = [
@@ -112,7 +112,7 @@
     }
 
     /// Logs a grant for an endpoint in a data hall that is evacuated.
-    pub fn note_evacuated(&self, endpoint: &EndpointRecord) {
+    pub fn log_evacuated_grant(&self, endpoint: &EndpointRecord) {
         self.metrics.count_failure(EVACUATED);
         let fields = [
             field("request", &self.id),
@@ -124,7 +124,7 @@
     }
 
     /// Logs a send that failed; the request may go on.
-    pub fn note_failure(&self, kind: &'static str, cause: &str, not_run: bool) {
+    pub fn log_failure(&self, kind: &'static str, cause: &str, not_run: bool) {
         self.metrics.count_failure(kind);
         let mut fields = self.fields();
         fields.extend(self.digest_field());
@@ -135,7 +135,7 @@
     }
 
     /// Logs that a stream goes on elsewhere after this event.
-    pub fn note_resume(&self, last_event: u64) {
+    pub fn log_resume(&self, last_event: u64) {
         self.metrics.resumed.inc();
         let mut fields = self.fields();
         fields.push(field("last_event", last_event));
@@ -145,26 +145,26 @@
     /// Ends with a whole answer.
     pub fn finish(&mut self) {
         self.metrics.answered.inc();
-        self.end(&events::REQUEST_ANSWERED, &[]);
+        self.log_end(&events::REQUEST_ANSWERED, &[]);
     }
 
     /// Ends with an answer that broke.
-    pub fn break_off(&mut self, cause: &str) {
+    pub fn finish_broken(&mut self, cause: &str) {
         self.metrics.broken.inc();
         let mut fields = vec![field("cause", cause)];
         fields.extend(self.digest_field());
-        self.end(&events::ANSWER_BROKEN, &fields);
+        self.log_end(&events::ANSWER_BROKEN, &fields);
     }
 
     /// Ends with a refusal.
     pub fn refuse(&mut self, refusal: &Refusal) {
         self.metrics.count_refusal(refusal.kind.as_str());
-        let left_out = match refusal.kind {
-            RefusalKind::Throttled => self.metrics.throttled_lines.turn(),
+        let suppressed = match refusal.kind {
+            RefusalKind::Throttled => self.metrics.throttled_log_limit.turn(),
             _ => Some(0),
         };
-        let Some(left_out) = left_out else {
-            self.close();
+        let Some(suppressed) = suppressed else {
+            self.mark_ended();
             return;
         };
         let after = refusal.retry_after.map_or(0, |wait| wait.as_millis());
@@ -175,8 +175,8 @@
         ];
         fields.extend(self.ticket.map(|ticket| field("ticket", ticket)));
         fields.extend(self.digest_field());
-        fields.extend((left_out > 0).then(|| field("left_out", left_out)));
-        self.end(&events::REQUEST_TURNED_AWAY, &fields);
+        fields.extend((suppressed > 0).then(|| field("left_out", suppressed)));
+        self.log_end(&events::REQUEST_TURNED_AWAY, &fields);
     }
 
     /// Failures and refusals tell what was asked for, so that each time it came can be found.
@@ -184,22 +184,22 @@
         self.digest.map(|digest| field("digest", digest))
     }
 
-    fn end(&mut self, kind: &EventKind, more: &[EventField]) {
-        if !self.close() {
+    fn log_end(&mut self, kind: &EventKind, extra: &[EventField]) {
+        if !self.mark_ended() {
             return;
         }
         let mut fields = self.fields();
-        fields.extend_from_slice(more);
+        fields.extend_from_slice(extra);
         record(kind, &fields);
     }
 
     /// Counts the end of the request; false when it has ended before.
-    fn close(&mut self) -> bool {
+    fn mark_ended(&mut self) -> bool {
         if self.ended {
             return false;
         }
         self.ended = true;
-        self.metrics.total_seconds.observe(self.arrived.elapsed().as_secs_f64());
+        self.metrics.total_seconds.observe(self.arrived_at.elapsed().as_secs_f64());
         true
     }
 
@@ -211,7 +211,7 @@
             field("customer", &self.customer),
             field("sent", self.sent),
             field("waited_ms", self.waited.as_millis()),
-            field("total_ms", self.arrived.elapsed().as_millis()),
+            field("total_ms", self.arrived_at.elapsed().as_millis()),
         ];
         if let Some(patience) = self.patience {
             fields.push(field("caller_waits_ms", patience.as_millis()));
@@ -229,11 +229,11 @@
     }
 }
 
-impl Drop for RequestTrail {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         if !self.ended {
-            self.metrics.left.inc();
-            self.end(&events::CALLER_LEFT, &[]);
+            self.metrics.callers_left.inc();
+            self.log_end(&events::CALLER_LEFT, &[]);
         }
     }
 }
--- a/crates/micaspool-gateway/tests/events.rs
+++ b/crates/micaspool-gateway/tests/events.rs
@@ -11,16 +11,16 @@
 #[test_case(1_000; "at once")]
 fn whole_events_are_passed_on_and_the_rest_is_kept(size: usize) {
     let mut splitter = EventSplitter::default();
-    let mut whole = Vec::new();
+    let mut complete = Vec::new();
     let mut events = 0;
     for chunk in STREAM.as_bytes().chunks(size) {
         let split = splitter.push(chunk);
-        whole.extend_from_slice(&split.whole);
+        complete.extend_from_slice(&split.complete);
         events += split.events;
     }
     assert_eq!(events, 3);
     assert_eq!(splitter.last_id(), Some(3));
-    assert_eq!(String::from_utf8(whole).expect("text"), &STREAM[..STREAM.len() - "id: 4\nda".len()]);
+    assert_eq!(String::from_utf8(complete).expect("text"), &STREAM[..STREAM.len() - "id: 4\nda".len()]);
     assert_eq!(&splitter.take_partial()[..], b"id: 4\nda");
 }
 
@@ -28,7 +28,7 @@
 fn events_that_were_seen_before_a_break_are_left_out_after_it() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
-    splitter.drop_partial();
+    splitter.discard_partial();
     let split = splitter.push(b"id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-    assert_eq!((&split.whole[..], split.events), (&b"id: 3\ndata: c\n\n"[..], 1));
+    assert_eq!((&split.complete[..], split.events), (&b"id: 3\ndata: c\n\n"[..], 1));
 }
