--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -185,7 +185,7 @@
             }
             if let Some(advice) = gateway.shared.parts.advice.record_of(lease.endpoint()) {
                 log.log_withheld_grant(&advice);
-                gateway.shard(&self.target.service).advise(advice);
+                gateway.shard(&self.target.service).report_advice(advice);
                 lease.settle(Cost(0), GrantFate::NotHeld);
                 continue;
             }
@@ -324,7 +324,7 @@
         if advice.advice.leaving {
             parts.pool.close_resting(endpoint.address);
         }
-        gateway.shard(&endpoint.service).advise(advice);
+        gateway.shard(&endpoint.service).report_advice(advice);
     }
 
     fn build_request(&self, gateway: &Gateway, context: &ForwardContext<'_>) -> Request<Full<bytes::Bytes>> {
--- a/crates/micaspool-gateway/tests/events.rs
+++ b/crates/micaspool-gateway/tests/events.rs
@@ -9,7 +9,7 @@
 #[test_case(2; "two bytes")]
 #[test_case(7; "seven bytes")]
 #[test_case(1_000; "at once")]
-fn whole_events_are_passed_on_and_the_rest_is_kept(size: usize) {
+fn passes_on_complete_events_and_keeps_the_rest(size: usize) {
     let mut splitter = EventSplitter::default();
     let mut complete = Vec::new();
     let mut events = 0;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn events_that_were_seen_before_a_break_are_left_out_after_it() {
+fn skips_events_seen_before_the_stream_broke() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
     splitter.discard_partial();
--- a/crates/micaspool-router/src/call/mod.rs
+++ b/crates/micaspool-router/src/call/mod.rs
@@ -17,7 +17,7 @@
 
 /// The key of a call that may not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OnceKey {
+pub struct IdempotencyKey {
     /// The key as the caller sent it.
     pub key: String,
     /// The SHA-256 of method, path and body.
@@ -50,9 +50,9 @@
     /// True when it may be sent again after it may have run.
     pub repeatable: bool,
     /// The key, when the caller sent one.
-    pub once: Option<OnceKey>,
+    pub idempotency: Option<IdempotencyKey>,
     /// True when the answer is to be streamed.
-    pub streamed: bool,
+    pub is_streamed: bool,
     hint: Cost,
     prefixes: Vec<u64>,
 }
@@ -82,7 +82,7 @@
     if path_of(target) == CHAT_PATH {
         let models =
             policy.services.iter().zip(services).filter(|(service, _)| service.kind == ServiceKind::Model);
-        return Ok(models.map(|(_, own)| own.max_body_bytes).max().unwrap_or(0));
+        return Ok(models.map(|(_, customer_policy)| customer_policy.max_body_bytes).max().unwrap_or(0));
     }
     let service = policy.service_of_path(path_of(target));
     let service = service.ok_or_else(|| Refusal::not_run(RefusalKind::UnknownService))?;
@@ -90,8 +90,8 @@
 }
 
 impl CallPlan {
-    pub(crate) fn make(policy: &SharedPolicy, parts: PlanParts) -> Result<CallPlan, Refusal> {
-        let refused = |kind| Refusal::not_run(kind);
+    pub(crate) fn new(policy: &SharedPolicy, parts: PlanParts) -> Result<CallPlan, Refusal> {
+        let refuse = |kind| Refusal::not_run(kind);
         let model =
             if path_of(&parts.target) == CHAT_PATH { Some(ModelBody::parse(&parts.body)?) } else { None };
         let index = match &model {
@@ -100,18 +100,18 @@
                 .filter(|index| policy.services[*index].kind == ServiceKind::Model),
             None => policy.service_of_path(path_of(&parts.target)),
         };
-        let index = index.ok_or_else(|| refused(RefusalKind::UnknownService))?;
+        let index = index.ok_or_else(|| refuse(RefusalKind::UnknownService))?;
         let service = &policy.services[index];
-        let own = policy.request_policy(parts.customer, index).clone();
-        if parts.body.len() as u64 > own.max_body_bytes {
-            return Err(refused(RefusalKind::BodyTooLarge));
+        let customer_policy = policy.request_policy(parts.customer, index).clone();
+        if parts.body.len() as u64 > customer_policy.max_body_bytes {
+            return Err(refuse(RefusalKind::BodyTooLarge));
         }
-        if own.halls.is_empty() {
-            return Err(refused(RefusalKind::PlacementForbidden));
+        if customer_policy.halls.is_empty() {
+            return Err(refuse(RefusalKind::PlacementForbidden));
         }
-        check_placement(service, &own)?;
-        let once = parts.key.as_ref().map(|key| once_key(key, &parts)).transpose()?;
-        let listed = is_once(service, &parts.method, path_of(&parts.target));
+        check_placement(service, &customer_policy)?;
+        let idempotency = parts.key.as_ref().map(|key| parse_idempotency_key(key, &parts)).transpose()?;
+        let is_listed = matches_once_rule(service, &parts.method, path_of(&parts.target));
         let customer = policy.customers[parts.customer].name.clone();
         Ok(CallPlan {
             request: parts.request,
@@ -119,14 +119,14 @@
             customer,
             service: service.name.clone(),
             kind: service.kind,
-            repeatable: own.repeatable && !listed && once.is_none(),
-            policy: own,
+            repeatable: customer_policy.repeatable && !is_listed && idempotency.is_none(),
+            policy: customer_policy,
             method: parts.method,
             target: parts.target,
             content_type: parts.content_type,
             body: parts.body,
-            once,
-            streamed: model.as_ref().is_some_and(|body| body.stream),
+            idempotency,
+            is_streamed: model.as_ref().is_some_and(|body| body.stream),
             hint: model.as_ref().map_or(PLAIN_COST, |body| body.hint),
             prefixes: model.map(|body| body.prefixes).unwrap_or_default(),
         })
@@ -153,21 +153,21 @@
 }
 
 /// The settings must name an endpoint in an allowed data hall.
-fn check_placement(service: &ServicePolicy, own: &RequestPolicy) -> Result<(), Refusal> {
+fn check_placement(service: &ServicePolicy, customer_policy: &RequestPolicy) -> Result<(), Refusal> {
     if service.endpoints.is_empty() {
         return Err(Refusal::not_run(RefusalKind::NoEndpoint).after(std::time::Duration::from_secs(5)));
     }
-    if service.halls.intersect(own.halls).is_empty() {
+    if service.halls.intersect(customer_policy.halls).is_empty() {
         return Err(Refusal::not_run(RefusalKind::PlacementForbidden));
     }
     Ok(())
 }
 
-fn is_once(service: &ServicePolicy, method: &str, path: &str) -> bool {
+fn matches_once_rule(service: &ServicePolicy, method: &str, path: &str) -> bool {
     service.once.iter().any(|rule| rule.method == method && path.starts_with(&rule.path))
 }
 
-fn once_key(key: &str, parts: &PlanParts) -> Result<OnceKey, Refusal> {
+fn parse_idempotency_key(key: &str, parts: &PlanParts) -> Result<IdempotencyKey, Refusal> {
     if key.is_empty() || key.len() > MAX_KEY_BYTES {
         return Err(Refusal::not_run(RefusalKind::MalformedRequest));
     }
@@ -176,7 +176,7 @@
         hasher.update((part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
-    Ok(OnceKey { key: key.to_owned(), digest: hasher.finalize().into() })
+    Ok(IdempotencyKey { key: key.to_owned(), digest: hasher.finalize().into() })
 }
 
 fn path_of(target: &str) -> &str {
--- a/crates/micaspool-router/src/call/model.rs
+++ b/crates/micaspool-router/src/call/model.rs
@@ -6,7 +6,7 @@
 /// A token has about this many bytes of text.
 const BYTES_PER_TOKEN: u64 = 4;
 /// The answer's length when the caller gives none, in tokens.
-const DEFAULT_ANSWER: u64 = 256;
+const DEFAULT_ANSWER_TOKENS: u64 = 256;
 /// The prompt lengths in bytes whose hashes are told to the dispatcher.
 const PREFIX_LENGTHS: [usize; 4] = [256, 1_024, 4_096, 16_384];
 
@@ -43,7 +43,7 @@
         let raw: RawBody =
             serde_json::from_slice(body).map_err(|_| Refusal::not_run(RefusalKind::MalformedBody))?;
         let prompt = prompt_text(&raw.messages);
-        let answer = raw.max_tokens.unwrap_or(DEFAULT_ANSWER);
+        let answer = raw.max_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
         let hint = Cost((prompt.len() as u64 / BYTES_PER_TOKEN).saturating_add(answer));
         Ok(ModelBody {
             model: raw.model,
--- a/crates/micaspool-router/src/claims.rs
+++ b/crates/micaspool-router/src/claims.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// How long a claim may take.
-const CLAIM_LIMIT: Duration = Duration::from_secs(3);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 /// For how long the outcome of a call is offered to the keepers.
-const FINISH_LIMIT: Duration = Duration::from_secs(120);
+const FINISH_TIMEOUT: Duration = Duration::from_secs(120);
 /// When a caller may ask again about a running call, or about one that found no ledger.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
@@ -36,10 +36,10 @@
     async fn release(&self, plan: &CallPlan, token: u64);
 
     /// The call ran and gave this answer.
-    async fn answered(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]);
+    async fn record_answer(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]);
 
     /// The call may have run.
-    async fn unknown(&self, plan: &CallPlan, token: u64);
+    async fn record_unknown(&self, plan: &CallPlan, token: u64);
 }
 
 /// The ledger of the keepers.
@@ -61,32 +61,32 @@
         kind: v1::FinishKind,
         answer: Option<v1::StoredAnswer>,
     ) {
-        let Some(once) = &plan.once else { return };
+        let Some(keyed) = &plan.idempotency else { return };
         let request = v1::FinishRequest {
             customer: plan.customer.to_string(),
-            key: once.key.clone(),
+            key: keyed.key.clone(),
             token,
             kind: kind.into(),
             answer,
         };
-        let _ = self.client.finish(request, FINISH_LIMIT).await;
+        let _ = self.client.finish(request, FINISH_TIMEOUT).await;
     }
 }
 
 #[async_trait]
 impl ClaimLedger for KeeperLedger {
     async fn claim(&self, plan: &CallPlan, traceparent: &str) -> Result<ClaimOutcome, Refusal> {
-        let Some(once) = &plan.once else { return Err(Refusal::not_run(RefusalKind::NoLedger)) };
+        let Some(keyed) = &plan.idempotency else { return Err(Refusal::not_run(RefusalKind::NoLedger)) };
         let token = rand::random();
         let request = v1::ClaimRequest {
             customer: plan.customer.to_string(),
-            key: once.key.clone(),
-            body_hash: once.digest.to_vec(),
+            key: keyed.key.clone(),
+            body_hash: keyed.digest.to_vec(),
             token,
             traceparent: traceparent.to_owned(),
         };
-        match self.client.claim(request, CLAIM_LIMIT).await {
-            Ok(reply) => verdict(reply, token),
+        match self.client.claim(request, CLAIM_TIMEOUT).await {
+            Ok(reply) => claim_outcome(reply, token),
             Err(CallError::NoLeader { sent }) => {
                 if sent {
                     let (ledger, plan) = (self.clone(), plan.clone());
@@ -101,7 +101,7 @@
         self.finish(plan, token, v1::FinishKind::FinishReleased, None).await;
     }
 
-    async fn answered(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]) {
+    async fn record_answer(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]) {
         let answer = v1::StoredAnswer {
             status: u32::from(status),
             content_type: content_type.to_owned(),
@@ -110,12 +110,12 @@
         self.finish(plan, token, v1::FinishKind::FinishAnswered, Some(answer)).await;
     }
 
-    async fn unknown(&self, plan: &CallPlan, token: u64) {
+    async fn record_unknown(&self, plan: &CallPlan, token: u64) {
         self.finish(plan, token, v1::FinishKind::FinishUnknown, None).await;
     }
 }
 
-fn verdict(reply: v1::ClaimReply, token: u64) -> Result<ClaimOutcome, Refusal> {
+fn claim_outcome(reply: v1::ClaimReply, token: u64) -> Result<ClaimOutcome, Refusal> {
     use v1::ClaimVerdict::*;
     match reply.verdict() {
         ClaimGranted => Ok(ClaimOutcome::Granted(token)),
--- a/crates/micaspool-router/src/cost.rs
+++ b/crates/micaspool-router/src/cost.rs
@@ -7,10 +7,10 @@
 /// The media type of event streams.
 const EVENT_STREAM: &str = "text/event-stream";
 /// The longest line, or whole JSON answer, that is looked into.
-const MAX_BUFFER: usize = 4 * 1024 * 1024;
-const DATA: &[u8] = b"data:";
-const DONE: &[u8] = b"[DONE]";
-const USAGE: &[u8] = b"\"usage\"";
+const MAX_BUFFER_BYTES: usize = 4 * 1024 * 1024;
+const DATA_PREFIX: &[u8] = b"data:";
+const DONE_MARKER: &[u8] = b"[DONE]";
+const USAGE_KEY: &[u8] = b"\"usage\"";
 
 /// Counts the cost of one answer.
 pub trait CostMeter: Send + Sync {
@@ -66,12 +66,12 @@
 
 impl StreamMeter {
     fn end_line(&mut self) {
-        if let Some(data) = self.line.strip_prefix(DATA) {
+        if let Some(data) = self.line.strip_prefix(DATA_PREFIX) {
             let data = data.trim_ascii();
-            if data != DONE {
+            if data != DONE_MARKER {
                 self.events += 1;
             }
-            if contains(data, USAGE) {
+            if contains(data, USAGE_KEY) {
                 self.usage = usage_cost(data).or(self.usage);
             }
         }
@@ -84,7 +84,7 @@
         for byte in bytes {
             if *byte == b'\n' {
                 self.end_line();
-            } else if self.line.len() < MAX_BUFFER {
+            } else if self.line.len() < MAX_BUFFER_BYTES {
                 self.line.push(*byte);
             }
         }
@@ -103,7 +103,7 @@
 
 impl CostMeter for JsonMeter {
     fn observe(&mut self, bytes: &[u8]) {
-        if self.body.len() + bytes.len() <= MAX_BUFFER {
+        if self.body.len() + bytes.len() <= MAX_BUFFER_BYTES {
             self.body.extend_from_slice(bytes);
         }
     }
--- a/crates/micaspool-router/src/daemon.rs
+++ b/crates/micaspool-router/src/daemon.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 /// How often what endpoints asked for is looked at for what is over; only the log line waits for it.
-const REST_INTERVAL: Duration = Duration::from_millis(500);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A running router.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
     );
     traffic.register(&mut registry);
     let advice = AdviceBoard::new();
-    task::spawn(end_rests(Arc::downgrade(&advice)));
+    task::spawn(expire_advice(Arc::downgrade(&advice)));
     let parts = RouterParts {
         mirror: mirror.clone(),
         shards: ShardClientOptions {
@@ -100,10 +100,10 @@
 }
 
 /// Forgets what endpoints asked for once it is over, for as long as the router runs.
-async fn end_rests(advice: Weak<AdviceBoard>) {
+async fn expire_advice(advice: Weak<AdviceBoard>) {
     while let Some(advice) = advice.upgrade() {
         advice.expire();
-        task::sleep(REST_INTERVAL).await;
+        task::sleep(EXPIRY_INTERVAL).await;
     }
 }
 
--- a/crates/micaspool-router/src/endpoint.rs
+++ b/crates/micaspool-router/src/endpoint.rs
@@ -16,9 +16,9 @@
 /// The header by which an endpoint says that it is leaving.
 const DRAINING_HEADER: &str = "micaspool-draining";
 /// How long connecting to an endpoint may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The most bytes of a refusal that are read.
-const MAX_REFUSAL: u64 = 64 * 1024;
+const MAX_REFUSAL_BYTES: u64 = 64 * 1024;
 
 /// One request on its way to an endpoint.
 #[derive(Debug)]
@@ -43,24 +43,24 @@
 pub enum EndpointError {
     /// No connection could be made; nothing ran.
     Unreachable,
-    /// The endpoint is full; `proved` when it said itself that nothing ran.
+    /// The endpoint is full; `is_proved_not_run` when it said itself that nothing ran.
     Refused {
         /// True when the endpoint said that nothing ran.
-        proved: bool,
+        is_proved_not_run: bool,
         /// How long it wants nothing; zero when it does not say.
         rest: Duration,
     },
-    /// The endpoint takes no new work; `proved` when it said itself that nothing ran.
+    /// The endpoint takes no new work; `is_proved_not_run` when it said itself that nothing ran.
     Draining {
         /// True when the endpoint said that nothing ran.
-        proved: bool,
+        is_proved_not_run: bool,
     },
     /// The connection ended after the request may have been sent.
-    Severed,
+    ConnectionLost,
     /// The endpoint gave no answer, or none that can be read, after the request may have been sent.
-    Silent,
+    NoAnswer,
     /// The endpoint answered another request.
-    Mismatch,
+    WrongRequest,
 }
 
 impl EndpointError {
@@ -68,8 +68,9 @@
     pub fn is_not_run(self) -> bool {
         match self {
             EndpointError::Unreachable => true,
-            EndpointError::Refused { proved, .. } | EndpointError::Draining { proved } => proved,
-            EndpointError::Severed | EndpointError::Silent | EndpointError::Mismatch => false,
+            EndpointError::Refused { is_proved_not_run, .. }
+            | EndpointError::Draining { is_proved_not_run } => is_proved_not_run,
+            EndpointError::ConnectionLost | EndpointError::NoAnswer | EndpointError::WrongRequest => false,
         }
     }
 }
@@ -91,9 +92,9 @@
             EndpointError::Unreachable => "no connection; check that the endpoint runs",
             EndpointError::Refused { .. } => "the endpoint is full; check its slots in the settings",
             EndpointError::Draining { .. } => "the endpoint is leaving",
-            EndpointError::Severed => "the endpoint broke off; check it",
-            EndpointError::Silent => "the endpoint was silent; check it",
-            EndpointError::Mismatch => "the endpoint answered another request; take it out of use",
+            EndpointError::ConnectionLost => "the endpoint broke off; check it",
+            EndpointError::NoAnswer => "the endpoint was silent; check it",
+            EndpointError::WrongRequest => "the endpoint answered another request; take it out of use",
         })
     }
 }
@@ -116,15 +117,15 @@
     async fn send(&self, endpoint_call: EndpointCall<'_>) -> Result<EndpointAnswer, EndpointError> {
         let plan = endpoint_call.plan;
         let request = build_request(&endpoint_call).ok_or(EndpointError::Unreachable)?;
-        let limits = CallLimits { connect: CONNECT_LIMIT, silence: plan.policy.silence_limit };
+        let limits = CallLimits { connect: CONNECT_TIMEOUT, silence: plan.policy.silence_limit };
         let response = call(endpoint_call.address, request, limits).await.map_err(|error| match error {
             Error::Unreachable(_) => EndpointError::Unreachable,
-            Error::Broken => EndpointError::Severed,
-            Error::Silent | Error::Length | Error::Interim => EndpointError::Silent,
+            Error::Broken => EndpointError::ConnectionLost,
+            Error::Silent | Error::Length | Error::Interim => EndpointError::NoAnswer,
         })?;
-        let echo = response.header(REQUEST_HEADER).map(|values| values.last().as_str().to_owned());
-        if echo.is_some_and(|echo| echo != plan.request.to_string()) {
-            return Err(EndpointError::Mismatch);
+        let echoed_id = response.header(REQUEST_HEADER).map(|values| values.last().as_str().to_owned());
+        if echoed_id.is_some_and(|echoed_id| echoed_id != plan.request.to_string()) {
+            return Err(EndpointError::WrongRequest);
         }
         check_refusal(&endpoint_call, response).await
     }
@@ -157,19 +158,23 @@
     if !matches!(status, 429 | 503) {
         return Ok(EndpointAnswer { response });
     }
-    let says =
+    let has_header =
         |name: &str, value: &str| response.header(name).is_some_and(|values| values.last().as_str() == value);
-    let proved = says(RUN_HEADER, "not-run");
-    let draining = says(DRAINING_HEADER, "true");
-    let times = response.header("retry-after").into_iter().flatten();
-    let heard = HeardAdvice::read(true, times.map(|value| value.as_str()), false);
-    if let Some(fault) = &heard.fault {
+    let is_proved_not_run = has_header(RUN_HEADER, "not-run");
+    let draining = has_header(DRAINING_HEADER, "true");
+    let retry_after_values = response.header("retry-after").into_iter().flatten();
+    let parsed = HeardAdvice::read(true, retry_after_values.map(|value| value.as_str()), false);
+    if let Some(fault) = &parsed.fault {
         let fields =
             [field("request", call.plan.request), field("address", call.address), field("error", fault)];
         record(&events::ADVICE_UNREADABLE, &fields);
     }
-    let rest = heard.advice.rest;
-    let mut unread = Vec::new();
-    let _ = response.take_body().take(MAX_REFUSAL).read_to_end(&mut unread).await;
-    Err(if draining { EndpointError::Draining { proved } } else { EndpointError::Refused { proved, rest } })
+    let rest = parsed.advice.rest;
+    let mut discarded = Vec::new();
+    let _ = response.take_body().take(MAX_REFUSAL_BYTES).read_to_end(&mut discarded).await;
+    Err(if draining {
+        EndpointError::Draining { is_proved_not_run }
+    } else {
+        EndpointError::Refused { is_proved_not_run, rest }
+    })
 }
--- a/crates/micaspool-router/src/lib.rs
+++ b/crates/micaspool-router/src/lib.rs
@@ -20,7 +20,7 @@
 mod router;
 mod shard_client;
 
-pub use call::{CallPlan, OnceKey};
+pub use call::{CallPlan, IdempotencyKey};
 pub use claims::{ClaimLedger, ClaimOutcome, KeeperLedger};
 pub use cost::{meter_for, CostMeter};
 pub use daemon::{run_router, RouterDaemon};
--- a/crates/micaspool-router/src/limits.rs
+++ b/crates/micaspool-router/src/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The most request bytes that wait in one router, in all.
-const ROUTER_BYTES: u64 = 96 * 1024 * 1024;
+const MAX_ROUTER_BYTES: u64 = 96 * 1024 * 1024;
 /// When a request that found no room may come back.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -18,7 +18,7 @@
 
 #[derive(Debug, Default)]
 struct HeldBytes {
-    all: u64,
+    total: u64,
     customers: HashMap<CustomerName, u64>,
 }
 
@@ -32,17 +32,17 @@
 
 impl BodyBudget {
     /// Counts a body, or refuses it when the customer or the router holds too much.
-    pub fn take(&self, customer: &CustomerName, bytes: u64, limit: u64) -> Result<BodyGuard, Refusal> {
+    pub fn reserve(&self, customer: &CustomerName, bytes: u64, limit: u64) -> Result<BodyGuard, Refusal> {
         let mut held = self.held.lock().expect("no holder of the counts panics");
-        let own = held.customers.get(customer).copied().unwrap_or(0);
-        if own.saturating_add(bytes) > limit {
+        let customer_bytes = held.customers.get(customer).copied().unwrap_or(0);
+        if customer_bytes.saturating_add(bytes) > limit {
             return Err(Refusal::not_run(RefusalKind::CustomerBacklogFull).after(RETRY_AFTER));
         }
-        if held.all.saturating_add(bytes) > ROUTER_BYTES {
+        if held.total.saturating_add(bytes) > MAX_ROUTER_BYTES {
             return Err(Refusal::not_run(RefusalKind::FleetBacklogFull).after(RETRY_AFTER));
         }
-        held.all += bytes;
-        held.customers.insert(customer.clone(), own + bytes);
+        held.total += bytes;
+        held.customers.insert(customer.clone(), customer_bytes + bytes);
         Ok(BodyGuard { budget: self.clone(), customer: customer.clone(), bytes })
     }
 }
@@ -50,12 +50,13 @@
 impl Drop for BodyGuard {
     fn drop(&mut self) {
         let mut held = self.budget.held.lock().expect("no holder of the counts panics");
-        held.all -= self.bytes;
-        let own = held.customers.get(&self.customer).copied().unwrap_or(0).saturating_sub(self.bytes);
-        if own == 0 {
+        held.total -= self.bytes;
+        let customer_bytes =
+            held.customers.get(&self.customer).copied().unwrap_or(0).saturating_sub(self.bytes);
+        if customer_bytes == 0 {
             held.customers.remove(&self.customer);
         } else {
-            held.customers.insert(self.customer.clone(), own);
+            held.customers.insert(self.customer.clone(), customer_bytes);
         }
     }
 }
--- a/crates/micaspool-router/src/relay.rs
+++ b/crates/micaspool-router/src/relay.rs
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll};
 
 /// How much is read from an endpoint at once.
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
 /// Reads an endpoint's body, counts its cost, and ends the grant with it.
 ///
@@ -27,7 +27,7 @@
     span: Option<HopSpan>,
     buffer: Vec<u8>,
     filled: usize,
-    taken: usize,
+    consumed: usize,
 }
 
 impl AnswerRelay {
@@ -44,13 +44,13 @@
             lease: Some(lease),
             metrics,
             span: Some(span),
-            buffer: vec![0; BUFFER],
+            buffer: vec![0; BUFFER_BYTES],
             filled: 0,
-            taken: 0,
+            consumed: 0,
         }
     }
 
-    fn end(&mut self, fate: GrantFate) {
+    fn settle_once(&mut self, fate: GrantFate) {
         let cost = self.meter.cost();
         if let Some(lease) = self.lease.take() {
             lease.settle(cost, fate);
@@ -61,9 +61,9 @@
         }
     }
 
-    fn note(&mut self, count: usize) {
+    fn record_read(&mut self, count: usize) {
         if count == 0 {
-            self.end(GrantFate::Done);
+            self.settle_once(GrantFate::Done);
             return;
         }
         self.meter.observe(&self.buffer[..count]);
@@ -74,20 +74,20 @@
     }
 
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.taken < self.filled || self.lease.is_none() {
+        if self.consumed < self.filled || self.lease.is_none() {
             return Poll::Ready(Ok(()));
         }
         let result = Pin::new(&mut self.body).poll_read(cx, &mut self.buffer);
         match result {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Ok(count)) => {
-                self.taken = 0;
+                self.consumed = 0;
                 self.filled = count;
-                self.note(count);
+                self.record_read(count);
                 Poll::Ready(Ok(()))
             }
             Poll::Ready(Err(error)) => {
-                self.end(GrantFate::Severed);
+                self.settle_once(GrantFate::Severed);
                 Poll::Ready(Err(error))
             }
         }
@@ -96,7 +96,7 @@
 
 impl Drop for AnswerRelay {
     fn drop(&mut self) {
-        self.end(GrantFate::Abandoned);
+        self.settle_once(GrantFate::Abandoned);
     }
 }
 
@@ -106,10 +106,10 @@
             Poll::Pending => Poll::Pending,
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
             Poll::Ready(Ok(())) => {
-                let ready = &self.buffer[self.taken..self.filled];
+                let ready = &self.buffer[self.consumed..self.filled];
                 let count = ready.len().min(buf.len());
                 buf[..count].copy_from_slice(&ready[..count]);
-                self.taken += count;
+                self.consumed += count;
                 Poll::Ready(Ok(count))
             }
         }
@@ -122,11 +122,11 @@
         match this.poll_fill(cx) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
-            Poll::Ready(Ok(())) => Poll::Ready(Ok(&this.buffer[this.taken..this.filled])),
+            Poll::Ready(Ok(())) => Poll::Ready(Ok(&this.buffer[this.consumed..this.filled])),
         }
     }
 
     fn consume(self: Pin<&mut Self>, amount: usize) {
-        self.get_mut().taken += amount;
+        self.get_mut().consumed += amount;
     }
 }
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -26,7 +26,7 @@
 /// How often a grant that can't be used is exchanged for another.
 const MAX_UNUSABLE_GRANTS: u32 = 5;
 /// The largest answer of a call that may not be repeated.
-const MAX_ONCE_ANSWER: u64 = 32 * 1024 * 1024;
+const MAX_RECORDED_ANSWER: u64 = 32 * 1024 * 1024;
 
 /// A grant whose endpoint may be used by the newest settings.
 struct UsableGrant {
@@ -47,7 +47,7 @@
 /// Why a request did not get its answer yet.
 pub(super) enum AttemptEnd {
     /// Try again, with the endpoint that failed left out.
-    Again(EndpointName),
+    Retry(EndpointName),
     /// This is the final answer.
     Refused(Refusal),
 }
@@ -63,7 +63,7 @@
     ) -> Result<Response, AttemptEnd> {
         let mut grant =
             self.usable_grant(plan, watch, traceparent, state).await.map_err(AttemptEnd::Refused)?;
-        if plan.once.is_some() && state.claim.is_none() {
+        if plan.idempotency.is_some() && state.claim.is_none() {
             match self.claim(plan, traceparent).await.map_err(AttemptEnd::Refused)? {
                 ClaimOutcome::Granted(token) => state.claim = Some(token),
                 ClaimOutcome::Answered(response) => return Ok(*response),
@@ -82,7 +82,7 @@
             Ok(answer) => self.deliver(plan, grant, answer, span, state).await,
             Err(error) => {
                 state.may_have_run |= !error.is_not_run();
-                Err(self.note_failure(plan, grant, error))
+                Err(self.handle_failure(plan, grant, error))
             }
         }
     }
@@ -117,7 +117,7 @@
                     field("rest_ms", advice.advice.rest.as_millis()),
                 ];
                 record(&events::GRANT_UNUSABLE, &fields);
-                self.shard(&plan.service).advise(advice);
+                self.shard(&plan.service).report_advice(advice);
                 lease.settle(Cost(0), GrantFate::NotHeld);
                 continue;
             }
@@ -142,7 +142,7 @@
         state: &AttemptState,
     ) -> Result<GrantLease, Refusal> {
         let started = BootInstant::now();
-        let left = state.deadline.saturating_duration_since(started);
+        let time_left = state.deadline.saturating_duration_since(started);
         let shard = self.shard(&plan.service);
         let ticket = plan.ticket(state.attempt, state.avoid.clone());
         if ticket.attempt == 0 && ticket.order.is_none() {
@@ -151,7 +151,7 @@
         let grant = shard.acquire(ticket, Some(span.traceparent()));
         let hung_up = watch.hung_up();
         pin_mut!(grant, hung_up);
-        match timeout(left, select(grant, hung_up)).await {
+        match timeout(time_left, select(grant, hung_up)).await {
             Ok(Either::Left((result, _))) => {
                 self.metrics.wait_seconds.observe(started.elapsed().as_secs_f64());
                 result
@@ -172,25 +172,25 @@
         matching.next().map(|spec| spec.address)
     }
 
-    fn note_failure(&self, plan: &CallPlan, grant: UsableGrant, error: EndpointError) -> AttemptEnd {
+    fn handle_failure(&self, plan: &CallPlan, grant: UsableGrant, error: EndpointError) -> AttemptEnd {
         let endpoint = grant.lease.endpoint().clone();
         let kind = match error {
-            EndpointError::Mismatch => &events::ANSWER_MISMATCH,
+            EndpointError::WrongRequest => &events::ANSWER_MISMATCH,
             _ => &events::ENDPOINT_FAILED,
         };
         let fields = [field("request", plan.request), field("endpoint", &endpoint), field("error", error)];
         record(kind, &fields);
-        self.heed(plan, &endpoint, error);
+        self.apply_advice(plan, &endpoint, error);
         let fate = match error {
             EndpointError::Unreachable => GrantFate::Unreachable,
             EndpointError::Refused { .. } => GrantFate::Refused,
             EndpointError::Draining { .. } => GrantFate::Draining,
-            EndpointError::Severed => GrantFate::Severed,
-            EndpointError::Silent | EndpointError::Mismatch => GrantFate::Broken,
+            EndpointError::ConnectionLost => GrantFate::Severed,
+            EndpointError::NoAnswer | EndpointError::WrongRequest => GrantFate::Broken,
         };
         grant.lease.settle(Cost(0), fate);
         if error.is_not_run() || plan.repeatable {
-            AttemptEnd::Again(endpoint)
+            AttemptEnd::Retry(endpoint)
         } else {
             AttemptEnd::Refused(Refusal::unknown(RefusalKind::EndpointFailed))
         }
@@ -198,12 +198,12 @@
 
     /// Takes in for how long an endpoint that turned a request away wants nothing. The dispatcher hears of it before the
     /// grant ends.
-    fn heed(&self, plan: &CallPlan, endpoint: &EndpointName, error: EndpointError) {
+    fn apply_advice(&self, plan: &CallPlan, endpoint: &EndpointName, error: EndpointError) {
         let request = plan.request.to_string();
         let source = AdviceSource { endpoint, service: &plan.service, request: &request };
         let advice = EndpointAdvice { rest: error.rest(), leaving: false };
         if let Some(advice) = self.parts.shards.advice.hear(source, advice) {
-            self.shard(&plan.service).advise(advice);
+            self.shard(&plan.service).report_advice(advice);
         }
     }
 
@@ -215,18 +215,19 @@
         span: HopSpan,
         state: &mut AttemptState,
     ) -> Result<Response, AttemptEnd> {
-        let mut from = answer.response;
-        let content_type = from.header("content-type").map(|values| values.last().as_str().to_owned());
+        let mut upstream = answer.response;
+        let content_type = upstream.header("content-type").map(|values| values.last().as_str().to_owned());
         let content_type = content_type.unwrap_or_else(|| "application/octet-stream".to_owned());
         let endpoint = grant.lease.endpoint().clone();
-        let length = from.len();
+        let length = upstream.len();
         let meter = meter_for(plan.kind, &content_type);
-        let relay = AnswerRelay::new(from.take_body(), meter, grant.lease, self.metrics.clone(), span);
-        let mut response = Response::new(from.status());
+        let relay = AnswerRelay::new(upstream.take_body(), meter, grant.lease, self.metrics.clone(), span);
+        let mut response = Response::new(upstream.status());
         match state.claim {
             Some(token) => {
-                let body =
-                    self.collect_once(plan, token, relay, u16::from(from.status()), &content_type).await?;
+                let body = self
+                    .collect_and_record(plan, token, relay, u16::from(upstream.status()), &content_type)
+                    .await?;
                 state.claim = None;
                 response.set_body(body);
             }
@@ -239,7 +240,7 @@
 
     /// Reads the whole answer of a call that may not be repeated and records it before anyone
     /// sees it.
-    async fn collect_once(
+    async fn collect_and_record(
         &self,
         plan: &CallPlan,
         token: u64,
@@ -248,12 +249,12 @@
         content_type: &str,
     ) -> Result<Vec<u8>, AttemptEnd> {
         let mut body = Vec::new();
-        let mut reader = relay.take(MAX_ONCE_ANSWER);
+        let mut reader = relay.take(MAX_RECORDED_ANSWER);
         let read = reader.read_to_end(&mut body).await;
         if read.is_err() || status >= 500 {
             return Err(AttemptEnd::Refused(Refusal::unknown(RefusalKind::EndpointFailed)));
         }
-        self.parts.ledger.answered(plan, token, status, content_type, &body).await;
+        self.parts.ledger.record_answer(plan, token, status, content_type, &body).await;
         Ok(body)
     }
 }
--- a/crates/micaspool-router/src/router/mod.rs
+++ b/crates/micaspool-router/src/router/mod.rs
@@ -103,13 +103,13 @@
             key: header("idempotency-key"),
             body: request.body,
         };
-        let plan = CallPlan::make(&policy, parts)?;
+        let plan = CallPlan::new(&policy, parts)?;
         span.set("customer", &plan.customer);
         span.set("service", &plan.service);
         let guard =
-            self.budget.take(&plan.customer, plan.body.len() as u64, plan.policy.max_waiting_bytes)?;
+            self.budget.reserve(&plan.customer, plan.body.len() as u64, plan.policy.max_waiting_bytes)?;
         let traceparent = span.traceparent();
-        if plan.once.is_some() {
+        if plan.idempotency.is_some() {
             return self.run_detached(plan, request.watch, traceparent, guard).await;
         }
         let _guard = guard;
@@ -152,10 +152,10 @@
             match self.attempt(plan, watch, traceparent, &mut state).await {
                 Ok(response) => return Ok(response),
                 Err(AttemptEnd::Refused(refusal)) => break refusal,
-                Err(AttemptEnd::Again(_)) if state.attempt + 1 >= MAX_ATTEMPTS => {
+                Err(AttemptEnd::Retry(_)) if state.attempt + 1 >= MAX_ATTEMPTS => {
                     break Refusal::not_run(RefusalKind::RetriesExhausted).after(RETRY_AFTER);
                 }
-                Err(AttemptEnd::Again(endpoint)) => {
+                Err(AttemptEnd::Retry(endpoint)) => {
                     self.metrics.retries.inc();
                     state.attempt += 1;
                     state.avoid = Some(endpoint);
@@ -166,17 +166,17 @@
             result.run = RunState::Unknown;
         }
         if let Some(token) = state.claim {
-            self.end_claim(plan, token, &result).await;
+            self.finish_claim(plan, token, &result).await;
         }
         Err(result)
     }
 
     /// Frees the key of a call that provably did not run; otherwise records that it may have.
-    async fn end_claim(&self, plan: &CallPlan, token: u64, refusal: &Refusal) {
+    async fn finish_claim(&self, plan: &CallPlan, token: u64, refusal: &Refusal) {
         if refusal.run == RunState::NotRun {
             self.parts.ledger.release(plan, token).await;
         } else {
-            self.parts.ledger.unknown(plan, token).await;
+            self.parts.ledger.record_unknown(plan, token).await;
         }
     }
 }
--- a/crates/micaspool-router/src/shard_client/lease.rs
+++ b/crates/micaspool-router/src/shard_client/lease.rs
@@ -28,8 +28,8 @@
     request: RequestId,
     terms: LeaseTerms,
     delivered: Cost,
-    told: Cost,
-    told_at: BootInstant,
+    reported: Cost,
+    reported_at: BootInstant,
     sent: bool,
     ended: bool,
 }
@@ -41,8 +41,8 @@
             request,
             terms,
             delivered: Cost(0),
-            told: Cost(0),
-            told_at: BootInstant::now(),
+            reported: Cost(0),
+            reported_at: BootInstant::now(),
             sent: false,
             ended: false,
         }
@@ -72,26 +72,27 @@
     /// Notes how much was delivered, and tells the dispatcher at the beginning and now and then.
     pub fn progress(&mut self, delivered: Cost) {
         self.delivered = delivered;
-        let grown = delivered.0.saturating_sub(self.told.0);
-        let begins = self.told == Cost(0) && grown > 0;
-        let due =
-            begins || grown >= PROGRESS_STEP || (grown > 0 && self.told_at.elapsed() >= PROGRESS_INTERVAL);
-        if due {
-            self.told = delivered;
-            self.told_at = BootInstant::now();
-            self.client.held().progress(self.request, delivered);
+        let unreported = delivered.0.saturating_sub(self.reported.0);
+        let is_first = self.reported == Cost(0) && unreported > 0;
+        let is_due = is_first
+            || unreported >= PROGRESS_STEP
+            || (unreported > 0 && self.reported_at.elapsed() >= PROGRESS_INTERVAL);
+        if is_due {
+            self.reported = delivered;
+            self.reported_at = BootInstant::now();
+            self.client.lock_state().progress(self.request, delivered);
         }
     }
 
     /// Ends the grant.
     pub fn settle(mut self, cost: Cost, fate: GrantFate) {
-        self.end(cost, fate);
+        self.end_once(cost, fate);
     }
 
-    fn end(&mut self, cost: Cost, fate: GrantFate) {
+    fn end_once(&mut self, cost: Cost, fate: GrantFate) {
         if !self.ended {
             self.ended = true;
-            self.client.held().settle(self.request, cost, fate);
+            self.client.lock_state().settle(self.request, cost, fate);
         }
     }
 }
@@ -99,6 +100,6 @@
 impl Drop for GrantLease {
     fn drop(&mut self) {
         let fate = if self.sent { GrantFate::Abandoned } else { GrantFate::Unsent };
-        self.end(self.delivered, fate);
+        self.end_once(self.delivered, fate);
     }
 }
--- a/crates/micaspool-router/src/shard_client/link.rs
+++ b/crates/micaspool-router/src/shard_client/link.rs
@@ -19,22 +19,22 @@
 use tonic::transport::Channel;
 
 /// How often a heartbeat is sent.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// How often a router looks at what is known of its dispatchers.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A dispatcher that did not answer a heartbeat for this long is left.
-const SILENCE_LIMIT: Duration = Duration::from_millis(2_500);
+const PULSE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A dispatcher that said nothing for this long since a ticket was sent to it is left. It answers within
 /// some ten milliseconds, and within 300 when its processor is used up. Requests that wait for a dispatcher
 /// without power are held for this long, and not until its keeper has been silent for 2.5 s as well.
-const ANSWER_LIMIT: Duration = Duration::from_millis(900);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
 /// How long opening a stream may take.
-const OPEN_LIMIT: Duration = Duration::from_secs(1);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 /// The bounds of a pause before the next step.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
-const LONGEST_WAIT: Duration = Duration::from_millis(200);
+const MIN_WAIT: Duration = Duration::from_millis(1);
+const MAX_WAIT: Duration = Duration::from_millis(200);
 /// The largest message from a dispatcher.
-const MAX_MESSAGE: usize = 4 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a stream was lost.
 #[derive(Clone, Copy, Debug)]
@@ -42,9 +42,9 @@
     /// The connection ended, or the dispatcher closed the stream.
     Ended,
     /// The dispatcher did not answer heartbeats.
-    Silent,
+    NoPulse,
     /// It did not answer tickets.
-    Unanswered,
+    NoReply,
     /// Another stream to its process was lost, or it is no longer listed.
     ProcessLost,
     /// It could not be opened.
@@ -56,8 +56,8 @@
     fn as_str(self) -> &'static str {
         match self {
             LossReason::Ended => "ended",
-            LossReason::Silent => "silent",
-            LossReason::Unanswered => "unanswered",
+            LossReason::NoPulse => "silent",
+            LossReason::NoReply => "unanswered",
             LossReason::ProcessLost => "process-lost",
             LossReason::Unreachable => "unreachable",
         }
@@ -71,7 +71,7 @@
     /// The dispatcher asked for a new one.
     Moved,
     /// A higher-ranked dispatcher answers again.
-    Better,
+    HigherRanked,
     /// Nobody needs the shard any more.
     Unused,
 }
@@ -116,7 +116,7 @@
 }
 
 /// Works until the client is gone.
-pub(super) async fn keep_linked(client: Weak<ShardClient>) {
+pub(super) async fn maintain_link(client: Weak<ShardClient>) {
     let Some(mut link) = client.upgrade().map(|client| LinkChoice::new(&client)) else { return };
     loop {
         let Some(client) = client.upgrade() else { return };
@@ -129,10 +129,10 @@
             }
             ChoiceStep::Wait(until) => {
                 drop(client);
-                let wait = until.since(link.now()).clamp(SHORTEST_WAIT, LONGEST_WAIT);
+                let wait = until.since(link.now()).clamp(MIN_WAIT, MAX_WAIT);
                 tokio::time::sleep(wait).await;
             }
-            ChoiceStep::Probe(_) => tokio::time::sleep(SHORTEST_WAIT).await,
+            ChoiceStep::Probe(_) => tokio::time::sleep(MIN_WAIT).await,
         }
     }
 }
@@ -140,14 +140,14 @@
 /// Speaks to one candidate for as long as that goes.
 async fn use_candidate(client: &Arc<ShardClient>, link: &mut LinkChoice, rank: usize) -> LinkEnd {
     let Some(messages) = open_stream(client, &link.candidates[rank].address).await else {
-        client.held().unlink();
+        client.lock_state().unlink();
         link.choice.failed(link.now(), rank);
         return LinkEnd::Lost(LossReason::Unreachable);
     };
     link.choice.connected(rank);
-    client.held().linked();
+    client.lock_state().confirm_link();
     let end = run_stream(client, messages, link).await;
-    client.held().unlink();
+    client.lock_state().unlink();
     // Without a place in the list any more, nothing is to be noted of it.
     let Some(rank) = link.choice.current() else { return end };
     match end {
@@ -161,7 +161,7 @@
             record(&events::SESSION_LOST, &fields);
             link.choice.failed(link.now(), rank);
         }
-        LinkEnd::Moved | LinkEnd::Better => link.choice.left(rank),
+        LinkEnd::Moved | LinkEnd::HigherRanked => link.choice.left(rank),
         LinkEnd::Unused => {}
     }
     end
@@ -173,12 +173,12 @@
     let messages = match address {
         DispatcherAddress::Remote(remote) => {
             let channel = socket::connect(*remote, client.options.counter.clone()).await.ok()?;
-            greet(client, sender);
+            queue_hello(client, sender);
             open_remote(channel, receiver).await?
         }
         DispatcherAddress::Local(local) => {
-            greet(client, sender);
-            timeout(OPEN_LIMIT, local.open(receiver)).await.ok()??
+            queue_hello(client, sender);
+            timeout(OPEN_TIMEOUT, local.open(receiver)).await.ok()??
         }
     };
     record(&events::SESSION_OPEN, &[field("service", client.service()), field("dispatcher", address)]);
@@ -186,18 +186,18 @@
 }
 
 /// Queues the hello; what is sent from here on follows it.
-fn greet(client: &ShardClient, sender: Sender<v1::RouterMessage>) {
-    let mut held = client.held();
-    let hello = client.hello(&mut held);
+fn queue_hello(client: &ShardClient, sender: Sender<v1::RouterMessage>) {
+    let mut state = client.lock_state();
+    let hello = client.hello(&mut state);
     sender.try_send(hello).expect("a new channel without a bound takes a message");
-    held.link(sender);
+    state.attach_link(sender);
 }
 
 async fn open_remote(channel: Channel, messages: Receiver<v1::RouterMessage>) -> Option<MessageStream> {
     let mut wire = DispatchClient::new(channel)
-        .max_decoding_message_size(MAX_MESSAGE)
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
         .max_encoding_message_size(usize::MAX);
-    let reply = timeout(OPEN_LIMIT, wire.session(messages)).await.ok()?.ok()?;
+    let reply = timeout(OPEN_TIMEOUT, wire.session(messages)).await.ok()?.ok()?;
     Some(Box::pin(reply.into_inner()))
 }
 
@@ -208,12 +208,12 @@
 ) -> LinkEnd {
     let (probes, probe_results) = bounded(1);
     let mut probing = false;
-    let mut next_beat = BootInstant::now() + HEARTBEAT;
-    let mut next_look = BootInstant::now() + LOOK;
+    let mut next_heartbeat = BootInstant::now() + HEARTBEAT_INTERVAL;
+    let mut next_check = BootInstant::now() + CHECK_INTERVAL;
     loop {
         if !probing {
             match link.choice.next(link.now()) {
-                ChoiceStep::Connect(_) => return LinkEnd::Better,
+                ChoiceStep::Connect(_) => return LinkEnd::HigherRanked,
                 ChoiceStep::Probe(rank) => {
                     probing = true;
                     start_probe(client, link.candidates[rank].address.clone(), probes.clone());
@@ -221,31 +221,31 @@
                 ChoiceStep::Wait(_) => {}
             }
         }
-        match next_message(&mut messages, &probe_results, next_beat.min(next_look)).await {
-            StreamNews::Message(message) => {
-                let goes_on = client.held().take(message);
-                if !goes_on {
+        match next_message(&mut messages, &probe_results, next_heartbeat.min(next_check)).await {
+            StreamEvent::Message(message) => {
+                let keeps_stream = client.lock_state().handle_message(message);
+                if !keeps_stream {
                     return LinkEnd::Moved;
                 }
             }
-            StreamNews::End => return LinkEnd::Lost(LossReason::Ended),
-            StreamNews::Probed(address, answered) => {
+            StreamEvent::End => return LinkEnd::Lost(LossReason::Ended),
+            StreamEvent::Probed(address, answered) => {
                 probing = false;
                 if let Some(rank) = link.rank_of(&address) {
                     link.choice.probed(link.now(), rank, answered);
                 }
             }
-            StreamNews::LookDue => {
-                next_look = BootInstant::now() + LOOK;
-                if let Some(reason) = loss(client, link) {
+            StreamEvent::CheckDue => {
+                next_check = BootInstant::now() + CHECK_INTERVAL;
+                if let Some(reason) = loss_reason(client, link) {
                     return LinkEnd::Lost(reason);
                 }
                 if Arc::strong_count(client) == 1 {
                     return LinkEnd::Unused;
                 }
-                if BootInstant::now() >= next_beat {
-                    next_beat = BootInstant::now() + HEARTBEAT;
-                    client.held().beat();
+                if BootInstant::now() >= next_heartbeat {
+                    next_heartbeat = BootInstant::now() + HEARTBEAT_INTERVAL;
+                    client.lock_state().send_heartbeat();
                 }
             }
         }
@@ -253,39 +253,39 @@
 }
 
 /// Why the present stream should be left, if it should.
-fn loss(client: &ShardClient, link: &mut LinkChoice) -> Option<LossReason> {
+fn loss_reason(client: &ShardClient, link: &mut LinkChoice) -> Option<LossReason> {
     if !link.refresh(client) {
         return Some(LossReason::ProcessLost);
     }
-    let held = client.held();
-    if held.unanswered_for() > ANSWER_LIMIT {
-        return Some(LossReason::Unanswered);
+    let state = client.lock_state();
+    if state.unanswered_for() > REPLY_TIMEOUT {
+        return Some(LossReason::NoReply);
     }
-    (held.silence() > SILENCE_LIMIT).then_some(LossReason::Silent)
+    (state.time_since_pulse() > PULSE_TIMEOUT).then_some(LossReason::NoPulse)
 }
 
-enum StreamNews {
+enum StreamEvent {
     Message(v1::DispatcherMessage),
     End,
     Probed(DispatcherAddress, bool),
-    LookDue,
+    CheckDue,
 }
 
 async fn next_message(
     messages: &mut MessageStream,
     probes: &Receiver<(DispatcherAddress, bool)>,
     until: BootInstant,
-) -> StreamNews {
+) -> StreamEvent {
     let wait = until.saturating_duration_since(BootInstant::now());
     let message = messages.next();
     let probe = probes.recv();
     pin_mut!(message, probe);
     match timeout(wait, select(message, probe)).await {
-        Err(_) => StreamNews::LookDue,
-        Ok(Either::Left((Some(Ok(message)), _))) => StreamNews::Message(message),
-        Ok(Either::Left(_)) => StreamNews::End,
-        Ok(Either::Right((Ok((address, answered)), _))) => StreamNews::Probed(address, answered),
-        Ok(Either::Right((Err(_), _))) => StreamNews::LookDue,
+        Err(_) => StreamEvent::CheckDue,
+        Ok(Either::Left((Some(Ok(message)), _))) => StreamEvent::Message(message),
+        Ok(Either::Left(_)) => StreamEvent::End,
+        Ok(Either::Right((Ok((address, answered)), _))) => StreamEvent::Probed(address, answered),
+        Ok(Either::Right((Err(_), _))) => StreamEvent::CheckDue,
     }
 }
 
@@ -294,7 +294,7 @@
     let counter = client.options.counter.clone();
     tokio::spawn(async move {
         let answered = match &address {
-            DispatcherAddress::Remote(remote) => answers(*remote, counter).await,
+            DispatcherAddress::Remote(remote) => is_answering(*remote, counter).await,
             DispatcherAddress::Local(_) => true,
         };
         // The stream that wanted to know may have ended meanwhile.
@@ -302,8 +302,8 @@
     });
 }
 
-async fn answers(address: SocketAddr, counter: TrafficCounter) -> bool {
+async fn is_answering(address: SocketAddr, counter: TrafficCounter) -> bool {
     let Ok(channel) = socket::connect(address, counter).await else { return false };
     let status = async { DispatchClient::new(channel).status(v1::StatusRequest {}).await.is_ok() };
-    timeout(OPEN_LIMIT, status).await.unwrap_or(false)
+    timeout(OPEN_TIMEOUT, status).await.unwrap_or(false)
 }
--- a/crates/micaspool-router/src/shard_client/mod.rs
+++ b/crates/micaspool-router/src/shard_client/mod.rs
@@ -1,9 +1,9 @@
 //! This router's part of one shard.
 
 mod dispatchers;
-mod held;
 mod lease;
 mod link;
+mod state;
 
 pub use dispatchers::{
     DispatcherAddress, DispatcherCandidate, DispatcherList, ListedDispatchers, LocalDispatcher, MessageStream,
@@ -11,7 +11,6 @@
 pub use lease::GrantLease;
 
 use async_std::channel::bounded;
-use held::{HeldWork, WaitResult, WaitingEntry};
 use micaspool_backpressure::AdviceBoard;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::RequestTicket;
@@ -21,11 +20,12 @@
 };
 use micaspool_wire::v1;
 use serde_json::json;
+use state::{ShardState, WaitResult, WaitingEntry};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 /// After this time without any dispatcher new requests are refused at once.
-const UNREACHABLE_LIMIT: Duration = Duration::from_secs(2);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// When a request that found no dispatcher may come back.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
@@ -51,20 +51,20 @@
 pub struct ShardClient {
     service: ServiceName,
     options: ShardClientOptions,
-    held: Mutex<HeldWork>,
+    state: Mutex<ShardState>,
 }
 
 /// Gives a waiting request up when its caller no longer waits.
 struct WaitGuard {
     client: Arc<ShardClient>,
     request: RequestId,
-    armed: bool,
+    is_armed: bool,
 }
 
 impl Drop for WaitGuard {
     fn drop(&mut self) {
-        if self.armed {
-            self.client.give_up(self.request);
+        if self.is_armed {
+            self.client.cancel(self.request);
         }
     }
 }
@@ -72,16 +72,16 @@
 impl ShardClient {
     /// Starts to look for a dispatcher.
     pub fn start(service: ServiceName, options: ShardClientOptions) -> Arc<ShardClient> {
-        let held = Mutex::new(HeldWork::new(BootInstant::now()));
-        let client = Arc::new(ShardClient { service, options, held });
-        tokio::spawn(link::keep_linked(Arc::downgrade(&client)));
+        let state = Mutex::new(ShardState::new(BootInstant::now()));
+        let client = Arc::new(ShardClient { service, options, state });
+        tokio::spawn(link::maintain_link(Arc::downgrade(&client)));
         client
     }
 
     /// Says whether a new request of a customer may be submitted. Most of what the dispatcher would refuse is refused
     /// here, before its router has spent anything on it. Asked once for each request.
     pub fn admit(&self, customer: &CustomerName) -> Result<(), Refusal> {
-        self.held().throttle(customer)
+        self.lock_state().check_throttle(customer)
     }
 
     /// Waits until the request may run. Dropping the future gives the request up.
@@ -93,9 +93,9 @@
         let request = ticket.request;
         let (sender, receiver) = bounded(1);
         self.submit(ticket, sender, traceparent)?;
-        let mut guard = WaitGuard { client: self.clone(), request, armed: true };
+        let mut guard = WaitGuard { client: self.clone(), request, is_armed: true };
         let result = receiver.recv().await;
-        guard.armed = false;
+        guard.is_armed = false;
         match result {
             Ok(Ok(grant)) => Ok(GrantLease::new(self.clone(), request, grant)),
             Ok(Err(refusal)) => Err(refusal),
@@ -104,8 +104,8 @@
     }
 
     /// Tells the dispatcher what an endpoint asked of this router; one that is met later hears of it at first.
-    pub fn advise(&self, advice: AdviceRecord) {
-        self.held().advise(&advice);
+    pub fn report_advice(&self, advice: AdviceRecord) {
+        self.lock_state().report_advice(&advice);
     }
 
     /// The service of the shard.
@@ -115,12 +115,12 @@
 
     /// True while a dispatcher is reached.
     pub fn is_linked(&self) -> bool {
-        self.held().is_linked()
+        self.lock_state().is_linked()
     }
 
     /// The number of waiting and of running requests.
     pub fn counts(&self) -> (usize, usize) {
-        self.held().counts()
+        self.lock_state().counts()
     }
 
     /// What operators see of it.
@@ -140,28 +140,28 @@
         waiter: async_std::channel::Sender<WaitResult>,
         traceparent: Option<String>,
     ) -> Result<(), Refusal> {
-        let mut held = self.held();
-        if held.unreachable_for() > UNREACHABLE_LIMIT {
+        let mut state = self.lock_state();
+        if state.unreachable_for() > UNREACHABLE_TIMEOUT {
             return Err(Refusal::not_run(RefusalKind::NoDispatcher).after(RETRY_AFTER));
         }
-        held.add_waiting(WaitingEntry { ticket, traceparent: traceparent.unwrap_or_default(), waiter });
+        state.add_waiting(WaitingEntry { ticket, traceparent: traceparent.unwrap_or_default(), waiter });
         Ok(())
     }
 
-    fn give_up(&self, request: RequestId) {
-        self.held().give_up(request);
+    fn cancel(&self, request: RequestId) {
+        self.lock_state().cancel(request);
     }
 
-    fn held(&self) -> std::sync::MutexGuard<'_, HeldWork> {
-        self.held.lock().expect("no holder of the requests panics")
+    fn lock_state(&self) -> std::sync::MutexGuard<'_, ShardState> {
+        self.state.lock().expect("no holder of the requests panics")
     }
 
-    fn hello(&self, held: &mut HeldWork) -> v1::RouterMessage {
+    fn hello(&self, state: &mut ShardState) -> v1::RouterMessage {
         let advice = self.options.advice.records(&self.service);
-        let hello = held.hello(&self.options, advice);
+        let hello = state.build_hello(&self.options, advice);
         let mut message = micaspool_wire::convert::hello_message(&self.service, &self.options.hall, &hello);
         for submit in &mut message.waiting {
-            submit.traceparent = held.traceparent_of(&submit.request);
+            submit.traceparent = state.traceparent_of(&submit.request);
         }
         v1::RouterMessage { body: Some(v1::router_message::Body::Hello(message)) }
     }
--- a/crates/micaspool-router/src/shard_client/held.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -24,16 +24,16 @@
 
 /// Levels that are older than this are not told to a new dispatcher: a customer that was idle for
 /// so long starts from the others' level in any case.
-const TOTAL_LIFE: Duration = Duration::from_secs(60);
+const TOTAL_MAX_AGE: Duration = Duration::from_secs(60);
 /// The most requests under which endpoints ended that a router remembers, in all and of one customer. A hello of all
 /// is some 25 KB.
 const CRASH_CAPACITY: (usize, usize) = (256, 64);
 /// How many heartbeats are remembered, to anchor leases.
-const HEARTBEATS: usize = 64;
+const MAX_HEARTBEATS: usize = 64;
 
 fn crash_options() -> QuarantineOptions {
-    let (all, of_one) = CRASH_CAPACITY;
-    QuarantineOptions::builder().capacity(all, of_one).build()
+    let (total, per_customer) = CRASH_CAPACITY;
+    QuarantineOptions::builder().capacity(total, per_customer).build()
 }
 
 /// What a waiting request gets.
@@ -52,12 +52,12 @@
 struct KnownTotal {
     level: ServiceLevel,
     order: OrderNumber,
-    heard: BootInstant,
+    updated_at: BootInstant,
 }
 
 /// The requests, grants and levels of one shard that this router holds.
 #[derive(Debug)]
-pub(super) struct HeldWork {
+pub(super) struct ShardState {
     waiting: HashMap<RequestId, WaitingEntry>,
     running: HashMap<RequestId, HeldGrant>,
     totals: HashMap<CustomerName, KnownTotal>,
@@ -76,9 +76,9 @@
     unanswered_since: Option<BootInstant>,
 }
 
-impl HeldWork {
-    pub fn new(now: BootInstant) -> HeldWork {
-        HeldWork {
+impl ShardState {
+    pub fn new(now: BootInstant) -> ShardState {
+        ShardState {
             waiting: HashMap::new(),
             running: HashMap::new(),
             totals: HashMap::new(),
@@ -107,7 +107,7 @@
     }
 
     /// Takes a new stream into use; what is sent from here on follows the hello.
-    pub fn link(&mut self, link: Sender<v1::RouterMessage>) {
+    pub fn attach_link(&mut self, link: Sender<v1::RouterMessage>) {
         self.link = Some(link);
         self.last_pulse = BootInstant::now();
         // The hello has the tickets that wait; those without a place in the order get one.
@@ -116,7 +116,7 @@
     }
 
     /// Notes that the dispatcher has taken the stream.
-    pub fn linked(&mut self) {
+    pub fn confirm_link(&mut self) {
         self.unlinked_since = None;
         self.last_pulse = BootInstant::now();
     }
@@ -128,7 +128,7 @@
     }
 
     /// How long the dispatcher has not answered a heartbeat.
-    pub fn silence(&self) -> Duration {
+    pub fn time_since_pulse(&self) -> Duration {
         self.last_pulse.elapsed()
     }
 
@@ -138,14 +138,14 @@
         self.unanswered_since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 
-    pub fn hello(&mut self, options: &ShardClientOptions, advice: Vec<AdviceRecord>) -> RouterHello {
-        self.totals.retain(|_, total| total.heard.elapsed() < TOTAL_LIFE);
+    pub fn build_hello(&mut self, options: &ShardClientOptions, advice: Vec<AdviceRecord>) -> RouterHello {
+        self.totals.retain(|_, total| total.updated_at.elapsed() < TOTAL_MAX_AGE);
         let totals = self.totals.iter().map(|(customer, total)| HeldTotal {
             customer: customer.clone(),
             level: total.level,
             order: total.order,
         });
-        let now = self.moment();
+        let now = self.current_moment();
         self.crashes.expire(now);
         RouterHello {
             crashes: self.crashes.records(now),
@@ -155,28 +155,28 @@
             running: self.running.values().cloned().collect(),
             totals: totals.collect(),
             advice,
-            heartbeat: self.number_heartbeat(),
+            heartbeat: self.allocate_heartbeat(),
         }
     }
 
     /// Sends a heartbeat.
-    pub fn beat(&mut self) {
-        let number = self.number_heartbeat();
+    pub fn send_heartbeat(&mut self) {
+        let number = self.allocate_heartbeat();
         self.send(Body::Heartbeat(v1::Heartbeat { number, ..v1::Heartbeat::default() }));
     }
 
     /// Says what an endpoint asked of this router. It stands beside a heartbeat without a number, since a dispatcher
     /// that does not know of it would close the stream on a message of its own.
-    pub fn advise(&mut self, advice: &AdviceRecord) {
+    pub fn report_advice(&mut self, advice: &AdviceRecord) {
         let advice = vec![advice_message(advice)];
         self.send(Body::Heartbeat(v1::Heartbeat { advice, ..v1::Heartbeat::default() }));
     }
 
-    fn number_heartbeat(&mut self) -> u64 {
+    fn allocate_heartbeat(&mut self) -> u64 {
         let number = self.next_heartbeat;
         self.next_heartbeat += 1;
         self.heartbeats.push_back((number, BootInstant::now()));
-        if self.heartbeats.len() > HEARTBEATS {
+        if self.heartbeats.len() > MAX_HEARTBEATS {
             self.heartbeats.pop_front();
         }
         number
@@ -189,13 +189,13 @@
     }
 
     /// The time since the start, as the throttle counts it.
-    fn moment(&self) -> Moment {
+    fn current_moment(&self) -> Moment {
         Moment(0) + self.start.elapsed()
     }
 
     /// Refuses a new request that the dispatcher would most probably refuse.
-    pub fn throttle(&mut self, customer: &CustomerName) -> Result<(), Refusal> {
-        let now = self.moment();
+    pub fn check_throttle(&mut self, customer: &CustomerName) -> Result<(), Refusal> {
+        let now = self.current_moment();
         let admitted = self.throttle.admit(now, customer, rand::random());
         admitted.map_err(|wait| Refusal::not_run(RefusalKind::Throttled).after(wait))
     }
@@ -210,7 +210,7 @@
     }
 
     /// Forgets a waiting request. A grant that comes later is given back.
-    pub fn give_up(&mut self, request: RequestId) {
+    pub fn cancel(&mut self, request: RequestId) {
         if self.waiting.remove(&request).is_some() {
             self.send(Body::Cancel(v1::Cancel { request: request_bytes(request) }));
         } else if self.running.remove(&request).is_some() {
@@ -232,15 +232,15 @@
     /// Ends a grant.
     pub fn settle(&mut self, request: RequestId, cost: Cost, fate: GrantFate) {
         if let Some(grant) = self.running.remove(&request) {
-            self.learn(&grant, fate);
+            self.record_outcome(&grant, fate);
             self.send_settle(request, cost, fate);
         }
     }
 
     /// Remembers under which requests endpoints seem to have ended, so that the next dispatcher hears of it.
-    fn learn(&mut self, grant: &HeldGrant, fate: GrantFate) {
+    fn record_outcome(&mut self, grant: &HeldGrant, fate: GrantFate) {
         let Some(digest) = grant.digest else { return };
-        let now = self.moment();
+        let now = self.current_moment();
         match fate {
             GrantFate::Severed => {
                 self.crashes.note_crash(now, digest, &grant.customer, &grant.endpoint);
@@ -252,10 +252,10 @@
         }
     }
 
-    fn told(&mut self, message: v1::CrashRecord) {
-        let now = self.moment();
+    fn apply_crash_record(&mut self, message: v1::CrashRecord) {
+        let now = self.current_moment();
         match crash_record(message) {
-            Ok(told) => self.crashes.replace(now, &told),
+            Ok(update) => self.crashes.replace(now, &update),
             Err(error) => record(&events::WIRE_MALFORMED, &[field("error", &error)]),
         }
     }
@@ -265,14 +265,14 @@
     }
 
     /// Takes a message of the dispatcher; false when the router shall connect anew.
-    pub fn take(&mut self, message: v1::DispatcherMessage) -> bool {
+    pub fn handle_message(&mut self, message: v1::DispatcherMessage) -> bool {
         use v1::dispatcher_message::Body as FromDispatcher;
         self.unanswered_since = None;
         match message.body {
-            Some(FromDispatcher::Accepted(accepted)) => self.accepted(&accepted),
-            Some(FromDispatcher::Grant(grant)) => self.granted(&grant),
-            Some(FromDispatcher::Refused(refused)) => self.refused(&refused),
-            Some(FromDispatcher::CrashRecord(record)) => self.told(record),
+            Some(FromDispatcher::Accepted(accepted)) => self.handle_accepted(&accepted),
+            Some(FromDispatcher::Grant(grant)) => self.handle_grant(&grant),
+            Some(FromDispatcher::Refused(refused)) => self.handle_refused(&refused),
+            Some(FromDispatcher::CrashRecord(record)) => self.apply_crash_record(record),
             Some(FromDispatcher::Pulse(_)) => self.last_pulse = BootInstant::now(),
             Some(FromDispatcher::Moved(_)) => return false,
             None => {}
@@ -280,14 +280,14 @@
         true
     }
 
-    fn accepted(&mut self, accepted: &v1::Accepted) {
+    fn handle_accepted(&mut self, accepted: &v1::Accepted) {
         let entry = request_id(&accepted.request).ok().and_then(|request| self.waiting.get_mut(&request));
         if let Some(entry) = entry {
             entry.ticket.order = Some(OrderNumber(accepted.order));
         }
     }
 
-    fn granted(&mut self, grant: &v1::Grant) {
+    fn handle_grant(&mut self, grant: &v1::Grant) {
         let (Ok(request), Ok(endpoint)) = (request_id(&grant.request), EndpointName::parse(&grant.endpoint))
         else {
             return;
@@ -299,10 +299,10 @@
             return;
         };
         let order = OrderNumber(grant.order);
-        let now = self.moment();
+        let now = self.current_moment();
         self.throttle.note_taken(now, &entry.ticket.customer);
-        self.note_total(&entry.ticket.customer, ServiceLevel(grant.level), order);
-        let held = HeldGrant {
+        self.update_total(&entry.ticket.customer, ServiceLevel(grant.level), order);
+        let held_grant = HeldGrant {
             request,
             customer: entry.ticket.customer.clone(),
             digest: entry.ticket.digest,
@@ -311,31 +311,31 @@
             delivered: Cost(0),
             order,
         };
-        self.running.insert(request, held);
+        self.running.insert(request, held_grant);
         let lease = Duration::from_millis(grant.lease_millis);
         let terms = LeaseTerms {
             endpoint,
             order,
-            expires: self.heartbeat_sent(grant.heartbeat).map(|at| at + lease),
+            expires: self.heartbeat_sent_at(grant.heartbeat).map(|at| at + lease),
         };
         if entry.waiter.try_send(Ok(terms)).is_err() {
             self.settle(request, Cost(0), GrantFate::Unsent);
         }
     }
 
-    fn note_total(&mut self, customer: &CustomerName, level: ServiceLevel, order: OrderNumber) {
+    fn update_total(&mut self, customer: &CustomerName, level: ServiceLevel, order: OrderNumber) {
         let known = self.totals.get(customer).is_some_and(|total| total.order > order && total.level > level);
         if !known {
-            self.totals.insert(customer.clone(), KnownTotal { level, order, heard: BootInstant::now() });
+            self.totals.insert(customer.clone(), KnownTotal { level, order, updated_at: BootInstant::now() });
         }
     }
 
     /// When a heartbeat was sent; a lease runs from then by this router's own clock.
-    fn heartbeat_sent(&self, number: u64) -> Option<BootInstant> {
+    fn heartbeat_sent_at(&self, number: u64) -> Option<BootInstant> {
         self.heartbeats.iter().find(|(known, _)| *known == number).map(|(_, at)| *at)
     }
 
-    fn refused(&mut self, refused: &v1::Refused) {
+    fn handle_refused(&mut self, refused: &v1::Refused) {
         let entry = request_id(&refused.request).ok().and_then(|request| self.waiting.remove(&request));
         let Some(entry) = entry else { return };
         let kind = match release_reason(&refused.kind) {
@@ -349,7 +349,7 @@
             ReleaseReason::HallsEvacuated => RefusalKind::HallsEvacuated,
         };
         let wait = Duration::from_millis(refused.retry_after_millis);
-        let now = self.moment();
+        let now = self.current_moment();
         if matches!(kind, RefusalKind::Overloaded | RefusalKind::CustomerBacklogFull) {
             self.throttle.note_refused(now, &entry.ticket.customer, wait);
         }
--- a/crates/micaspool-router/tests/link.rs
+++ b/crates/micaspool-router/tests/link.rs
@@ -21,7 +21,7 @@
 use test_case::test_case;
 use tonic::{Request, Response, Status, Streaming};
 
-const LETTER: RequestDigest = RequestDigest(0x1e77e4);
+const DIGEST: RequestDigest = RequestDigest(0x1e77e4);
 
 /// What a dispatcher does.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -33,23 +33,23 @@
     /// Takes streams and says nothing, as one that has just lost power.
     Silent,
     /// Grants everything, and asks for a new stream after each end of a grant.
-    MovesOn,
+    Moves,
     /// The same, and says before that nothing is held against what the grant asked for.
-    ClearsAndMovesOn,
+    ClearsAndMoves,
 }
 
 /// What routers said, in hellos and later of what endpoints asked of them.
 #[derive(Default)]
-struct HeardWords {
+struct ReceivedMessages {
     hellos: Vec<v1::Hello>,
     advice: Vec<v1::EndpointAdvice>,
 }
 
-type SharedWords = Arc<Mutex<HeardWords>>;
+type SharedMessages = Arc<Mutex<ReceivedMessages>>;
 
 struct FakeDispatcher {
     behaviour: Behaviour,
-    heard: SharedWords,
+    received: SharedMessages,
 }
 
 type Messages = Pin<Box<dyn Stream<Item = Result<v1::DispatcherMessage, Status>> + Send>>;
@@ -68,7 +68,7 @@
         let (sender, receiver) = unbounded();
         match self.behaviour {
             Behaviour::Silent => task::spawn(keep_open(request.into_inner(), sender)),
-            behaviour => task::spawn(answer(request.into_inner(), sender, behaviour, self.heard.clone())),
+            behaviour => task::spawn(answer(request.into_inner(), sender, behaviour, self.received.clone())),
         };
         Ok(Response::new(Box::pin(receiver)))
     }
@@ -93,22 +93,22 @@
     mut messages: Streaming<v1::RouterMessage>,
     sender: Sender<Result<v1::DispatcherMessage, Status>>,
     behaviour: Behaviour,
-    heard: SharedWords,
+    received: SharedMessages,
 ) {
     while let Ok(Some(message)) = messages.message().await {
         let submits = match message.body {
             Some(router_message::Body::Hello(hello)) => {
                 let waiting = hello.waiting.clone();
-                heard.lock().expect("nobody panics").hellos.push(hello);
+                received.lock().expect("nobody panics").hellos.push(hello);
                 waiting
             }
             Some(router_message::Body::Settle(_)) => {
-                move_on(&sender, behaviour).await;
+                end_session(&sender, behaviour).await;
                 Vec::new()
             }
             Some(router_message::Body::Submit(submit)) => vec![submit],
             Some(router_message::Body::Heartbeat(beat)) => {
-                heard.lock().expect("nobody panics").advice.extend(beat.advice);
+                received.lock().expect("nobody panics").advice.extend(beat.advice);
                 let pulse = v1::Pulse { heartbeat: beat.number, incarnation: 1 };
                 send(&sender, dispatcher_message::Body::Pulse(pulse)).await;
                 Vec::new()
@@ -128,16 +128,16 @@
     }
 }
 
-async fn move_on(sender: &Sender<Result<v1::DispatcherMessage, Status>>, behaviour: Behaviour) {
-    if behaviour == Behaviour::ClearsAndMovesOn {
+async fn end_session(sender: &Sender<Result<v1::DispatcherMessage, Status>>, behaviour: Behaviour) {
+    if behaviour == Behaviour::ClearsAndMoves {
         let cleared = v1::CrashRecord {
-            digest: LETTER.0.to_be_bytes().to_vec(),
+            digest: DIGEST.0.to_be_bytes().to_vec(),
             customer: "coop-01".to_owned(),
             crashes: Vec::new(),
         };
         send(sender, dispatcher_message::Body::CrashRecord(cleared)).await;
     }
-    if matches!(behaviour, Behaviour::MovesOn | Behaviour::ClearsAndMovesOn) {
+    if matches!(behaviour, Behaviour::Moves | Behaviour::ClearsAndMoves) {
         send(sender, dispatcher_message::Body::Moved(v1::Moved {})).await;
     }
 }
@@ -155,14 +155,14 @@
 }
 
 async fn start(behaviour: Behaviour) -> SocketAddr {
-    start_hearing(behaviour, SharedWords::default()).await
+    start_recording(behaviour, SharedMessages::default()).await
 }
 
-async fn start_hearing(behaviour: Behaviour, heard: SharedWords) -> SocketAddr {
+async fn start_recording(behaviour: Behaviour, received: SharedMessages) -> SocketAddr {
     let any = "127.0.0.1:0".parse().expect("an address");
     let listener = CountedListener::bind(any, TrafficCounter::default()).await.expect("a free port");
     let address = listener.local_address().expect("it is bound");
-    let server = DispatchServer::new(FakeDispatcher { behaviour, heard });
+    let server = DispatchServer::new(FakeDispatcher { behaviour, received });
     task::spawn(tonic::transport::Server::builder().add_service(server).serve_with_incoming(listener));
     address
 }
@@ -171,7 +171,7 @@
     RequestTicket {
         request: RequestId(number),
         customer: CustomerName::parse("coop-01").expect("a name"),
-        digest: Some(LETTER),
+        digest: Some(DIGEST),
         hint: Cost(1),
         priority: 5,
         attempt: 0,
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_better_dispatcher_that_takes_no_streams_does_not_cost_the_present_one() {
+fn keeps_its_dispatcher_while_a_higher_ranked_one_refuses_streams() {
     task::block_on(async {
         let client = client(start(Behaviour::Refuses).await, start(Behaviour::Grants).await);
         let granted = client.acquire(ticket(1), None).await.expect("the second choice grants");
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_request_waits_for_a_dispatcher_only_for_a_while() {
+fn refuses_requests_after_two_seconds_without_a_dispatcher() {
     task::block_on(async {
         let nowhere = "127.0.0.1:1".parse().expect("an address");
         let client = client(nowhere, nowhere);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_dispatcher_that_falls_silent_is_left_by_the_requests_that_it_does_not_answer() {
+fn leaves_a_dispatcher_that_does_not_answer_tickets() {
     task::block_on(async {
         let client = client(start(Behaviour::Silent).await, start(Behaviour::Grants).await);
         let limit = Duration::from_millis(1_800);
@@ -248,28 +248,28 @@
     });
 }
 
-#[test_case(Behaviour::MovesOn, GrantFate::Severed => 1; "a connection that ended")]
-#[test_case(Behaviour::MovesOn, GrantFate::Done => 0; "an answer that came whole")]
-#[test_case(Behaviour::MovesOn, GrantFate::Broken => 0; "a deadline")]
-#[test_case(Behaviour::ClearsAndMovesOn, GrantFate::Severed => 0; "one that the dispatcher knows to be harmless")]
-fn a_router_brings_what_it_saw_to_the_next_dispatcher(behaviour: Behaviour, fate: GrantFate) -> usize {
+#[test_case(Behaviour::Moves, GrantFate::Severed => 1; "a connection that ended")]
+#[test_case(Behaviour::Moves, GrantFate::Done => 0; "an answer that came whole")]
+#[test_case(Behaviour::Moves, GrantFate::Broken => 0; "a deadline")]
+#[test_case(Behaviour::ClearsAndMoves, GrantFate::Severed => 0; "one that the dispatcher knows to be harmless")]
+fn hello_to_the_next_dispatcher_carries_crash_records(behaviour: Behaviour, fate: GrantFate) -> usize {
     task::block_on(async {
-        let heard = SharedWords::default();
-        let address = start_hearing(behaviour, heard.clone()).await;
+        let received = SharedMessages::default();
+        let address = start_recording(behaviour, received.clone()).await;
         let client = client(address, address);
         let mut lease = client.acquire(ticket(1), None).await.expect("it grants");
         lease.mark_sent();
         lease.settle(Cost(1), fate);
-        wait_for(&heard, |heard| heard.hellos.len() > 1).await;
-        let heard = heard.lock().expect("nobody panics");
-        heard.hellos[1].crashes.len()
+        wait_for(&received, |received| received.hellos.len() > 1).await;
+        let received = received.lock().expect("nobody panics");
+        received.hellos[1].crashes.len()
     })
 }
 
 /// Waits until a dispatcher has heard something, four seconds at most.
-async fn wait_for(heard: &SharedWords, is_heard: impl Fn(&HeardWords) -> bool) {
+async fn wait_for(received: &SharedMessages, is_received: impl Fn(&ReceivedMessages) -> bool) {
     for _ in 0..200 {
-        if is_heard(&heard.lock().expect("nobody panics")) {
+        if is_received(&received.lock().expect("nobody panics")) {
             return;
         }
         task::sleep(Duration::from_millis(20)).await;
@@ -279,26 +279,26 @@
 
 /// A new dispatcher knew nothing of what endpoints had asked of a router, and granted it those that rest.
 #[test]
-fn a_router_tells_its_dispatcher_what_endpoints_asked_and_the_next_one_as_it_joins() {
+fn reports_endpoint_advice_to_the_current_and_the_next_dispatcher() {
     task::block_on(async {
-        let heard = SharedWords::default();
-        let address = start_hearing(Behaviour::MovesOn, heard.clone()).await;
+        let received = SharedMessages::default();
+        let address = start_recording(Behaviour::Moves, received.clone()).await;
         let advice = AdviceBoard::new();
         let client = client_with(address, address, advice.clone());
         let lease = client.acquire(ticket(1), None).await.expect("it grants");
-        let asked = EndpointAdvice { rest: Duration::from_secs(60), leaving: false };
+        let requested_advice = EndpointAdvice { rest: Duration::from_secs(60), leaving: false };
         let (endpoint, service) = (lease.endpoint().clone(), client.service().clone());
         let source = AdviceSource { endpoint: &endpoint, service: &service, request: "r" };
-        client.advise(advice.hear(source, asked).expect("a rest begins"));
-        wait_for(&heard, |heard| !heard.advice.is_empty()).await;
+        client.report_advice(advice.hear(source, requested_advice).expect("a rest begins"));
+        wait_for(&received, |received| !received.advice.is_empty()).await;
         lease.settle(Cost(0), GrantFate::Refused);
-        wait_for(&heard, |heard| heard.hellos.len() > 1).await;
-        let heard = heard.lock().expect("nobody panics");
-        let told = heard.hellos[1].advice.first().expect("the next one hears of it");
-        for told in [&heard.advice[0], told] {
-            assert_eq!(told.endpoint, "endpoint-1");
-            assert!((59_000..=60_000).contains(&told.rest_millis) && !told.leaving, "{told:?}");
+        wait_for(&received, |received| received.hellos.len() > 1).await;
+        let received = received.lock().expect("nobody panics");
+        let reported = received.hellos[1].advice.first().expect("the next one hears of it");
+        for reported in [&received.advice[0], reported] {
+            assert_eq!(reported.endpoint, "endpoint-1");
+            assert!((59_000..=60_000).contains(&reported.rest_millis) && !reported.leaving, "{reported:?}");
         }
-        assert!(heard.hellos[0].advice.is_empty());
+        assert!(received.hellos[0].advice.is_empty());
     });
 }
