--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a gateway together.
+//! Assembles and runs a gateway daemon.
 
 use crate::dialect::GatewayDialect;
 use crate::metrics::GatewayMetrics;
@@ -27,24 +27,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often resting connections are looked at.
+/// How often idle connections are closed, endpoint rests are expired and the plan is checked for new services.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long balancers may need to notice that a gateway stops: two questions a second apart, and the
-/// answer. What comes later would have too little time left.
+/// How long load balancers may need to notice that a gateway is stopping: two health checks one second
+/// apart, and the response. Requests that arrive later would have too little time to complete.
 const DRAIN_NOTICE: Duration = Duration::from_millis(2_600);
 
-/// What a gateway uses without any caller, in bytes; 13 MB were measured on the users' small sites.
+/// The memory that a gateway uses without any callers, in bytes. 13 MB were measured on the users' small sites.
 const BASELINE_BYTES: u64 = 30_000_000;
-/// What a caller's connection takes with its request and the endpoint's connection, in bytes. A gateway
-/// with 3,900 descriptors, so some 3,000 callers, was measured at 127 MB on the grown milk site, and one
-/// over 160 MB; half of them may hold a long body that is not read yet.
+/// The memory of one caller connection, including its request and the connection to the endpoint, in bytes.
+/// On the grown milk site a gateway with 3,900 file descriptors, about 3,000 callers, used 127 MB, and one
+/// gateway more than 160 MB; half of the callers may have a long body that is not read yet.
 const CONNECTION_BYTES: u64 = 55_000;
-/// One connection of so many is kept for callers that are refused at once; it is free again after a round trip.
+/// One in this many connections is reserved for refusing callers immediately. A refusal occupies its
+/// connection for a single round trip.
 const REFUSED_DIVISOR: usize = 16;
-/// The least number of callers that are accepted, however little memory there is.
+/// The minimum number of caller connections, regardless of the memory limit.
 const MIN_CONNECTIONS: usize = 64;
 
-/// What a gateway runs with; made by [`GatewayOptions::builder`].
+/// The configuration of a gateway, created with [`GatewayOptions::builder`].
 #[derive(Debug, Clone)]
 pub struct GatewayOptions {
     instance: InstanceName,
@@ -69,7 +70,9 @@
 }
 
 impl GatewayOptions {
-    /// Options of a gateway on this instance.
+    /// Returns a builder for a gateway on this instance.
+    ///
+    /// By default the gateway listens on free loopback ports and uses [`NativeDialect`] and [`JsonFormat`].
     pub fn builder(instance: InstanceName, hall: HallName, region: RegionName) -> GatewayOptionsBuilder {
         let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let options = GatewayOptions {
@@ -92,25 +95,25 @@
 }
 
 impl GatewayOptionsBuilder {
-    /// Where it serves callers.
+    /// Sets the address on which callers are served.
     pub fn callers(mut self, address: SocketAddr) -> Self {
         self.options.callers = address;
         self
     }
 
-    /// Where it shows readiness, metrics and state; one or more addresses.
+    /// Sets the addresses that serve readiness, metrics and state.
     pub fn status(mut self, addresses: Vec<SocketAddr>) -> Self {
         self.options.status = addresses;
         self
     }
 
-    /// The keepers to begin with.
+    /// Sets the keepers to contact first.
     pub fn seeds(mut self, seeds: Vec<InstanceName>) -> Self {
         self.options.seeds = seeds;
         self
     }
 
-    /// Where keepers and dispatchers are found.
+    /// Sets how the addresses of keepers and dispatchers are looked up.
     pub fn directories(
         mut self,
         keepers: Arc<dyn PeerDirectory>,
@@ -121,31 +124,32 @@
         self
     }
 
-    /// How callers and endpoints speak.
+    /// Sets the dialect of callers and endpoints.
     pub fn dialect(mut self, dialect: Arc<dyn GatewayDialect>) -> Self {
         self.options.dialect = dialect;
         self
     }
 
-    /// How plans are written.
+    /// Sets the format in which plans are encoded.
     pub fn format(mut self, format: Arc<dyn PlanFormat>) -> Self {
         self.options.format = format;
         self
     }
 
-    /// How engines are asked for their load.
+    /// Sets the probe that asks engines for their load.
     pub fn probe(mut self, probe: Arc<dyn EndpointProbe>) -> Self {
         self.options.probe = probe;
         self
     }
 
-    /// What endpoints asked of this process; shared with the probe, whose questions they count as well.
+    /// Sets the board of back-off advice from endpoints. It is shared with the probe, because a resting endpoint
+    /// must not be probed either.
     pub fn advice(mut self, advice: Arc<AdviceBoard>) -> Self {
         self.options.advice = advice;
         self
     }
 
-    /// How much memory the process may use, in bytes: as many callers are accepted as fit into it.
+    /// Limits the memory of the process, in bytes, by limiting the number of caller connections.
     pub fn memory(mut self, bytes: u64) -> Self {
         let affordable = usize::try_from(bytes.saturating_sub(BASELINE_BYTES) / CONNECTION_BYTES);
         let maximum = EdgeOptions::default().connections;
@@ -155,7 +159,7 @@
         self
     }
 
-    /// The options.
+    /// Returns the finished options.
     pub fn build(self) -> GatewayOptions {
         self.options
     }
@@ -164,9 +168,9 @@
 /// A running gateway.
 #[derive(Debug)]
 pub struct GatewayDaemon {
-    /// Where it serves callers.
+    /// The bound address on which callers are served.
     pub callers: SocketAddr,
-    /// Where it shows readiness, metrics and state.
+    /// The bound addresses that serve readiness, metrics and state.
     pub status: Vec<SocketAddr>,
     server: EdgeServer,
     mirror: Arc<FleetMirror>,
@@ -174,13 +178,15 @@
 }
 
 impl GatewayDaemon {
-    /// The fleet as this process knows it.
+    /// Returns the local view of the fleet.
     pub fn mirror(&self) -> &Arc<FleetMirror> {
         &self.mirror
     }
 
-    /// Is no longer ready, serves what still comes, and waits for what runs, at most for `limit`;
-    /// true when nothing was cut.
+    /// Stops the gateway gracefully.
+    ///
+    /// It reports not ready at once, keeps accepting requests until load balancers have noticed, and waits up
+    /// to `limit` for open connections. Returns true if all connections ended in time.
     pub async fn stop(self, limit: Duration) -> bool {
         self.stopping.store(true, Ordering::SeqCst);
         self.server.drain();
@@ -190,7 +196,7 @@
     }
 }
 
-/// Starts a gateway; it serves until it is stopped.
+/// Starts a gateway that serves until [`GatewayDaemon::stop`] is called.
 pub async fn start_gateway(options: GatewayOptions) -> Result<GatewayDaemon, StartError> {
     let incarnation = Incarnation(rand::random());
     let counters = GatewayCounters::default();
@@ -251,7 +257,8 @@
     Ok(GatewayDaemon { callers, status, server, mirror, stopping })
 }
 
-/// Opens shards as plans name them, closes connections that rested for too long and ends the rests of endpoints.
+/// Opens shards for the services of new plans, closes connections that were idle for too long and expires endpoint
+/// rests.
 async fn run_maintenance(
     gateway: Gateway,
     mirror: Arc<FleetMirror>,
@@ -289,7 +296,7 @@
     }
 }
 
-/// The names of the data halls that this process sends nothing into.
+/// Returns the names of the evacuated data halls, to which this process sends no requests.
 fn evacuated_halls(mirror: &FleetMirror) -> Vec<String> {
     let orders = mirror.hall_orders();
     let evacuated = orders.iter().filter(|(hall, _)| orders.is_evacuated(hall));
@@ -309,7 +316,7 @@
 }
 
 impl StatusSource for GatewayStatusSource {
-    /// True while requests can be served: with a plan, also while no keeper is reached.
+    /// Returns true once there is a plan, even while no keeper is reachable, until the gateway stops.
     fn is_ready(&self) -> bool {
         self.mirror.has_plan() && !self.stopping.load(Ordering::SeqCst)
     }
--- a/crates/micaspool-gateway/src/lib.rs
+++ b/crates/micaspool-gateway/src/lib.rs
@@ -1,10 +1,10 @@
-//! The gateway: a router for a fleet whose plan, endpoints and members are learnt at run time.
+//! An HTTP gateway for a fleet whose plan, endpoints and members are discovered at run time.
 //!
-//! * [`Gateway`] is the path of a request: find its route, wait for a grant, send it, stream the
-//!   answer back, and try again where that is safe,
-//! * [`GatewayDialect`] is the border to how callers and endpoints speak; [`NativeDialect`] is the
-//!   product's own way,
-//! * [`start_gateway`] puts a daemon together.
+//! * [`Gateway`] handles requests: it resolves the route, waits for a grant, forwards the request, streams
+//!   the answer back, and retries where that is safe.
+//! * [`GatewayDialect`] abstracts the headers that callers and endpoints use; [`NativeDialect`] implements
+//!   the product's own headers.
+//! * [`start_gateway`] assembles and starts a gateway daemon.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
