--- a/crates/micaspool-gateway/src/dialect.rs
+++ b/crates/micaspool-gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The border to how callers and endpoints speak.
+//! The interface to the headers that callers and endpoints use.
 
 use http::header::HeaderName;
 use http::{request, response, HeaderMap, Response, StatusCode};
@@ -9,115 +9,115 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The text of a header, if it is there and is text.
+/// Returns the value of a header, or `None` if it is missing or not visible ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// One part of a prompt that other prompts may share.
+/// A part of a prompt that other prompts may share.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PromptPart {
-    /// Names this part: a hash of it and of all parts before it, or of an id that is unique.
+    /// The hash that identifies this part: of this part and all parts before it, or of a unique id.
     pub prefix: u64,
-    /// The tokens of this part alone.
+    /// The number of tokens in this part alone.
     pub tokens: u32,
 }
 
-/// What a caller says of the prompt in its body.
+/// The description of a prompt that a caller sends in its headers.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct PromptOutline {
-    /// The tokens of the whole prompt.
+    /// The number of tokens in the whole prompt.
     pub prompt_tokens: u64,
-    /// The most tokens that the answer may have.
+    /// The maximum number of tokens in the answer.
     pub max_output_tokens: u64,
-    /// The parts in their order.
+    /// The parts in order.
     pub parts: Vec<PromptPart>,
 }
 
-/// What a caller says in the head of its request, beside what HTTP says itself.
+/// The product-specific part of the head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct CallerHead {
-    /// The caller's name for this attempt; also what logs call it.
+    /// The id that the caller gave this attempt; also used in logs.
     pub id: Arc<str>,
-    /// How long the caller waits from now on; `None` when it does not tell.
+    /// The caller's timeout, counted from the arrival of the request; `None` if it sent none.
     pub patience: Option<Duration>,
-    /// The key that names the customer.
+    /// The API key that identifies the customer.
     pub key: Option<Arc<str>>,
-    /// Set for a call of a language model.
+    /// The prompt; `None` unless the request describes one, as calls to language models do.
     pub prompt: Option<PromptOutline>,
 }
 
-/// What is told to an endpoint with a request.
+/// The values from which the headers of a forwarded request are made.
 #[derive(Clone, Debug)]
 pub struct ForwardContext<'a> {
-    /// The caller's name for its attempt.
+    /// The id that the caller gave this attempt.
     pub id: &'a str,
-    /// The endpoint that shall run the request, and no other at its address.
+    /// The endpoint that must run the request; another one at the same address must reject it.
     pub endpoint: &'a EndpointName,
     /// The customer; `None` on public routes.
     pub customer: Option<&'a CustomerName>,
-    /// The time left until nobody waits any more.
+    /// The time left until the deadline of the request.
     pub time_left: Duration,
-    /// The last event that the caller has; set to go on with a stream that broke.
+    /// The id of the last event that the caller received; set when a broken stream is resumed.
     pub last_event: Option<&'a str>,
 }
 
-/// Why an endpoint says that it did not run a request.
+/// The reason an endpoint gave for not running a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum NotRunReason {
-    /// It has no room, or the deadline passed while the request waited there.
+    /// The endpoint is at capacity, or the deadline passed while the request was queued there.
     Full,
-    /// Another endpoint has the address now.
+    /// Another endpoint uses the address now.
     WrongEndpoint,
-    /// It did not understand the request.
+    /// The endpoint could not parse the request.
     Malformed,
 }
 
-/// What the head of an endpoint's answer means.
+/// The classification of the head of an endpoint's response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AnswerVerdict {
-    /// It is the answer; body and status go to the caller.
+    /// The answer; its status and body are passed on to the caller.
     Answer,
-    /// The endpoint says that the request did not run.
+    /// The endpoint states that the request did not run.
     NotRun(NotRunReason),
-    /// It answers another request.
+    /// The response belongs to another request.
     WrongRequest,
-    /// It lacks what every whole answer of an endpoint has.
+    /// The response lacks headers that every genuine answer of an endpoint has.
     Unverified,
 }
 
 impl AnswerVerdict {
-    /// True when the answer is the word of the endpoint that was asked, of whatever use it is otherwise.
+    /// Returns true if the response comes from the endpoint that the request was sent to, whatever the outcome.
     pub fn is_from_target(self) -> bool {
         !matches!(self, AnswerVerdict::WrongRequest | AnswerVerdict::NotRun(NotRunReason::WrongEndpoint))
     }
 }
 
-/// True for a status by which an endpoint turns a request away; `Retry-After` beside it is meant for whoever asked.
+/// Returns true for the statuses 429 and 503, with which an endpoint rejects a request. `Retry-After` in such a
+/// response applies to the client that sent the request.
 pub fn is_rejection_status(status: StatusCode) -> bool {
     matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
 }
 
-/// All values of a header that are text.
+/// Returns all values of a header that are visible ASCII.
 pub fn header_texts<'a>(headers: &'a HeaderMap, name: &HeaderName) -> impl Iterator<Item = &'a str> {
     headers.get_all(name).into_iter().filter_map(|value| value.to_str().ok())
 }
 
-/// How callers and endpoints speak.
+/// The headers and statuses that callers and endpoints use.
 pub trait GatewayDialect: fmt::Debug + Send + Sync + 'static {
-    /// Reads what a caller says of its request.
+    /// Parses the head of a caller's request.
     fn read_head(&self, head: &request::Parts) -> Result<CallerHead, Refusal>;
 
-    /// The answer to a caller whose request is refused.
+    /// Builds the response to a refused request. `id` is the caller's request id, if it could be read.
     fn refuse(&self, id: Option<&str>, refusal: &Refusal) -> Response<EdgeBody>;
 
-    /// Changes a caller's headers into those that an endpoint gets. Headers that concern a single
-    /// connection are gone already.
+    /// Turns a caller's headers into those for the endpoint. Hop-by-hop headers have already been removed.
     fn rewrite_headers(&self, headers: &mut HeaderMap, context: &ForwardContext<'_>);
 
-    /// What the head of an endpoint's answer means.
+    /// Classifies the head of an endpoint's response to the request with this id.
     fn classify_answer(&self, head: &response::Parts, id: &str) -> AnswerVerdict;
 
-    /// What the head of an endpoint's answer says of the endpoint itself.
+    /// Reads the back-off advice in the head of an endpoint's response.
     fn advice(&self, head: &response::Parts) -> HeardAdvice;
 }
--- a/crates/micaspool-gateway/src/native.rs
+++ b/crates/micaspool-gateway/src/native.rs
@@ -1,4 +1,4 @@
-//! The product's own headers.
+//! The dialect of the product's own headers.
 
 use crate::dialect::{
     header_text, header_texts, is_rejection_status, AnswerVerdict, CallerHead, ForwardContext,
@@ -18,13 +18,16 @@
 const ENDPOINT: HeaderName = HeaderName::from_static("micaspool-endpoint");
 const CUSTOMER: HeaderName = HeaderName::from_static("micaspool-customer");
 const RUN: HeaderName = HeaderName::from_static("micaspool-run");
-/// How an endpoint says that it leaves.
+/// Set to `true` by an endpoint that is draining.
 const DRAINING: HeaderName = HeaderName::from_static("micaspool-draining");
 const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
 
-/// The product's own way to speak: `micaspool-request` names the attempt, `micaspool-patience-ms`
-/// tells how long the caller waits, `micaspool-prompt` has the tokens of the prompt, the most tokens
-/// out, and the prompt's parts as `ID:TOKENS`, all by commas.
+/// The product's own headers:
+///
+/// * `micaspool-request` is the id of the attempt; a request without one gets a random id.
+/// * `micaspool-patience-ms` is the caller's timeout in milliseconds.
+/// * `micaspool-prompt` is a comma-separated list: the tokens of the prompt, the maximum tokens of the answer, and
+///   the parts of the prompt as `ID:TOKENS`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeDialect;
 
@@ -106,7 +109,7 @@
     fn advice(&self, head: &response::Parts) -> HeardAdvice {
         let values = header_texts(&head.headers, &RETRY_AFTER);
         let mut parsed = HeardAdvice::read(is_rejection_status(head.status), values, false);
-        // Its next start has the same name, so leaving can't be final here.
+        // A restarted endpoint keeps its name here, so draining must expire and can't be recorded as leaving for good.
         if header_text(&head.headers, &DRAINING) == Some("true") {
             parsed.advice.rest = parsed.advice.rest.max(DRAINING_REST);
         }
