--- a/crates/micaspool-gateway/src/events.rs
+++ b/crates/micaspool-gateway/src/events.rs
@@ -1,19 +1,19 @@
-//! The events of a stream.
+//! Splitting of event streams into events.
 
 use bytes::{Bytes, BytesMut};
 
-/// What a chunk of a stream gave.
+/// The events that a chunk of a stream completed.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct SplitChunk {
-    /// Whole events, to be passed on.
+    /// The bytes of the complete events, to be passed on.
     pub complete: Bytes,
-    /// How many there are.
+    /// The number of complete events.
     pub events: u32,
 }
 
-/// Cuts a stream into whole events and remembers the id of the last one.
+/// Splits a stream into complete events and remembers the id of the last one.
 ///
-/// An event ends with an empty line. Its id, where it has one, stands in a line `id: N`; ids rise.
+/// An event ends with an empty line. Its id, if any, is given by a line `id: N`; ids are increasing.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -21,7 +21,7 @@
 }
 
 impl EventSplitter {
-    /// Takes a chunk in and gives the events that it completes, without those that were seen before.
+    /// Adds a chunk and returns the events that it completes, except those whose id was seen before.
     pub fn push(&mut self, chunk: &[u8]) -> SplitChunk {
         self.partial.extend_from_slice(chunk);
         let mut complete = BytesMut::new();
@@ -39,24 +39,24 @@
         SplitChunk { complete: complete.freeze(), events }
     }
 
-    /// Forgets an event that was cut off, before the stream goes on elsewhere.
+    /// Discards an incomplete event before the stream is resumed at another endpoint.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// The bytes after the last whole event.
+    /// Removes and returns the bytes after the last complete event.
     pub fn take_partial(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// The id of the last whole event.
+    /// Returns the id of the last complete event that had one.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 }
 
-/// How many events end in a chunk. An end that falls between two chunks is counted with the second
-/// when the first ended with a line feed.
+/// Counts the events that end in a chunk. `after_newline` carries over whether the previous chunk ended with a line
+/// feed, so an event end that is split between two chunks is counted with the second.
 pub(crate) fn count_event_ends(after_newline: &mut bool, chunk: &[u8]) -> u32 {
     let mut ends = 0;
     for byte in chunk {
@@ -73,7 +73,7 @@
     ends
 }
 
-/// The position after the first empty line.
+/// Returns the position after the first empty line.
 fn find_event_end(bytes: &[u8]) -> Option<usize> {
     let mut after_newline = false;
     for (index, byte) in bytes.iter().enumerate() {
@@ -87,6 +87,7 @@
     None
 }
 
+/// Returns the id of an event, if it has a numeric one.
 fn event_id(event: &[u8]) -> Option<u64> {
     let lines = event.split(|byte| *byte == b'\n');
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/crates/micaspool-gateway/tests/events.rs
+++ b/crates/micaspool-gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams cut into whole events, wherever their chunks end.
+//! Event streams are split into complete events, regardless of chunk boundaries.
 
 use micaspool_gateway::EventSplitter;
 use test_case::test_case;
@@ -8,7 +8,7 @@
 #[test_case(1; "byte by byte")]
 #[test_case(2; "two bytes")]
 #[test_case(7; "seven bytes")]
-#[test_case(1_000; "at once")]
+#[test_case(1_000; "single chunk")]
 fn passes_on_complete_events_and_keeps_the_rest(size: usize) {
     let mut splitter = EventSplitter::default();
     let mut complete = Vec::new();
@@ -20,7 +20,10 @@
     }
     assert_eq!(events, 3);
     assert_eq!(splitter.last_id(), Some(3));
-    assert_eq!(String::from_utf8(complete).expect("text"), &STREAM[..STREAM.len() - "id: 4\nda".len()]);
+    assert_eq!(
+        String::from_utf8(complete).expect("the events are UTF-8"),
+        &STREAM[..STREAM.len() - "id: 4\nda".len()]
+    );
     assert_eq!(&splitter.take_partial()[..], b"id: 4\nda");
 }
 
