--- a/crates/micaspool-gateway/src/proxy/headers.rs
+++ b/crates/micaspool-gateway/src/proxy/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern a single connection.
+//! Hop-by-hop headers, which apply to a single connection.
 
 use http::header::{
     HeaderName, CONNECTION, CONTENT_LENGTH, EXPECT, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
@@ -9,7 +9,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// The headers that are never passed on (RFC 9110, section 7.6.1).
+/// The headers that are never forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -23,7 +23,7 @@
     EXPECT,
 ];
 
-/// Removes what concerns a single connection, also what `Connection` names.
+/// Removes hop-by-hop headers, including those that `Connection` lists.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let connection_options: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -37,8 +37,8 @@
     }
 }
 
-/// The headers of a request as an endpoint gets them, before the dialect adds its own. The length is
-/// written anew, since the body is sent whole.
+/// Returns the headers of a request to forward, before the dialect adds its own. `Content-Length` is dropped and set
+/// again on sending, because the body is sent from a buffer.
 pub(super) fn forwarded_headers(from: &HeaderMap) -> HeaderMap {
     let mut headers = from.clone();
     strip_hop_by_hop(&mut headers);
--- a/crates/micaspool-gateway/src/proxy/mod.rs
+++ b/crates/micaspool-gateway/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The path of a request through the gateway.
+//! Accepting requests and proxying them to endpoints.
 
 mod attempt;
 mod failure;
@@ -33,41 +33,41 @@
 use target::CallTarget;
 use tokio::time::timeout;
 
-/// When a request may come back that found no plan, no dispatcher or no endpoint.
+/// `Retry-After` of refusals by this gateway, such as for a missing plan or endpoint or too many connections.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// How long a body may take when its caller names no time.
+/// How long reading a request body may take if the caller sent no timeout.
 const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a gateway works with.
+/// The dependencies of a [`Gateway`].
 #[derive(Debug, Clone)]
 pub struct GatewayParts {
-    /// The instance of the gateway.
+    /// The instance that the gateway runs on.
     pub instance: InstanceName,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: String,
-    /// Tells one life of the process from the next.
+    /// Distinguishes this run of the process from earlier and later ones.
     pub incarnation: Incarnation,
-    /// The fleet as this process knows it.
+    /// The local view of the fleet.
     pub mirror: Arc<FleetMirror>,
-    /// Where the dispatchers of other instances listen.
+    /// Looks up the addresses of dispatchers on other instances.
     pub dispatchers: Arc<dyn PeerDirectory>,
-    /// The dispatcher inside this process.
+    /// The dispatcher inside this process, used when no other one is reachable.
     pub local_dispatcher: FleetDispatcher,
-    /// Connections to endpoints.
+    /// The pool of connections to endpoints.
     pub pool: Arc<EndpointPool>,
-    /// What endpoints asked of this process.
+    /// The back-off advice that endpoints gave this process.
     pub advice: Arc<AdviceBoard>,
-    /// How callers and endpoints speak.
+    /// The headers and statuses that callers and endpoints use.
     pub dialect: Arc<dyn GatewayDialect>,
-    /// Where spans go.
+    /// Receives tracing spans.
     pub spans: SpanSink,
-    /// Counts control bytes towards dispatchers.
+    /// Counts the control traffic to dispatchers, in bytes.
     pub counter: TrafficCounter,
-    /// What is counted.
+    /// The metrics of the gateway.
     pub metrics: GatewayMetrics,
 }
 
-/// Takes requests from callers to endpoints.
+/// Proxies requests from callers to endpoints.
 #[derive(Debug, Clone)]
 pub struct Gateway {
     shared: Arc<GatewayShared>,
@@ -80,7 +80,7 @@
     shards: Mutex<HashMap<ServiceName, Arc<ShardClient>>>,
 }
 
-/// A request as the gateway took it.
+/// A request whose body has been read.
 #[derive(Debug)]
 struct AcceptedCall {
     head: request::Parts,
@@ -90,7 +90,7 @@
 }
 
 impl Gateway {
-    /// A gateway without requests.
+    /// Creates a gateway; shards are opened as they are needed.
     pub fn new(parts: GatewayParts) -> Gateway {
         let dispatchers = Arc::new(FleetDispatchers::new(
             parts.mirror.clone(),
@@ -100,12 +100,12 @@
         Gateway { shared: Arc::new(GatewayShared { parts, dispatchers, shards: Mutex::default() }) }
     }
 
-    /// The shards that this gateway speaks to.
+    /// Returns the clients of all shards opened so far.
     pub fn shards(&self) -> Vec<Arc<ShardClient>> {
         self.lock_shards().values().cloned().collect()
     }
 
-    /// Opens the streams of every service of the plan, so that the first request need not wait.
+    /// Opens a shard for each service of the plan, so that first requests don't wait for a connection to a dispatcher.
     pub fn prepare_shards(&self) {
         let plan = self.shared.parts.mirror.plan().plan;
         for service in &plan.parts().services {
@@ -130,7 +130,7 @@
     }
 
     fn lock_shards(&self) -> std::sync::MutexGuard<'_, HashMap<ServiceName, Arc<ShardClient>>> {
-        self.shared.shards.lock().expect("no holder of the shards panics")
+        self.shared.shards.lock().expect("the lock of the shards is not poisoned")
     }
 
     async fn serve(
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Everything before the first wait for a grant.
+    /// Does everything that precedes the first wait for a grant: resolves the target, applies the throttle and reads
+    /// the body.
     async fn accept(
         &self,
         head: request::Parts,
@@ -210,7 +211,7 @@
     }
 }
 
-/// Refuses a body by its announced length, before it is read.
+/// Refuses a body whose `Content-Length` exceeds the limit, before it is read.
 fn check_length(head: &request::Parts, limit: u64) -> Result<(), Refusal> {
     let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
     let announced: Option<u64> = length.and_then(|text| text.parse().ok());
@@ -220,12 +221,12 @@
     }
 }
 
-/// Reads a body for nothing: bytes that nobody reads would reset the connection before the caller has its answer.
+/// Reads and discards a body. Unread bytes would reset the connection before the caller has received the refusal.
 async fn drain_body(mut body: Incoming) {
     while let Some(Ok(_)) = body.frame().await {}
 }
 
-/// Reads a whole body.
+/// Reads a whole body of at most `limit` bytes.
 async fn read_body(body: Incoming, limit: u64) -> Result<Bytes, Refusal> {
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     match Limited::new(body, limit).collect().await {
--- a/crates/micaspool-gateway/src/proxy/target.rs
+++ b/crates/micaspool-gateway/src/proxy/target.rs
@@ -1,4 +1,4 @@
-//! Where a request goes by the plan: its route, customer and service.
+//! Resolves the route, customer and service of a request from the plan.
 
 use crate::dialect::CallerHead;
 use crate::proxy::RETRY_AFTER;
@@ -11,36 +11,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the plan says of one request.
+/// The parts of the plan that apply to one request.
 #[derive(Clone, Debug)]
 pub(super) struct CallTarget {
     /// The number of the plan.
     pub plan_number: u64,
     /// The name of the route.
     pub route: Arc<str>,
-    /// The service that the request goes to.
+    /// The service that the request is sent to.
     pub service: ServiceName,
-    /// The customer; `None` on a public route.
+    /// The customer; `None` on a public route or if the plan has no customers.
     pub customer: Option<CustomerName>,
-    /// How often it may run.
+    /// Whether the request may run more than once.
     pub run: RunRule,
-    /// The longest time that it may be held.
+    /// The time limit of the request, from its arrival.
     pub time_limit: Duration,
-    /// The most endpoints that it may be sent to.
+    /// The maximum number of sends that may have run.
     pub attempts: u32,
-    /// Its rank; lower is more urgent. The customer's rank goes before the route's.
+    /// The priority; lower is more urgent. The customer's priority takes precedence over the route's.
     pub priority: u8,
-    /// The time within which an answer is wanted.
+    /// The latency objective; zero if the plan has none.
     pub objective: Duration,
-    /// The engine, when the service is a language model.
+    /// The engine profile if the service is a language model.
     pub engine: Option<EngineProfile>,
 }
 
-/// The ranks that a route may have; a customer's rank counts this much more.
+/// The number of priority levels of a route, and the weight of one level of a customer's priority.
 const ROUTE_PRIORITY_LEVELS: u8 = 16;
 
 impl CallTarget {
-    /// Finds route, customer and service, or says why there are none.
+    /// Resolves the route, customer and service of a request, or refuses it.
     pub fn resolve(
         plan: &NumberedPlan,
         head: &request::Parts,
@@ -71,33 +71,34 @@
         })
     }
 
-    /// Writes the decision into the request's log line.
+    /// Copies route, plan and customer into the request's log line.
     pub fn write_to_log(&self, log: &mut RequestLog) {
         log.route = self.route.clone();
         log.plan = self.plan_number;
         log.customer = self.customer.as_ref().map_or("", |name| name.as_str()).into();
     }
 
-    /// The time within which its first event is wanted, or its answer; a shard refuses it once that can't be
-    /// kept. `None` where the plan names none. Held until their deadlines instead, requests of a plain service that
-    /// is asked for more than it does come late one and all.
+    /// Returns the latency objective: the time until the first event, or until the answer. `None` if the plan has none.
+    ///
+    /// A shard refuses a request once its objective can't be met. If requests were held until their deadlines instead,
+    /// every answer of an overloaded plain service would be late.
     pub fn stated_objective(&self) -> Option<Duration> {
         (!self.objective.is_zero()).then_some(self.objective)
     }
 
-    /// The customer under which the request waits.
+    /// Returns the customer in whose queue the request waits; [`PUBLIC_CUSTOMER`] if it has none.
     pub fn queue_customer(&self) -> CustomerName {
-        let public = || CustomerName::parse(PUBLIC_CUSTOMER).expect("a constant of valid characters");
+        let public = || CustomerName::parse(PUBLIC_CUSTOMER).expect("the constant is a valid name");
         self.customer.clone().unwrap_or_else(public)
     }
 
-    /// True when both send a request to the same place for the same customer.
+    /// Returns true if both targets have the same service and customer.
     pub fn has_same_destination(&self, other: &CallTarget) -> bool {
         self.service == other.service && self.customer == other.customer
     }
 }
 
-/// The customer that holds the caller's key, and its rank.
+/// Returns the customer that owns the caller's key, and its priority.
 fn identify_customer(
     plan: &NumberedPlan,
     route: &RouteRule,
