--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! Waiting for grants and sending, until there is an answer or nothing more may be tried.
+//! Attempts of a request: waits for grants and sends until there is an answer or no further attempt is allowed.
 
 use super::failure::SendFailure;
 use super::headers::{forwarded_headers, strip_hop_by_hop};
@@ -23,20 +23,19 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How many grants in a row may be unusable before a request is given up.
+/// How many unusable grants in a row are accepted before a request is refused.
 const MAX_UNUSABLE_GRANTS: u32 = 8;
-/// How many more endpoints may be asked than the route allows, when each said that it did not run the
-/// request.
+/// How many sends beyond the route's limit are allowed while endpoints state that they did not run the request.
 const EXTRA_NOT_RUN_SENDS: u32 = 2;
-/// The largest answer that is read whole before it is passed on, in bytes.
+/// The largest answer that is buffered before it is passed on, in bytes.
 const MAX_BUFFERED_ANSWER: u64 = 64 * 1024;
-/// The shortest time that is worth sending a request with.
+/// The minimum time left before the deadline for which a request is still sent.
 const MIN_SEND_TIME: Duration = Duration::from_millis(5);
 
-/// What is left at least of the time within which an answer is wanted: none at all would mean any time.
+/// The lower bound of the remaining latency objective. Zero would mean that there is no objective.
 const MIN_OBJECTIVE: Duration = Duration::from_millis(1);
 
-/// A request on its way, with everything that decides whether it may be sent again.
+/// A request being proxied, with the state that decides whether it may be sent again.
 #[derive(Debug)]
 pub(crate) struct Attempts {
     call: AcceptedCall,
@@ -44,14 +43,14 @@
     request: RequestId,
     digest: RequestDigest,
     deadline: BootInstant,
-    /// Sends that reached an endpoint.
+    /// The number of failed sends that may have reached an endpoint.
     reached_sends: u32,
-    /// Sends that may have run.
+    /// The number of sends that may have run.
     possible_runs: u32,
     avoid: Option<EndpointName>,
 }
 
-/// An answer whose head may be passed on.
+/// An answer whose head may be passed on to the caller.
 pub(crate) struct UsableAnswer {
     pub lease: GrantLease,
     pub response: Response<PooledBody>,
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Works until there is an answer to pass on or a refusal.
+    /// Sends the request until there is an answer to pass on or a refusal.
     pub async fn run(mut self, gateway: &Gateway, mut log: RequestLog) -> Response<EdgeBody> {
         log.patience = self.call.caller.patience;
         log.digest = Some(self.digest);
@@ -92,14 +91,14 @@
             }
             match self.buffer_answer(answer, &mut log).await {
                 Ok(response) => return response,
-                // The next round answers, or refuses since nothing more may be tried.
+                // The next iteration retries, or refuses if no further attempt is allowed.
                 Err(failure) => log.log_failure("body-broken", &failure, false),
             }
         }
     }
 
-    /// True for a short answer that may be asked for again: read whole before any of it is passed on,
-    /// it can be replaced when it breaks.
+    /// Returns true for a short answer to a request that may be repeated. Buffering it before any of it is passed on
+    /// allows a retry if its body breaks.
     fn should_buffer(&self, answer: &UsableAnswer) -> bool {
         let short =
             answer.response.body().size_hint().upper().is_some_and(|bytes| bytes <= MAX_BUFFERED_ANSWER);
@@ -124,23 +123,23 @@
                 return Ok(Response::from_parts(head, whole_body(whole.to_bytes())));
             }
             Ok(Err(error)) => (error.to_string(), GrantFate::Severed),
-            Err(_) => ("no whole body before the deadline".to_owned(), GrantFate::Broken),
+            Err(_) => ("response body incomplete at the deadline".to_owned(), GrantFate::Broken),
         };
         lease.settle(Cost(1), fate);
         Err(cause)
     }
 
-    /// The moment at which nobody waits any more.
+    /// The time at which the caller or the route stops waiting.
     pub fn deadline(&self) -> BootInstant {
         self.deadline
     }
 
-    /// True while the route lets another endpoint run the request after one may have run it.
+    /// Returns true while the route allows another run of a request that may already have run.
     pub fn may_run_again(&self) -> bool {
         self.target.run.is_repeatable() && self.possible_runs < self.target.attempts
     }
 
-    /// The next answer whose head may be passed on. With `last_event` a stream goes on after it.
+    /// Returns the next answer whose head may be passed on. `last_event` resumes a stream after that event.
     pub async fn next_answer(
         &mut self,
         gateway: &Gateway,
@@ -161,7 +160,7 @@
         }
     }
 
-    /// A grant for an endpoint that takes requests, under the newest plan.
+    /// Waits for a grant that is valid under the newest plan and whose endpoint accepts requests.
     async fn usable_grant(
         &mut self,
         gateway: &Gateway,
@@ -215,7 +214,7 @@
         }
     }
 
-    /// Follows a newer plan; true when the request goes elsewhere by it.
+    /// Applies a newer plan. Returns true if it changes the service or the customer of the request.
     fn plan_changed(&mut self, gateway: &Gateway) -> Result<bool, Refusal> {
         let plan = gateway.shared.parts.mirror.plan();
         if plan.number == self.target.plan_number {
@@ -249,8 +248,8 @@
         }
     }
 
-    /// How much is left of the time within which an answer is wanted. One that may have run already is worth its
-    /// answer also late, and gets the whole time again.
+    /// Returns what is left of the latency objective. A request that may have run gets the whole objective again,
+    /// because its answer is worth having even when it is late.
     fn remaining_objective(&self) -> Option<Duration> {
         let objective = self.target.stated_objective()?;
         if self.possible_runs > 0 {
@@ -260,7 +259,7 @@
         Some(time_left.max(MIN_OBJECTIVE))
     }
 
-    /// Sends the request and reads the head of the answer.
+    /// Sends the request and waits for the head of the answer.
     async fn send(
         &self,
         gateway: &Gateway,
@@ -302,8 +301,8 @@
         Err(failure)
     }
 
-    /// Takes in what an endpoint says of itself in the head of its answer. The dispatcher hears of it before the grant
-    /// ends.
+    /// Applies the back-off advice in the head of an endpoint's answer and reports it to the dispatcher before the
+    /// grant ends.
     fn apply_advice(&self, gateway: &Gateway, endpoint: &EndpointRecord, head: &response::Parts) {
         let parts = &gateway.shared.parts;
         let parsed = parts.dialect.advice(head);
@@ -338,7 +337,7 @@
         request
     }
 
-    /// Notes a failed send; an error when nothing more may be tried.
+    /// Logs and counts a failed send. Returns an error if no further attempt is allowed.
     fn handle_failure(
         &mut self,
         log: &RequestLog,
@@ -356,6 +355,7 @@
         Ok(())
     }
 
+    /// Returns the time left until the deadline, or a refusal if it is too short to send the request.
     fn time_left(&self) -> Result<Duration, Refusal> {
         let time_left = self.deadline.saturating_duration_since(BootInstant::now());
         if time_left < MIN_SEND_TIME {
@@ -364,8 +364,8 @@
         Ok(time_left)
     }
 
-    /// The refusal after nothing more may be tried. One of a request that may have run promises
-    /// nothing.
+    /// Returns the refusal that ends the request. If the request may have run, the refusal says so and has no
+    /// `Retry-After`.
     fn final_refusal(&self, kind: RefusalKind) -> Refusal {
         match kind {
             RefusalKind::DeadlinePassed if self.possible_runs > 0 => Refusal::unknown(kind),
@@ -388,13 +388,13 @@
         Response::from_parts(head, relay_body(relay))
     }
 
-    /// True when a stream that breaks may go on elsewhere.
+    /// Returns true if a broken stream may be resumed at another endpoint.
     pub fn is_resumable(&self) -> bool {
         self.target.run == RunRule::ResumableStream
     }
 }
 
-/// Path and query, as an endpoint gets them.
+/// Reduces a URI to its path and query (RFC 9112, section 3.2.1).
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map(Uri::from).unwrap_or_else(|| Uri::from_static("/"))
--- a/crates/micaspool-gateway/src/proxy/failure.rs
+++ b/crates/micaspool-gateway/src/proxy/failure.rs
@@ -1,26 +1,26 @@
-//! Sends that gave no answer to pass on.
+//! Failed sends.
 
 use crate::dialect::{AnswerVerdict, NotRunReason};
 use http::StatusCode;
 use micaspool_dispatch::GrantFate;
 use micaspool_http::pool::SendError;
 
-/// A send that gave no answer.
+/// A send without an answer that may be passed on.
 pub(super) struct SendFailure {
-    /// How its grant ends.
+    /// The outcome reported for the grant.
     pub fate: GrantFate,
-    /// Its name in logs and metrics.
+    /// The kind of failure in logs and metrics.
     pub kind: &'static str,
-    /// What happened.
+    /// The error message for the log.
     pub cause: String,
-    /// True when the request provably did not run.
+    /// True if the request provably did not run.
     pub not_run: bool,
-    /// True when the endpoint may have got the request.
+    /// True if the endpoint may have received the request.
     pub reached_endpoint: bool,
 }
 
 impl SendFailure {
-    /// No answer came before nobody waited any more.
+    /// No answer arrived before the deadline.
     pub fn deadline() -> SendFailure {
         SendFailure {
             fate: GrantFate::Broken,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// No answer came.
+    /// The send failed without a response.
     pub fn from_error(error: &SendError) -> SendFailure {
         let (kind, fate) = match error {
             SendError::Unreachable(_) => ("unreachable", GrantFate::Unreachable),
@@ -43,7 +43,7 @@
         SendFailure { fate, kind, cause: error.to_string(), not_run: not_sent, reached_endpoint: !not_sent }
     }
 
-    /// An answer came that can't be passed on.
+    /// A response arrived that can't be passed on.
     pub fn from_answer(verdict: AnswerVerdict, status: StatusCode) -> SendFailure {
         let (kind, fate, not_run) = match verdict {
             AnswerVerdict::NotRun(NotRunReason::Full) => ("full", GrantFate::Refused, true),
