--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! An answer on its way from an endpoint to a caller.
+//! Relays answers from endpoints to callers.
 
 use crate::dialect::PromptOutline;
 use crate::events::{count_event_ends, EventSplitter};
@@ -19,27 +19,29 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How long after the deadline an answer may still flow: the endpoint stops at the deadline by
-/// itself, and its end is better than ours.
+/// How long an answer may continue after the deadline. The endpoint stops by itself at the deadline, and its own end of
+/// the answer is preferable to cutting the connection here.
 const DEADLINE_GRACE: Duration = Duration::from_millis(150);
 
-/// What a token made costs, in tokens read.
+/// The cost of a generated token, in prompt tokens.
 const OUTPUT_TOKEN_COST: u64 = 2;
 
 /// Why an answer broke.
 #[derive(Debug)]
 enum RelayError {
-    /// The endpoint's body broke.
+    /// The body of the endpoint's response ended with an error.
     Endpoint(hyper::Error),
-    /// Nobody waits any more.
+    /// The deadline and its grace period have passed.
     Deadline,
 }
 
 impl fmt::Display for RelayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RelayError::Endpoint(error) => write!(f, "the endpoint broke off ({error}); check it"),
-            RelayError::Deadline => f.write_str("the answer took longer than the route allows"),
+            RelayError::Endpoint(error) => {
+                write!(f, "endpoint connection failed before the answer was complete: {error}")
+            }
+            RelayError::Deadline => f.write_str("answer incomplete at the request deadline"),
         }
     }
 }
@@ -47,7 +49,7 @@
 impl std::error::Error for RelayError {}
 
 impl RelayError {
-    /// How the grant of such an answer ended.
+    /// The outcome reported for the grant of such an answer.
     fn fate(&self) -> GrantFate {
         match self {
             RelayError::Endpoint(_) => GrantFate::Severed,
@@ -56,7 +58,7 @@
     }
 }
 
-/// Counts what an answer delivers, in tokens: the prompt with the first event, then each event.
+/// Meters the cost of an answer in tokens: the prompt, charged with the first event, plus a fixed cost per event.
 #[derive(Debug)]
 pub(crate) struct EventMeter {
     prompt: u64,
@@ -80,7 +82,7 @@
         self.events += u64::from(count_event_ends(&mut self.after_newline, chunk));
     }
 
-    /// What was delivered so far; a call of a plain service costs one unit.
+    /// Returns the cost delivered so far. A request without a prompt, such as to a plain service, costs one unit.
     fn cost(&self) -> Cost {
         match (self.prompt, self.events) {
             (0, _) => Cost(1),
@@ -90,9 +92,9 @@
     }
 }
 
-/// Reads an endpoint's answer, charges it, and goes on elsewhere when it breaks and may be resumed.
+/// Reads an endpoint's answer, meters its cost, and resumes it at another endpoint if it breaks and may be resumed.
 ///
-/// When the caller leaves, the relay is dropped and the endpoint's connection with it.
+/// If the caller disconnects, the relay is dropped, which closes the connection to the endpoint.
 pub(crate) struct AnswerRelay {
     gateway: Gateway,
     attempts: Attempts,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// The next bytes for the caller; `None` after the end.
+    /// Returns the next bytes for the caller; `None` after the end.
     async fn next_chunk(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         while !self.ended {
             match self.read_chunk().await {
@@ -148,11 +150,12 @@
         None
     }
 
+    /// Reads the next data frame; `None` at the end of the body.
     async fn read_chunk(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
             match select(self.body.frame(), &mut self.expiry).await {
                 Either::Left((Some(Ok(frame)), _)) => {
-                    // Trailers carry nothing that callers of this fleet know.
+                    // Trailers are dropped: no caller of this fleet uses them.
                     if let Ok(data) = frame.into_data() {
                         return Ok(Some(data));
                     }
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Charges a chunk and gives what of it may be passed on now.
+    /// Meters a chunk and returns the bytes that may be passed on now.
     fn process_chunk(&mut self, chunk: Bytes) -> Option<Bytes> {
         self.meter.observe(&chunk);
         let delivered = self.meter.cost();
@@ -203,8 +206,8 @@
         }
     }
 
-    /// Goes on with a stream at another endpoint after its last whole event; false when that may not
-    /// be or failed.
+    /// Resumes a stream at another endpoint after its last complete event. Returns false if resuming is not allowed or
+    /// failed.
     async fn resume(&mut self, error: &RelayError) -> bool {
         let RelayError::Endpoint(cause) = error else { return false };
         let Some(last) = self.splitter.as_ref().and_then(EventSplitter::last_id) else { return false };
@@ -225,13 +228,13 @@
                 self.body = answer.response.into_body();
                 true
             }
-            // The failure is in the log; the caller sees its stream break.
+            // The failure has been logged; the caller's stream is aborted.
             _ => false,
         }
     }
 }
 
-/// The relay as a body. Its length is that of the endpoint's answer where it has one.
+/// Turns a relay into a body. An answer without a body is finished at once.
 pub(crate) fn relay_body(relay: AnswerRelay) -> EdgeBody {
     if relay.body.is_end_stream() {
         let mut relay = relay;
--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What is logged of a request: one line at its end.
+//! Logging of requests: one line at the end of each, and lines for failures on the way.
 
 use crate::metrics::GatewayMetrics;
 use micaspool_clock::BootInstant;
@@ -8,33 +8,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How an endpoint is held whose data hall is evacuated, in logs and metrics.
+/// The reason in logs and metrics for not using a grant whose endpoint is in an evacuated data hall.
 const EVACUATED: &str = "evacuated";
 
-/// What happened to a request so far. One that is dropped before its end had a caller that left.
+/// The state of a request for its log line. Dropping it before the request has ended logs that the caller disconnected.
 #[derive(Debug)]
 pub(crate) struct RequestLog {
     metrics: GatewayMetrics,
     id: Arc<str>,
     arrived_at: BootInstant,
     ended: bool,
-    /// The route, once it is known.
+    /// The name of the route; empty until it is resolved.
     pub route: Arc<str>,
-    /// The number of the plan that decided.
+    /// The number of the plan that the target was resolved from.
     pub plan: u64,
-    /// The customer.
+    /// The name of the customer; empty if there is none.
     pub customer: Arc<str>,
-    /// How long the caller says that it waits.
+    /// The timeout that the caller sent.
     pub patience: Option<Duration>,
-    /// What is asked for; the same for each time that it is asked for.
+    /// The digest of the request, equal for each copy of it.
     pub digest: Option<RequestDigest>,
-    /// The endpoint that the request was sent to last.
+    /// The endpoint that the request was last sent to.
     pub endpoint: Option<EndpointName>,
-    /// Its name at the dispatcher, once it asked for a grant.
+    /// The id of the request at the dispatcher, once it has asked for a grant.
     pub ticket: Option<RequestId>,
-    /// How often it was sent.
+    /// How often the request was sent.
     pub sent: u32,
-    /// How long it waited for grants, those that did not come among them.
+    /// The total time spent waiting for grants, including waits that ended in a refusal.
     pub waited: Duration,
     first_byte: Option<Duration>,
     status: u16,
@@ -61,28 +61,28 @@
         }
     }
 
-    /// When the request arrived.
+    /// Returns the arrival time of the request.
     pub fn arrived_at(&self) -> BootInstant {
         self.arrived_at
     }
 
-    /// The caller's name for its attempt.
+    /// Returns the id that the caller gave this attempt.
     pub fn id(&self) -> &Arc<str> {
         &self.id
     }
 
-    /// Notes that a grant, or a refusal in its place, took this long.
+    /// Records how long a grant, or a refusal in its place, took.
     pub fn record_wait(&mut self, wait: Duration) {
         self.waited += wait;
         self.metrics.wait_seconds.observe(wait.as_secs_f64());
     }
 
-    /// Notes the head of the answer.
+    /// Sets the status of the answer.
     pub fn set_status(&mut self, status: u16) {
         self.status = status;
     }
 
-    /// Notes the first byte of the answer's body.
+    /// Records the time of the first byte of the answer's body.
     pub fn record_first_byte(&mut self) {
         if self.first_byte.is_none() {
             let passed = self.arrived_at.elapsed();
@@ -91,14 +91,15 @@
         }
     }
 
-    /// Logs a grant for an endpoint that this process does not hold as serving, and as what it holds it.
+    /// Logs a grant that is not used because the endpoint is not known as serving, with its known stage.
     pub fn log_unusable_grant(&self, endpoint: &EndpointName, held: Option<EndpointStage>) {
         let held = held.map_or("unknown", EndpointStage::as_str);
         let fields = [field("request", &self.id), field("endpoint", endpoint), field("held_as", held)];
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
-    /// Logs a grant for an endpoint that asked this process for rest, or said that it leaves.
+    /// Logs a grant that is not used because the endpoint asked this process to back off or announced that it is
+    /// leaving.
     pub fn log_withheld_grant(&self, held: &AdviceRecord) {
         let held_as = if held.advice.leaving { "said-leaving" } else { "resting" };
         self.metrics.count_failure(held_as);
@@ -111,7 +112,7 @@
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
-    /// Logs a grant for an endpoint in a data hall that is evacuated.
+    /// Logs a grant that is not used because the endpoint's data hall is evacuated.
     pub fn log_evacuated_grant(&self, endpoint: &EndpointRecord) {
         self.metrics.count_failure(EVACUATED);
         let fields = [
@@ -123,7 +124,7 @@
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
-    /// Logs a send that failed; the request may go on.
+    /// Logs a failed send; the request may be sent again.
     pub fn log_failure(&self, kind: &'static str, cause: &str, not_run: bool) {
         self.metrics.count_failure(kind);
         let mut fields = self.fields();
@@ -134,7 +135,7 @@
         record(&events::SEND_FAILED, &fields);
     }
 
-    /// Logs that a stream goes on elsewhere after this event.
+    /// Logs that a stream was resumed at another endpoint after this event.
     pub fn log_resume(&self, last_event: u64) {
         self.metrics.resumed.inc();
         let mut fields = self.fields();
@@ -142,13 +143,13 @@
         record(&events::STREAM_CONTINUED, &fields);
     }
 
-    /// Ends with a whole answer.
+    /// Logs a complete answer.
     pub fn finish(&mut self) {
         self.metrics.answered.inc();
         self.log_end(&events::REQUEST_ANSWERED, &[]);
     }
 
-    /// Ends with an answer that broke.
+    /// Logs an answer that broke off.
     pub fn finish_broken(&mut self, cause: &str) {
         self.metrics.broken.inc();
         let mut fields = vec![field("cause", cause)];
@@ -156,7 +157,7 @@
         self.log_end(&events::ANSWER_BROKEN, &fields);
     }
 
-    /// Ends with a refusal.
+    /// Logs a refusal. The lines for throttled requests are limited, and the number of suppressed ones is logged.
     pub fn refuse(&mut self, refusal: &Refusal) {
         self.metrics.count_refusal(refusal.kind.as_str());
         let suppressed = match refusal.kind {
@@ -179,11 +180,12 @@
         self.log_end(&events::REQUEST_TURNED_AWAY, &fields);
     }
 
-    /// Failures and refusals tell what was asked for, so that each time it came can be found.
+    /// The digest of the request, logged with failures and refusals so that all copies of a request can be found.
     fn digest_field(&self) -> Option<EventField> {
         self.digest.map(|digest| field("digest", digest))
     }
 
+    /// Writes the line for the end of the request, unless it has already ended.
     fn log_end(&mut self, kind: &EventKind, extra: &[EventField]) {
         if !self.mark_ended() {
             return;
@@ -193,7 +195,7 @@
         record(kind, &fields);
     }
 
-    /// Counts the end of the request; false when it has ended before.
+    /// Marks the request as ended and records its total time. Returns false if it had already ended.
     fn mark_ended(&mut self) -> bool {
         if self.ended {
             return false;
