--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -1,4 +1,4 @@
-//! The dispatchers of a fleet: those of the keepers' instances, and one inside this process.
+//! The dispatchers of a fleet: one on each keeper instance, and one inside this process.
 
 use async_std::channel::Receiver;
 use async_trait::async_trait;
@@ -24,9 +24,11 @@
     }
 }
 
-/// Ranks the instances that run a keeper, those that hear a majority first: the others may know an
-/// older plan and fewer endpoints. Routers that reach the same ones choose the same one, and go on
-/// doing so while the keepers elect a leader. The dispatcher inside this process comes last.
+/// Ranks the dispatchers on keeper instances.
+///
+/// Reachable keepers without contact to a majority come after the others, because they may have an older plan and know
+/// fewer endpoints. Routers that reach the same keepers choose the same dispatcher, even while the keepers elect a
+/// leader. The dispatcher inside this process comes last.
 #[derive(Debug)]
 pub(crate) struct FleetDispatchers {
     mirror: Arc<FleetMirror>,
@@ -43,8 +45,8 @@
         FleetDispatchers { mirror, directory, local: Arc::new(InProcessDispatcher(local)) }
     }
 
-    /// The candidate on a keeper's instance. Its process is the keeper's, so the stream from the keeper
-    /// tells whether it answers.
+    /// Returns the dispatcher on a keeper's instance. It runs in the keeper's process, so the stream from the keeper
+    /// shows whether it responds.
     fn candidate(&self, sight: &KeeperSight) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
         let reach = match sight.reach {
@@ -60,7 +62,8 @@
     }
 }
 
-/// The instances of keepers that are members, ranked for a service.
+/// Ranks the keepers that are group members or listed in the settings for a service. Reachable
+/// keepers without a recent majority come last.
 fn rank_keepers<'a>(
     service: &ServiceName,
     services: &[ServiceName],
--- a/crates/micaspool-gateway/src/metrics.rs
+++ b/crates/micaspool-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a gateway.
+//! Counters, gauges and histograms of a gateway.
 
 use micaspool_telemetry::limit::LineLimit;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -9,11 +9,11 @@
 use prometheus_client::registry::Registry;
 use std::sync::Arc;
 
-/// The smallest bucket of the latency histograms, in seconds, and how many there are; each is twice
-/// as long as the one before, up to some 16 s.
+/// The smallest bucket of the latency histograms, in seconds, and the number of buckets. Each bucket doubles the one
+/// before, up to about 16 s.
 const FIRST_BUCKET: f64 = 0.002;
 const BUCKET_COUNT: u16 = 14;
-/// How many throttled requests have a log line of their own in a second.
+/// The maximum number of log lines for throttled requests per second.
 const MAX_THROTTLED_LINES: u32 = 20;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -21,20 +21,20 @@
     kind: &'static str,
 }
 
-/// What a gateway counts.
+/// The metrics of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayMetrics {
-    /// Answers of endpoints that were passed on whole.
+    /// Answers that were passed on completely.
     pub answered: Counter,
     refused: Family<KindLabel, Counter>,
     failures: Family<KindLabel, Counter>,
-    /// Requests whose caller left before the end.
+    /// Requests whose caller disconnected before the end.
     pub callers_left: Counter,
-    /// Answers that broke on their way.
+    /// Answers that broke off while being relayed.
     pub broken: Counter,
-    /// Streams that went on at another endpoint.
+    /// Streams that were resumed at another endpoint.
     pub resumed: Counter,
-    /// Seconds between a ticket and its grant.
+    /// Seconds between a ticket and its grant or refusal.
     pub wait_seconds: Histogram,
     /// Seconds from the arrival of a request to the first byte of its answer.
     pub first_byte_seconds: Histogram,
@@ -42,22 +42,22 @@
     pub total_seconds: Histogram,
     /// Connections to endpoints opened so far.
     pub connections_opened: Gauge,
-    /// Connections of callers that are open.
+    /// Open connections of callers.
     pub callers_open: Gauge,
     /// The number of the plan in force.
     pub plan_number: Gauge,
-    /// Endpoints that asked this process for rest.
+    /// Endpoints that asked this process to back off.
     pub endpoints_resting: Gauge,
-    /// Endpoints that said that they leave.
+    /// Endpoints that announced that they are leaving.
     pub endpoints_leaving: Gauge,
-    /// Data halls that are evacuated.
+    /// Evacuated data halls.
     pub halls_evacuated: Gauge,
-    /// Bounds the log lines on throttled requests, which a flood makes by the hundred.
+    /// Limits the log lines for throttled requests, of which a flood produces hundreds.
     pub throttled_log_limit: Arc<LineLimit>,
 }
 
 impl GatewayMetrics {
-    /// Makes the metrics and registers them.
+    /// Creates and registers the metrics.
     pub fn register(registry: &mut Registry) -> GatewayMetrics {
         let histogram = || Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKET_COUNT));
         let metrics = GatewayMetrics {
@@ -84,12 +84,20 @@
     }
 
     fn register_counters(&self, registry: &mut Registry) {
-        registry.register("micaspool_gateway_answers", "Whole answers passed on", self.answered.clone());
+        registry.register("micaspool_gateway_answers", "Complete answers passed on", self.answered.clone());
         registry.register("micaspool_gateway_refusals", "Refused requests by kind", self.refused.clone());
         registry.register("micaspool_gateway_failures", "Failed sends by kind", self.failures.clone());
-        registry.register("micaspool_gateway_left", "Requests whose caller left", self.callers_left.clone());
-        registry.register("micaspool_gateway_broken", "Answers that broke", self.broken.clone());
-        registry.register("micaspool_gateway_resumed", "Streams resumed elsewhere", self.resumed.clone());
+        registry.register(
+            "micaspool_gateway_left",
+            "Requests whose caller disconnected",
+            self.callers_left.clone(),
+        );
+        registry.register("micaspool_gateway_broken", "Answers that broke off", self.broken.clone());
+        registry.register(
+            "micaspool_gateway_resumed",
+            "Streams resumed at another endpoint",
+            self.resumed.clone(),
+        );
     }
 
     fn register_histograms_and_gauges(&self, registry: &mut Registry) {
@@ -105,21 +113,25 @@
         registry.register("micaspool_gateway_total_seconds", total_help, self.total_seconds.clone());
         let opened_help = "Connections to endpoints opened so far";
         registry.register("micaspool_gateway_opened", opened_help, self.connections_opened.clone());
-        registry.register("micaspool_gateway_callers", "Open connections", self.callers_open.clone());
-        registry.register("micaspool_gateway_plan", "Plan in force", self.plan_number.clone());
-        let resting_help = "Endpoints that asked this gateway for rest";
+        registry.register(
+            "micaspool_gateway_callers",
+            "Open connections of callers",
+            self.callers_open.clone(),
+        );
+        registry.register("micaspool_gateway_plan", "Number of the plan in force", self.plan_number.clone());
+        let resting_help = "Endpoints that asked this gateway to back off";
         registry.register(
             "micaspool_gateway_resting_endpoints",
             resting_help,
             self.endpoints_resting.clone(),
         );
-        let leaving_help = "Endpoints that said in an answer that they leave";
+        let leaving_help = "Endpoints that announced in a response that they are leaving";
         registry.register(
             "micaspool_gateway_leaving_endpoints",
             leaving_help,
             self.endpoints_leaving.clone(),
         );
-        let evacuated_help = "Data halls that are evacuated by an operator's order";
+        let evacuated_help = "Data halls evacuated by order of an operator";
         registry.register("micaspool_gateway_evacuated_halls", evacuated_help, self.halls_evacuated.clone());
     }
 
@@ -128,7 +140,7 @@
         self.refused.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts a send that failed.
+    /// Counts a failed send.
     pub fn count_failure(&self, kind: &'static str) {
         self.failures.get_or_create(&KindLabel { kind }).inc();
     }
