--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// Ranks the keepers that are group members or listed in the settings for a service. Reachable
-/// keepers without a recent majority come last.
+/// Ranks the keepers that are group members or listed in the settings, for a service. Reachable keepers without a
+/// recent majority come last.
 fn rank_keepers<'a>(
     service: &ServiceName,
     services: &[ServiceName],
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -194,8 +194,8 @@
                     lease.settle(Cost(0), GrantFate::NotHeld);
                 }
                 Some(record) if record.stage == EndpointStage::Serving => return Ok((lease, record)),
-                held => {
-                    log.log_unusable_grant(lease.endpoint(), held.map(|record| record.stage));
+                unusable => {
+                    log.log_unusable_grant(lease.endpoint(), unusable.map(|record| record.stage));
                     lease.settle(Cost(0), GrantFate::NotHeld);
                 }
             }
--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -92,22 +92,22 @@
     }
 
     /// Logs a grant that is not used because the endpoint is not known as serving, with its known stage.
-    pub fn log_unusable_grant(&self, endpoint: &EndpointName, held: Option<EndpointStage>) {
-        let held = held.map_or("unknown", EndpointStage::as_str);
-        let fields = [field("request", &self.id), field("endpoint", endpoint), field("held_as", held)];
+    pub fn log_unusable_grant(&self, endpoint: &EndpointName, stage: Option<EndpointStage>) {
+        let stage = stage.map_or("unknown", EndpointStage::as_str);
+        let fields = [field("request", &self.id), field("endpoint", endpoint), field("held_as", stage)];
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
     /// Logs a grant that is not used because the endpoint asked this process to back off or announced that it is
     /// leaving.
-    pub fn log_withheld_grant(&self, held: &AdviceRecord) {
-        let held_as = if held.advice.leaving { "said-leaving" } else { "resting" };
+    pub fn log_withheld_grant(&self, advice: &AdviceRecord) {
+        let held_as = if advice.advice.leaving { "said-leaving" } else { "resting" };
         self.metrics.count_failure(held_as);
         let fields = [
             field("request", &self.id),
-            field("endpoint", &held.endpoint),
+            field("endpoint", &advice.endpoint),
             field("held_as", held_as),
-            field("rest_ms", held.advice.rest.as_millis()),
+            field("rest_ms", advice.advice.rest.as_millis()),
         ];
         record(&events::GRANT_UNUSABLE, &fields);
     }
