--- /dev/null
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -0,0 +1,401 @@
+//! Attempts of a request: waits for grants and sends until there is an answer or no further attempt is allowed.
+
+use super::failure::SendFailure;
+use super::headers::{forwarded_headers, strip_hop_by_hop};
+use super::target::CallTarget;
+use super::{AcceptedCall, Gateway, RETRY_AFTER};
+use crate::dialect::{AnswerVerdict, ForwardContext};
+use crate::relay::{relay_body, AnswerRelay, EventMeter};
+use crate::request_log::RequestLog;
+use http::{response, Request, Response, Uri};
+use http_body::Body;
+use http_body_util::{BodyExt, Full};
+use micaspool_backpressure::AdviceSource;
+use micaspool_clock::BootInstant;
+use micaspool_dispatch::{GrantOutcome, RequestTicket};
+use micaspool_http::edge::{whole_body, EdgeBody};
+use micaspool_http::pool::PooledBody;
+use micaspool_registry::{EndpointRecord, EndpointStage};
+use micaspool_router::GrantLease;
+use micaspool_routes::RunRule;
+use micaspool_telemetry::events::{self, field, record};
+use micaspool_types::{Cost, EndpointName, Refusal, RefusalKind, RequestDigest, RequestId};
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// How many unusable grants in a row are accepted before a request is refused.
+const MAX_UNUSABLE_GRANTS: u32 = 8;
+/// How many sends beyond the route's limit are allowed while endpoints state that they did not run the request.
+const EXTRA_NOT_RUN_SENDS: u32 = 2;
+/// The largest answer that is buffered before it is passed on, in bytes.
+const MAX_BUFFERED_ANSWER: u64 = 64 * 1024;
+/// The minimum time left before the deadline for which a request is still sent.
+const MIN_SEND_TIME: Duration = Duration::from_millis(5);
+
+/// The lower bound of the remaining latency objective. Zero would mean that there is no objective.
+const MIN_OBJECTIVE: Duration = Duration::from_millis(1);
+
+/// A request being proxied, with the state that decides whether it may be sent again.
+#[derive(Debug)]
+pub(crate) struct Attempts {
+    call: AcceptedCall,
+    target: CallTarget,
+    request: RequestId,
+    digest: RequestDigest,
+    deadline: BootInstant,
+    /// The number of failed sends that may have reached an endpoint.
+    reached_sends: u32,
+    /// The number of sends that may have run.
+    possible_runs: u32,
+    avoid: Option<EndpointName>,
+}
+
+/// An answer whose head may be passed on to the caller.
+pub(crate) struct UsableAnswer {
+    pub lease: GrantLease,
+    pub response: Response<PooledBody>,
+}
+
+impl Attempts {
+    pub(super) fn new(call: AcceptedCall, target: CallTarget) -> Attempts {
+        let patience = call.caller.patience.unwrap_or(target.time_limit).min(target.time_limit);
+        let uri = origin_form(&call.head.uri).to_string();
+        let customer = target.queue_customer();
+        let digest = RequestDigest::of(&customer, call.head.method.as_str(), &uri, &call.body);
+        Attempts {
+            deadline: call.arrived_at + patience,
+            call,
+            target,
+            request: RequestId(rand::random()),
+            digest,
+            reached_sends: 0,
+            possible_runs: 0,
+            avoid: None,
+        }
+    }
+
+    /// Sends the request until there is an answer to pass on or a refusal.
+    pub async fn run(mut self, gateway: &Gateway, mut log: RequestLog) -> Response<EdgeBody> {
+        log.patience = self.call.caller.patience;
+        log.digest = Some(self.digest);
+        loop {
+            let answer = match self.next_answer(gateway, &mut log, None).await {
+                Ok(answer) => answer,
+                Err(refusal) => {
+                    log.refuse(&refusal);
+                    return gateway.shared.parts.dialect.refuse(Some(&self.call.caller.id), &refusal);
+                }
+            };
+            if !self.should_buffer(&answer) {
+                return self.stream_answer(gateway, answer, log);
+            }
+            match self.buffer_answer(answer, &mut log).await {
+                Ok(response) => return response,
+                // The next iteration retries, or refuses if no further attempt is allowed.
+                Err(failure) => log.log_failure("body-broken", &failure, false),
+            }
+        }
+    }
+
+    /// Returns true for a short answer to a request that may be repeated. Buffering it before any of it is passed on
+    /// allows a retry if its body breaks.
+    fn should_buffer(&self, answer: &UsableAnswer) -> bool {
+        let short =
+            answer.response.body().size_hint().upper().is_some_and(|bytes| bytes <= MAX_BUFFERED_ANSWER);
+        short && self.target.run == RunRule::Repeatable && self.may_run_again()
+    }
+
+    async fn buffer_answer(
+        &self,
+        answer: UsableAnswer,
+        log: &mut RequestLog,
+    ) -> Result<Response<EdgeBody>, String> {
+        let UsableAnswer { lease, response } = answer;
+        let (mut head, body) = response.into_parts();
+        let time_left = self.deadline.saturating_duration_since(BootInstant::now());
+        let (cause, fate) = match timeout(time_left, body.collect()).await {
+            Ok(Ok(whole)) => {
+                lease.settle(Cost(1), GrantOutcome::Done);
+                strip_hop_by_hop(&mut head.headers);
+                log.set_status(head.status.as_u16());
+                log.record_first_byte();
+                log.finish();
+                return Ok(Response::from_parts(head, whole_body(whole.to_bytes())));
+            }
+            Ok(Err(error)) => (error.to_string(), GrantOutcome::Severed),
+            Err(_) => ("response body incomplete at the deadline".to_owned(), GrantOutcome::Broken),
+        };
+        lease.settle(Cost(1), fate);
+        Err(cause)
+    }
+
+    /// The time at which the caller or the route stops waiting.
+    pub fn deadline(&self) -> BootInstant {
+        self.deadline
+    }
+
+    /// Returns true while the route allows another run of a request that may already have run.
+    pub fn may_run_again(&self) -> bool {
+        self.target.run.is_repeatable() && self.possible_runs < self.target.attempts
+    }
+
+    /// Returns the next answer whose head may be passed on. `last_event` resumes a stream after that event.
+    pub async fn next_answer(
+        &mut self,
+        gateway: &Gateway,
+        log: &mut RequestLog,
+        last_event: Option<&str>,
+    ) -> Result<UsableAnswer, Refusal> {
+        loop {
+            let (lease, endpoint) = self.usable_grant(gateway, log).await?;
+            log.endpoint = Some(endpoint.name.clone());
+            log.sent += 1;
+            match self.send(gateway, lease, &endpoint, last_event).await {
+                Ok(answer) => {
+                    self.possible_runs += 1;
+                    return Ok(answer);
+                }
+                Err(failure) => self.handle_failure(log, endpoint.name, failure)?,
+            }
+        }
+    }
+
+    /// Waits for a grant that is valid under the newest plan and whose endpoint accepts requests.
+    async fn usable_grant(
+        &mut self,
+        gateway: &Gateway,
+        log: &mut RequestLog,
+    ) -> Result<(GrantLease, EndpointRecord), Refusal> {
+        for _ in 0..MAX_UNUSABLE_GRANTS {
+            let wait_start = BootInstant::now();
+            log.ticket = Some(self.request);
+            let granted = self.wait_for_grant(gateway).await;
+            log.record_wait(wait_start.elapsed());
+            let lease = granted?;
+            if self.plan_changed(gateway)? {
+                self.target.write_to_log(log);
+                lease.settle(Cost(0), GrantOutcome::Unsent);
+                continue;
+            }
+            if !lease.is_valid() {
+                record(&events::LEASE_OVER, &[field("request", log.id())]);
+                lease.settle(Cost(0), GrantOutcome::Unsent);
+                continue;
+            }
+            if let Some(advice) = gateway.shared.parts.advice.record_of(lease.endpoint()) {
+                log.log_withheld_grant(&advice);
+                gateway.shard(&self.target.service).report_advice(advice);
+                lease.settle(Cost(0), GrantOutcome::NotHeld);
+                continue;
+            }
+            match gateway.shared.parts.mirror.endpoint(lease.endpoint()) {
+                Some(record) if gateway.shared.parts.mirror.is_evacuated(&record.hall) => {
+                    log.log_evacuated_grant(&record);
+                    lease.settle(Cost(0), GrantOutcome::NotHeld);
+                }
+                Some(record) if record.stage == EndpointStage::Serving => return Ok((lease, record)),
+                unusable => {
+                    log.log_unusable_grant(lease.endpoint(), unusable.map(|record| record.stage));
+                    lease.settle(Cost(0), GrantOutcome::NotHeld);
+                }
+            }
+        }
+        Err(self.final_refusal(RefusalKind::NoEndpoint))
+    }
+
+    async fn wait_for_grant(&self, gateway: &Gateway) -> Result<GrantLease, Refusal> {
+        let time_left = self.time_left()?;
+        let shard = gateway.shard(&self.target.service);
+        match timeout(time_left, shard.acquire(self.ticket(), None)).await {
+            Ok(Ok(lease)) => Ok(lease),
+            Ok(Err(refusal)) if self.possible_runs > 0 => Err(Refusal::unknown(refusal.kind)),
+            Ok(Err(refusal)) => Err(refusal),
+            Err(_) => Err(self.final_refusal(RefusalKind::DeadlinePassed)),
+        }
+    }
+
+    /// Applies a newer plan. Returns true if it changes the service or the customer of the request.
+    fn plan_changed(&mut self, gateway: &Gateway) -> Result<bool, Refusal> {
+        let plan = gateway.shared.parts.mirror.plan();
+        if plan.number == self.target.plan_number {
+            return Ok(false);
+        }
+        let target = CallTarget::resolve(&plan, &self.call.head, &self.call.caller)?;
+        let changed = !target.has_same_destination(&self.target);
+        self.target = target;
+        Ok(changed)
+    }
+
+    fn ticket(&self) -> RequestTicket {
+        let prompt = self.call.caller.prompt.as_ref();
+        let tokens = prompt.map_or(0, |prompt| prompt.prompt_tokens);
+        let hint = prompt.map_or(1, |prompt| prompt.prompt_tokens + prompt.max_output_tokens);
+        let parts = prompt.map(|prompt| prompt.parts.as_slice()).unwrap_or_default();
+        RequestTicket {
+            request: self.request,
+            customer: self.target.queue_customer(),
+            digest: Some(self.digest),
+            hint: Cost(hint),
+            priority: self.target.priority,
+            attempt: self.reached_sends,
+            avoid: self.avoid.clone(),
+            prefixes: parts.iter().map(|part| part.prefix).collect(),
+            prefix_tokens: parts.iter().map(|part| part.tokens).collect(),
+            prompt_tokens: Cost(tokens),
+            objective: self.remaining_objective(),
+            patience: self.call.caller.patience,
+            order: None,
+        }
+    }
+
+    /// Returns what is left of the latency objective. A request that may have run gets the whole objective again,
+    /// because its answer is worth having even when it is late.
+    fn remaining_objective(&self) -> Option<Duration> {
+        let objective = self.target.stated_objective()?;
+        if self.possible_runs > 0 {
+            return Some(objective);
+        }
+        let time_left = objective.saturating_sub(self.call.arrived_at.elapsed());
+        Some(time_left.max(MIN_OBJECTIVE))
+    }
+
+    /// Sends the request and waits for the head of the answer.
+    async fn send(
+        &self,
+        gateway: &Gateway,
+        mut lease: GrantLease,
+        endpoint: &EndpointRecord,
+        last_event: Option<&str>,
+    ) -> Result<UsableAnswer, SendFailure> {
+        let parts = &gateway.shared.parts;
+        let time_left = self.deadline.saturating_duration_since(BootInstant::now());
+        let context = ForwardContext {
+            id: &self.call.caller.id,
+            endpoint: &endpoint.identity,
+            customer: self.target.customer.as_ref(),
+            time_left,
+            last_event,
+        };
+        let request = self.build_request(gateway, &context);
+        lease.mark_sent();
+        let may_send = || parts.advice.may_send(&endpoint.name) && !parts.mirror.is_evacuated(&endpoint.hall);
+        let sent = timeout(time_left, parts.pool.send_while(endpoint.address, request, may_send)).await;
+        let failure = match sent {
+            Ok(Ok(response)) => {
+                let (head, body) = response.into_parts();
+                let verdict = parts.dialect.classify_answer(&head, &self.call.caller.id);
+                if verdict.is_from_target() {
+                    self.apply_advice(gateway, endpoint, &head);
+                }
+                match verdict {
+                    AnswerVerdict::Answer => {
+                        return Ok(UsableAnswer { lease, response: Response::from_parts(head, body) })
+                    }
+                    verdict => SendFailure::from_answer(verdict, head.status),
+                }
+            }
+            Ok(Err(error)) => SendFailure::from_error(&error),
+            Err(_) => SendFailure::deadline(),
+        };
+        lease.settle(Cost(0), failure.fate);
+        Err(failure)
+    }
+
+    /// Applies the back-off advice in the head of an endpoint's answer and reports it to the dispatcher before the
+    /// grant ends.
+    fn apply_advice(&self, gateway: &Gateway, endpoint: &EndpointRecord, head: &response::Parts) {
+        let parts = &gateway.shared.parts;
+        let parsed = parts.dialect.advice(head);
+        if let Some(fault) = &parsed.fault {
+            let fields = [
+                field("endpoint", &endpoint.name),
+                field("request", &self.call.caller.id),
+                field("error", fault),
+            ];
+            record(&events::ADVICE_UNREADABLE, &fields);
+        }
+        let source = AdviceSource {
+            endpoint: &endpoint.name,
+            service: &endpoint.service,
+            request: &self.call.caller.id,
+        };
+        let Some(advice) = parts.advice.apply(source, parsed.advice) else { return };
+        if advice.advice.leaving {
+            parts.pool.close_resting(endpoint.address);
+        }
+        gateway.shard(&endpoint.service).report_advice(advice);
+    }
+
+    fn build_request(&self, gateway: &Gateway, context: &ForwardContext<'_>) -> Request<Full<bytes::Bytes>> {
+        let head = &self.call.head;
+        let mut headers = forwarded_headers(&head.headers);
+        gateway.shared.parts.dialect.rewrite_headers(&mut headers, context);
+        let mut request = Request::new(Full::new(self.call.body.clone()));
+        *request.method_mut() = head.method.clone();
+        *request.uri_mut() = origin_form(&head.uri);
+        *request.headers_mut() = headers;
+        request
+    }
+
+    /// Logs and counts a failed send. Returns an error if no further attempt is allowed.
+    fn handle_failure(
+        &mut self,
+        log: &RequestLog,
+        endpoint: EndpointName,
+        failure: SendFailure,
+    ) -> Result<(), Refusal> {
+        log.log_failure(failure.kind, &failure.cause, failure.not_run);
+        self.reached_sends += u32::from(failure.reached_endpoint);
+        self.possible_runs += u32::from(!failure.not_run);
+        self.avoid = Some(endpoint);
+        let is_unrepeatable = self.possible_runs > 0 && !self.may_run_again();
+        if is_unrepeatable || self.reached_sends >= self.target.attempts + EXTRA_NOT_RUN_SENDS {
+            return Err(self.final_refusal(RefusalKind::RetriesExhausted));
+        }
+        Ok(())
+    }
+
+    /// Returns the time left until the deadline, or a refusal if it is too short to send the request.
+    fn time_left(&self) -> Result<Duration, Refusal> {
+        let time_left = self.deadline.saturating_duration_since(BootInstant::now());
+        if time_left < MIN_SEND_TIME {
+            return Err(self.final_refusal(RefusalKind::DeadlinePassed));
+        }
+        Ok(time_left)
+    }
+
+    /// Returns the refusal that ends the request. If the request may have run, the refusal says so and has no
+    /// `Retry-After`.
+    fn final_refusal(&self, kind: RefusalKind) -> Refusal {
+        match kind {
+            RefusalKind::DeadlinePassed if self.possible_runs > 0 => Refusal::unknown(kind),
+            _ if self.possible_runs > 0 => Refusal::unknown(RefusalKind::EndpointFailed),
+            _ => Refusal::not_run(kind).after(RETRY_AFTER),
+        }
+    }
+
+    fn stream_answer(
+        self,
+        gateway: &Gateway,
+        answer: UsableAnswer,
+        mut log: RequestLog,
+    ) -> Response<EdgeBody> {
+        let (mut head, body) = answer.response.into_parts();
+        strip_hop_by_hop(&mut head.headers);
+        log.set_status(head.status.as_u16());
+        let meter = EventMeter::new(self.call.caller.prompt.as_ref(), self.target.engine);
+        let relay = AnswerRelay::new(gateway.clone(), self, body, answer.lease, meter, log);
+        Response::from_parts(head, relay_body(relay))
+    }
+
+    /// Returns true if a broken stream may be resumed at another endpoint.
+    pub fn is_resumable(&self) -> bool {
+        self.target.run == RunRule::ResumableStream
+    }
+}
+
+/// Reduces a URI to its path and query (RFC 9112, section 3.2.1).
+fn origin_form(uri: &Uri) -> Uri {
+    let path = uri.path_and_query().cloned();
+    path.map(Uri::from).unwrap_or_else(|| Uri::from_static("/"))
+}
--- a/crates/micaspool-gateway/src/path/mod.rs
+++ b/crates/micaspool-gateway/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The path of a request through the gateway.
+//! Accepting requests and proxying them to endpoints.
 
 mod attempt;
 mod failure;
@@ -8,7 +8,7 @@
 use crate::dialect::{CallerHead, GatewayDialect};
 use crate::dispatchers::FleetDispatchers;
 use crate::metrics::GatewayMetrics;
-use crate::trail::RequestTrail;
+use crate::request_log::RequestLog;
 use async_trait::async_trait;
 pub(crate) use attempt::Attempts;
 use bytes::Bytes;
@@ -33,41 +33,41 @@
 use target::CallTarget;
 use tokio::time::timeout;
 
-/// When a request may come back that found no plan, no dispatcher or no endpoint.
+/// `Retry-After` of refusals by this gateway, such as for a missing plan or endpoint or too many connections.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// How long a body may take when its caller names no time.
-const BODY_LIMIT: Duration = Duration::from_secs(15);
+/// How long reading a request body may take if the caller sent no timeout.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a gateway works with.
+/// The dependencies of a [`Gateway`].
 #[derive(Debug, Clone)]
 pub struct GatewayParts {
-    /// The instance of the gateway.
+    /// The instance that the gateway runs on.
     pub instance: InstanceName,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: String,
-    /// Tells one life of the process from the next.
+    /// Distinguishes this run of the process from earlier and later ones.
     pub incarnation: Incarnation,
-    /// The fleet as this process knows it.
+    /// The local view of the fleet.
     pub mirror: Arc<FleetMirror>,
-    /// Where the dispatchers of other instances listen.
+    /// Looks up the addresses of dispatchers on other instances.
     pub dispatchers: Arc<dyn PeerDirectory>,
-    /// The dispatcher inside this process.
-    pub own_dispatcher: FleetDispatcher,
-    /// Connections to endpoints.
+    /// The dispatcher inside this process, used when no other one is reachable.
+    pub local_dispatcher: FleetDispatcher,
+    /// The pool of connections to endpoints.
     pub pool: Arc<EndpointPool>,
-    /// What endpoints asked of this process.
+    /// The back-off advice that endpoints gave this process.
     pub advice: Arc<AdviceBoard>,
-    /// How callers and endpoints speak.
+    /// The headers and statuses that callers and endpoints use.
     pub dialect: Arc<dyn GatewayDialect>,
-    /// Where spans go.
+    /// Receives tracing spans.
     pub spans: SpanSink,
-    /// Counts control bytes towards dispatchers.
+    /// Counts the control traffic to dispatchers, in bytes.
     pub counter: TrafficCounter,
-    /// What is counted.
+    /// The metrics of the gateway.
     pub metrics: GatewayMetrics,
 }
 
-/// Takes requests from callers to endpoints.
+/// Proxies requests from callers to endpoints.
 #[derive(Debug, Clone)]
 pub struct Gateway {
     shared: Arc<GatewayShared>,
@@ -80,32 +80,32 @@
     shards: Mutex<HashMap<ServiceName, Arc<ShardClient>>>,
 }
 
-/// A request as the gateway took it.
+/// A request whose body has been read.
 #[derive(Debug)]
-struct TakenCall {
+struct AcceptedCall {
     head: request::Parts,
     caller: CallerHead,
-    arrived: BootInstant,
+    arrived_at: BootInstant,
     body: Bytes,
 }
 
 impl Gateway {
-    /// A gateway without requests.
+    /// Creates a gateway; shards are opened as they are needed.
     pub fn new(parts: GatewayParts) -> Gateway {
         let dispatchers = Arc::new(FleetDispatchers::new(
             parts.mirror.clone(),
             parts.dispatchers.clone(),
-            parts.own_dispatcher.clone(),
+            parts.local_dispatcher.clone(),
         ));
         Gateway { shared: Arc::new(GatewayShared { parts, dispatchers, shards: Mutex::default() }) }
     }
 
-    /// The shards that this gateway speaks to.
+    /// Returns the clients of all shards opened so far.
     pub fn shards(&self) -> Vec<Arc<ShardClient>> {
         self.lock_shards().values().cloned().collect()
     }
 
-    /// Opens the streams of every service of the plan, so that the first request need not wait.
+    /// Opens a shard for each service of the plan, so that first requests don't wait for a connection to a dispatcher.
     pub fn prepare_shards(&self) {
         let plan = self.shared.parts.mirror.plan().plan;
         for service in &plan.parts().services {
@@ -130,76 +130,77 @@
     }
 
     fn lock_shards(&self) -> std::sync::MutexGuard<'_, HashMap<ServiceName, Arc<ShardClient>>> {
-        self.shared.shards.lock().expect("no holder of the shards panics")
+        self.shared.shards.lock().expect("the lock of the shards is not poisoned")
     }
 
-    async fn take(
+    async fn serve(
         &self,
         head: request::Parts,
         caller: CallerHead,
         body: Incoming,
-        trail: RequestTrail,
+        log: RequestLog,
     ) -> Response<EdgeBody> {
         let id = caller.id.clone();
-        let mut trail = trail;
-        match self.try_take(head, caller, body, &mut trail).await {
-            Ok(attempts) => attempts.run(self, trail).await,
+        let mut log = log;
+        match self.accept(head, caller, body, &mut log).await {
+            Ok(attempts) => attempts.run(self, log).await,
             Err(refusal) => {
-                trail.refuse(&refusal);
+                log.refuse(&refusal);
                 self.shared.parts.dialect.refuse(Some(&id), &refusal)
             }
         }
     }
 
-    /// Everything before the first wait for a grant.
-    async fn try_take(
+    /// Does everything that precedes the first wait for a grant: resolves the target, applies the throttle and reads
+    /// the body.
+    async fn accept(
         &self,
         head: request::Parts,
         caller: CallerHead,
         body: Incoming,
-        trail: &mut RequestTrail,
+        log: &mut RequestLog,
     ) -> Result<Attempts, Refusal> {
-        let arrived = trail.arrived();
+        let arrived_at = log.arrived_at();
         let plan = self.shared.parts.mirror.plan();
-        let target = CallTarget::find(&plan, &head, &caller)?;
-        target.describe(trail);
+        let target = CallTarget::resolve(&plan, &head, &caller)?;
+        target.write_to_log(log);
         let limit = plan.plan.parts().limits.body_bytes;
         check_length(&head, limit)?;
-        let patience = caller.patience.unwrap_or(BODY_LIMIT).min(target.time_limit);
-        if let Err(refusal) = self.shard(&target.service).admit(&target.waiting_customer()) {
-            let _ = timeout(patience, discard(body)).await;
+        let patience = caller.patience.unwrap_or(DEFAULT_BODY_TIMEOUT).min(target.time_limit);
+        if let Err(refusal) = self.shard(&target.service).admit(&target.queue_customer()) {
+            let _ = timeout(patience, drain_body(body)).await;
             return Err(refusal);
         }
-        let read = timeout(patience, collect(body, limit)).await;
+        let read = timeout(patience, read_body(body, limit)).await;
         let body = read.unwrap_or_else(|_| Err(Refusal::not_run(RefusalKind::SlowRequest)))?;
-        Ok(Attempts::new(TakenCall { head, caller, arrived, body }, target))
+        Ok(Attempts::new(AcceptedCall { head, caller, arrived_at, body }, target))
     }
 }
 
 #[async_trait]
 impl EdgeHandler for Gateway {
     async fn handle(&self, request: Request<Incoming>) -> Response<EdgeBody> {
-        let arrived = BootInstant::now();
+        let arrived_at = BootInstant::now();
         let (head, body) = request.into_parts();
         let parts = &self.shared.parts;
-        match parts.dialect.read(&head) {
+        match parts.dialect.read_head(&head) {
             Ok(caller) => {
-                let trail = RequestTrail::new(parts.metrics.clone(), caller.id.clone(), arrived);
-                self.take(head, caller, body, trail).await
+                let log = RequestLog::new(parts.metrics.clone(), caller.id.clone(), arrived_at);
+                self.serve(head, caller, body, log).await
             }
             Err(refusal) => {
-                let mut trail = RequestTrail::new(parts.metrics.clone(), Arc::from("unread"), arrived);
-                trail.refuse(&refusal);
+                let mut log = RequestLog::new(parts.metrics.clone(), Arc::from("unread"), arrived_at);
+                log.refuse(&refusal);
                 parts.dialect.refuse(None, &refusal)
             }
         }
     }
     async fn refuse(&self, head: request::Parts) -> Response<EdgeBody> {
         let parts = &self.shared.parts;
-        let id = parts.dialect.read(&head).ok().map(|caller| caller.id);
+        let id = parts.dialect.read_head(&head).ok().map(|caller| caller.id);
         let refusal = Refusal::not_run(RefusalKind::TooManyConnections).after(RETRY_AFTER);
         let name = id.clone().unwrap_or_else(|| Arc::from("unread"));
-        RequestTrail::new(parts.metrics.clone(), name, BootInstant::now()).refuse(&refusal);
+        RequestLog::new(parts.metrics.clone(), name, BootInstant::now()).refuse(&refusal);
         parts.dialect.refuse(id.as_deref(), &refusal)
     }
 
@@ -210,7 +211,7 @@
     }
 }
 
-/// Refuses a body by its announced length, before it is read.
+/// Refuses a body whose `Content-Length` exceeds the limit, before it is read.
 fn check_length(head: &request::Parts, limit: u64) -> Result<(), Refusal> {
     let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
     let announced: Option<u64> = length.and_then(|text| text.parse().ok());
@@ -220,13 +221,13 @@
     }
 }
 
-/// Reads a body for nothing: bytes that nobody reads would reset the connection before the caller has its answer.
-async fn discard(mut body: Incoming) {
+/// Reads and discards a body. Unread bytes would reset the connection before the caller has received the refusal.
+async fn drain_body(mut body: Incoming) {
     while let Some(Ok(_)) = body.frame().await {}
 }
 
-/// Reads a whole body.
-async fn collect(body: Incoming, limit: u64) -> Result<Bytes, Refusal> {
+/// Reads a whole body of at most `limit` bytes.
+async fn read_body(body: Incoming, limit: u64) -> Result<Bytes, Refusal> {
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
--- a/crates/micaspool-gateway/src/trail.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What is logged of a request: one line at its end.
+//! Logging of requests: one line at the end of each, and lines for failures on the way.
 
 use crate::metrics::GatewayMetrics;
 use micaspool_clock::BootInstant;
@@ -8,44 +8,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How an endpoint is held whose data hall is evacuated, in logs and metrics.
+/// The reason in logs and metrics for not using a grant whose endpoint is in an evacuated data hall.
 const EVACUATED: &str = "evacuated";
 
-/// What happened to a request so far. One that is dropped before its end had a caller that left.
+/// The state of a request for its log line. Dropping it before the request has ended logs that the caller disconnected.
 #[derive(Debug)]
-pub(crate) struct RequestTrail {
+pub(crate) struct RequestLog {
     metrics: GatewayMetrics,
     id: Arc<str>,
-    arrived: BootInstant,
+    arrived_at: BootInstant,
     ended: bool,
-    /// The route, once it is known.
+    /// The name of the route; empty until it is resolved.
     pub route: Arc<str>,
-    /// The number of the plan that decided.
+    /// The number of the plan that the target was resolved from.
     pub plan: u64,
-    /// The customer.
+    /// The name of the customer; empty if there is none.
     pub customer: Arc<str>,
-    /// How long the caller says that it waits.
+    /// The timeout that the caller sent.
     pub patience: Option<Duration>,
-    /// What is asked for; the same for each time that it is asked for.
+    /// The digest of the request, equal for each copy of it.
     pub digest: Option<RequestDigest>,
-    /// The endpoint that the request was sent to last.
+    /// The endpoint that the request was last sent to.
     pub endpoint: Option<EndpointName>,
-    /// Its name at the dispatcher, once it asked for a grant.
+    /// The id of the request at the dispatcher, once it has asked for a grant.
     pub ticket: Option<RequestId>,
-    /// How often it was sent.
+    /// How often the request was sent.
     pub sent: u32,
-    /// How long it waited for grants, those that did not come among them.
+    /// The total time spent waiting for grants, including waits that ended in a refusal.
     pub waited: Duration,
     first_byte: Option<Duration>,
     status: u16,
 }
 
-impl RequestTrail {
-    pub fn new(metrics: GatewayMetrics, id: Arc<str>, arrived: BootInstant) -> RequestTrail {
-        RequestTrail {
+impl RequestLog {
+    pub fn new(metrics: GatewayMetrics, id: Arc<str>, arrived_at: BootInstant) -> RequestLog {
+        RequestLog {
             metrics,
             id,
-            arrived,
+            arrived_at,
             ended: false,
             route: Arc::from(""),
             plan: 0,
@@ -61,58 +61,59 @@
         }
     }
 
-    /// When the request arrived.
-    pub fn arrived(&self) -> BootInstant {
-        self.arrived
+    /// Returns the arrival time of the request.
+    pub fn arrived_at(&self) -> BootInstant {
+        self.arrived_at
     }
 
-    /// The caller's name for its attempt.
+    /// Returns the id that the caller gave this attempt.
     pub fn id(&self) -> &Arc<str> {
         &self.id
     }
 
-    /// Notes that a grant, or a refusal in its place, took this long.
-    pub fn note_wait(&mut self, wait: Duration) {
+    /// Records how long a grant, or a refusal in its place, took.
+    pub fn record_wait(&mut self, wait: Duration) {
         self.waited += wait;
         self.metrics.wait_seconds.observe(wait.as_secs_f64());
     }
 
-    /// Notes the head of the answer.
-    pub fn note_status(&mut self, status: u16) {
+    /// Sets the status of the answer.
+    pub fn set_status(&mut self, status: u16) {
         self.status = status;
     }
 
-    /// Notes the first byte of the answer's body.
-    pub fn note_first_byte(&mut self) {
+    /// Records the time of the first byte of the answer's body.
+    pub fn record_first_byte(&mut self) {
         if self.first_byte.is_none() {
-            let passed = self.arrived.elapsed();
+            let passed = self.arrived_at.elapsed();
             self.first_byte = Some(passed);
             self.metrics.first_byte_seconds.observe(passed.as_secs_f64());
         }
     }
 
-    /// Logs a grant for an endpoint that this process does not hold as serving, and as what it holds it.
-    pub fn note_unusable(&self, endpoint: &EndpointName, held: Option<EndpointStage>) {
-        let held = held.map_or("unknown", EndpointStage::as_str);
-        let fields = [field("request", &self.id), field("endpoint", endpoint), field("held_as", held)];
+    /// Logs a grant that is not used because the endpoint is not known as serving, with its known stage.
+    pub fn log_unusable_grant(&self, endpoint: &EndpointName, stage: Option<EndpointStage>) {
+        let stage = stage.map_or("unknown", EndpointStage::as_str);
+        let fields = [field("request", &self.id), field("endpoint", endpoint), field("held_as", stage)];
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
-    /// Logs a grant for an endpoint that asked this process for rest, or said that it leaves.
-    pub fn note_withheld(&self, held: &AdviceRecord) {
-        let held_as = if held.advice.leaving { "said-leaving" } else { "resting" };
+    /// Logs a grant that is not used because the endpoint asked this process to back off or announced that it is
+    /// leaving.
+    pub fn log_withheld_grant(&self, advice: &AdviceRecord) {
+        let held_as = if advice.advice.leaving { "said-leaving" } else { "resting" };
         self.metrics.count_failure(held_as);
         let fields = [
             field("request", &self.id),
-            field("endpoint", &held.endpoint),
+            field("endpoint", &advice.endpoint),
             field("held_as", held_as),
-            field("rest_ms", held.advice.rest.as_millis()),
+            field("rest_ms", advice.advice.rest.as_millis()),
         ];
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
-    /// Logs a grant for an endpoint in a data hall that is evacuated.
-    pub fn note_evacuated(&self, endpoint: &EndpointRecord) {
+    /// Logs a grant that is not used because the endpoint's data hall is evacuated.
+    pub fn log_evacuated_grant(&self, endpoint: &EndpointRecord) {
         self.metrics.count_failure(EVACUATED);
         let fields = [
             field("request", &self.id),
@@ -123,8 +124,8 @@
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
-    /// Logs a send that failed; the request may go on.
-    pub fn note_failure(&self, kind: &'static str, cause: &str, not_run: bool) {
+    /// Logs a failed send; the request may be sent again.
+    pub fn log_failure(&self, kind: &'static str, cause: &str, not_run: bool) {
         self.metrics.count_failure(kind);
         let mut fields = self.fields();
         fields.extend(self.digest_field());
@@ -134,37 +135,37 @@
         record(&events::SEND_FAILED, &fields);
     }
 
-    /// Logs that a stream goes on elsewhere after this event.
-    pub fn note_resume(&self, last_event: u64) {
+    /// Logs that a stream was resumed at another endpoint after this event.
+    pub fn log_resume(&self, last_event: u64) {
         self.metrics.resumed.inc();
         let mut fields = self.fields();
         fields.push(field("last_event", last_event));
         record(&events::STREAM_CONTINUED, &fields);
     }
 
-    /// Ends with a whole answer.
+    /// Logs a complete answer.
     pub fn finish(&mut self) {
         self.metrics.answered.inc();
-        self.end(&events::REQUEST_ANSWERED, &[]);
+        self.log_end(&events::REQUEST_ANSWERED, &[]);
     }
 
-    /// Ends with an answer that broke.
-    pub fn break_off(&mut self, cause: &str) {
+    /// Logs an answer that broke off.
+    pub fn finish_broken(&mut self, cause: &str) {
         self.metrics.broken.inc();
         let mut fields = vec![field("cause", cause)];
         fields.extend(self.digest_field());
-        self.end(&events::ANSWER_BROKEN, &fields);
+        self.log_end(&events::ANSWER_BROKEN, &fields);
     }
 
-    /// Ends with a refusal.
+    /// Logs a refusal. The lines for throttled requests are limited, and the number of suppressed ones is logged.
     pub fn refuse(&mut self, refusal: &Refusal) {
         self.metrics.count_refusal(refusal.kind.as_str());
-        let left_out = match refusal.kind {
-            RefusalKind::Throttled => self.metrics.throttled_lines.turn(),
+        let suppressed = match refusal.kind {
+            RefusalKind::Throttled => self.metrics.throttled_log_limit.turn(),
             _ => Some(0),
         };
-        let Some(left_out) = left_out else {
-            self.close();
+        let Some(suppressed) = suppressed else {
+            self.mark_ended();
             return;
         };
         let after = refusal.retry_after.map_or(0, |wait| wait.as_millis());
@@ -175,31 +176,32 @@
         ];
         fields.extend(self.ticket.map(|ticket| field("ticket", ticket)));
         fields.extend(self.digest_field());
-        fields.extend((left_out > 0).then(|| field("left_out", left_out)));
-        self.end(&events::REQUEST_TURNED_AWAY, &fields);
+        fields.extend((suppressed > 0).then(|| field("left_out", suppressed)));
+        self.log_end(&events::REQUEST_TURNED_AWAY, &fields);
     }
 
-    /// Failures and refusals tell what was asked for, so that each time it came can be found.
+    /// The digest of the request, logged with failures and refusals so that all copies of a request can be found.
     fn digest_field(&self) -> Option<EventField> {
         self.digest.map(|digest| field("digest", digest))
     }
 
-    fn end(&mut self, kind: &EventKind, more: &[EventField]) {
-        if !self.close() {
+    /// Writes the line for the end of the request, unless it has already ended.
+    fn log_end(&mut self, kind: &EventKind, extra: &[EventField]) {
+        if !self.mark_ended() {
             return;
         }
         let mut fields = self.fields();
-        fields.extend_from_slice(more);
+        fields.extend_from_slice(extra);
         record(kind, &fields);
     }
 
-    /// Counts the end of the request; false when it has ended before.
-    fn close(&mut self) -> bool {
+    /// Marks the request as ended and records its total time. Returns false if it had already ended.
+    fn mark_ended(&mut self) -> bool {
         if self.ended {
             return false;
         }
         self.ended = true;
-        self.metrics.total_seconds.observe(self.arrived.elapsed().as_secs_f64());
+        self.metrics.total_seconds.observe(self.arrived_at.elapsed().as_secs_f64());
         true
     }
 
@@ -211,7 +213,7 @@
             field("customer", &self.customer),
             field("sent", self.sent),
             field("waited_ms", self.waited.as_millis()),
-            field("total_ms", self.arrived.elapsed().as_millis()),
+            field("total_ms", self.arrived_at.elapsed().as_millis()),
         ];
         if let Some(patience) = self.patience {
             fields.push(field("caller_waits_ms", patience.as_millis()));
@@ -229,11 +231,11 @@
     }
 }
 
-impl Drop for RequestTrail {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         if !self.ended {
-            self.metrics.left.inc();
-            self.end(&events::CALLER_LEFT, &[]);
+            self.metrics.callers_left.inc();
+            self.log_end(&events::CALLER_LEFT, &[]);
         }
     }
 }
