--- a/crates/micaspool-backpressure/src/lib.rs
+++ b/crates/micaspool-backpressure/src/lib.rs
@@ -3,17 +3,17 @@
 //! * [`parse_retry_after`] parses the length of a requested rest,
 //! * [`HeaderAdvice`] is the advice in the head of one response,
 //! * [`AdviceTable`] stores the advice of each start of an endpoint and decides whether requests may be sent to it,
-//! * [`AdviceBoard`] is the table that all senders of one process share. The sending process enforces the advice
+//! * [`SharedAdvice`] is the table that all senders of one process share. The sending process enforces the advice
 //!   itself, so that it is respected even if other processes fail.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
-mod board;
 mod header;
 mod retry_after;
+mod shared;
 mod table;
 
-pub use board::{AdviceBoard, AdviceSource};
 pub use header::HeaderAdvice;
 pub use retry_after::{parse_retry_after, Error, DRAINING_REST, MAX_REST};
+pub use shared::{AdviceSource, SharedAdvice};
 pub use table::{AdviceChange, AdviceTable, EndedRest, EndpointStanding};
--- a/crates/micaspool-backpressure/src/board.rs
+++ b/crates/micaspool-backpressure/src/shared.rs
@@ -22,22 +22,22 @@
 /// A thread-safe [`AdviceTable`] with a clock and logging. It uses the boot-time clock, so that rests also expire on
 /// time after the machine was suspended.
 #[derive(Debug)]
-pub struct AdviceBoard {
+pub struct SharedAdvice {
     start: BootInstant,
     table: Mutex<AdviceTable>,
     /// The number of endpoints in the table. Lets readers skip the lock while the table is empty.
     entries: AtomicUsize,
 }
 
-impl Default for AdviceBoard {
+impl Default for SharedAdvice {
     fn default() -> Self {
-        AdviceBoard { start: BootInstant::now(), table: Mutex::default(), entries: AtomicUsize::new(0) }
+        SharedAdvice { start: BootInstant::now(), table: Mutex::default(), entries: AtomicUsize::new(0) }
     }
 }
 
-impl AdviceBoard {
-    /// Creates an empty board.
-    pub fn new() -> Arc<AdviceBoard> {
+impl SharedAdvice {
+    /// Creates an empty table.
+    pub fn new() -> Arc<SharedAdvice> {
         Arc::default()
     }
 
--- a/crates/micaspool-backpressure/tests/table.rs
+++ b/crates/micaspool-backpressure/tests/table.rs
@@ -1,6 +1,6 @@
 //! Applying, querying and expiring advice.
 
-use micaspool_backpressure::{AdviceBoard, AdviceChange, AdviceSource, AdviceTable, EndpointStanding};
+use micaspool_backpressure::{AdviceChange, AdviceSource, AdviceTable, EndpointStanding, SharedAdvice};
 use micaspool_types::{EndpointAdvice, EndpointName, Moment, ServiceName};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -68,18 +68,18 @@
 }
 
 #[test]
-fn the_board_returns_only_changed_advice() {
-    let board = AdviceBoard::new();
+fn shared_advice_returns_only_changes() {
+    let shared = SharedAdvice::new();
     let (endpoint, service) = (name(1), service("plain"));
     let source = AdviceSource { endpoint: &endpoint, service: &service, request: "r" };
-    assert!(board.may_send(&endpoint));
-    assert_eq!(board.apply(source, EndpointAdvice::default()), None);
-    let record = board.apply(source, rest(60_000)).expect("a rest begins");
+    assert!(shared.may_send(&endpoint));
+    assert_eq!(shared.apply(source, EndpointAdvice::default()), None);
+    let record = shared.apply(source, rest(60_000)).expect("a rest begins");
     assert!(record.advice.rest > Duration::from_secs(59), "{record:?}");
-    assert!(!board.may_send(&endpoint));
-    assert_eq!(board.apply(source, rest(10)), None);
-    assert!(board.apply(source, LEAVING).expect("it leaves").advice.leaving);
-    assert_eq!(board.records(&service).len(), 1);
+    assert!(!shared.may_send(&endpoint));
+    assert_eq!(shared.apply(source, rest(10)), None);
+    assert!(shared.apply(source, LEAVING).expect("it leaves").advice.leaving);
+    assert_eq!(shared.records(&service).len(), 1);
 }
 
 proptest! {
--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -5,7 +5,7 @@
 use crate::native::NativeDialect;
 use crate::path::{Gateway, GatewayParts};
 use async_std::task;
-use micaspool_backpressure::AdviceBoard;
+use micaspool_backpressure::SharedAdvice;
 use micaspool_client::{AddressNamed, FleetMirror, FleetMirrorOptions, PeerDirectory, ENDPOINT_LIFE};
 use micaspool_clock::BootInstant;
 use micaspool_daemon::StartError;
@@ -58,7 +58,7 @@
     dialect: Arc<dyn GatewayDialect>,
     format: Arc<dyn PlanFormat>,
     probe: Arc<dyn EndpointProbe>,
-    advice: Arc<AdviceBoard>,
+    advice: Arc<SharedAdvice>,
     edge: EdgeOptions,
 }
 
@@ -84,7 +84,7 @@
             dialect: Arc::new(NativeDialect),
             format: Arc::new(JsonFormat),
             probe: Arc::new(HttpEndpointProbe::default()),
-            advice: AdviceBoard::new(),
+            advice: SharedAdvice::new(),
             edge: EdgeOptions { turns: true, ..EdgeOptions::default() },
         };
         GatewayOptionsBuilder { options }
@@ -140,7 +140,7 @@
     }
 
     /// What endpoints asked of this process; shared with the probe, whose questions they count as well.
-    pub fn advice(mut self, advice: Arc<AdviceBoard>) -> Self {
+    pub fn advice(mut self, advice: Arc<SharedAdvice>) -> Self {
         self.options.advice = advice;
         self
     }
@@ -252,7 +252,12 @@
 }
 
 /// Opens shards as plans name them, closes connections that rested for too long and ends the rests of endpoints.
-async fn tend(gateway: Gateway, mirror: Arc<FleetMirror>, pool: Arc<EndpointPool>, advice: Arc<AdviceBoard>) {
+async fn tend(
+    gateway: Gateway,
+    mirror: Arc<FleetMirror>,
+    pool: Arc<EndpointPool>,
+    advice: Arc<SharedAdvice>,
+) {
     let mut prepared = 0;
     loop {
         let number = mirror.plan().number;
@@ -295,7 +300,7 @@
     mirror: Arc<FleetMirror>,
     gateway: Gateway,
     pool: Arc<EndpointPool>,
-    advice: Arc<AdviceBoard>,
+    advice: Arc<SharedAdvice>,
     server: EdgeServer,
     registry: Registry,
     traffic: TrafficMetrics,
--- a/crates/micaspool-gateway/src/path/mod.rs
+++ b/crates/micaspool-gateway/src/path/mod.rs
@@ -16,7 +16,7 @@
 use http::{request, Request, Response};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use micaspool_backpressure::AdviceBoard;
+use micaspool_backpressure::SharedAdvice;
 use micaspool_client::{FleetMirror, PeerDirectory};
 use micaspool_clock::BootInstant;
 use micaspool_dispatcher::FleetDispatcher;
@@ -56,7 +56,7 @@
     /// Connections to endpoints.
     pub pool: Arc<EndpointPool>,
     /// What endpoints asked of this process.
-    pub advice: Arc<AdviceBoard>,
+    pub advice: Arc<SharedAdvice>,
     /// How callers and endpoints speak.
     pub dialect: Arc<dyn GatewayDialect>,
     /// Where spans go.
--- a/crates/micaspool-router/src/daemon.rs
+++ b/crates/micaspool-router/src/daemon.rs
@@ -7,7 +7,7 @@
 use crate::shard_client::{ListedDispatchers, ShardClientOptions};
 use async_std::net::TcpListener;
 use async_std::task;
-use micaspool_backpressure::AdviceBoard;
+use micaspool_backpressure::SharedAdvice;
 use micaspool_client::{KeeperClient, SettingsMirror};
 use micaspool_daemon::{open_spans, StartError};
 use micaspool_http::server::{HttpServer, ServerOptions};
@@ -69,7 +69,7 @@
         dispatchers.clone(),
     );
     traffic.register(&mut registry);
-    let advice = AdviceBoard::new();
+    let advice = SharedAdvice::new();
     task::spawn(end_rests(Arc::downgrade(&advice)));
     let parts = RouterParts {
         mirror: mirror.clone(),
@@ -100,7 +100,7 @@
 }
 
 /// Forgets what endpoints asked for once it is over, for as long as the router runs.
-async fn end_rests(advice: Weak<AdviceBoard>) {
+async fn end_rests(advice: Weak<SharedAdvice>) {
     while let Some(advice) = advice.upgrade() {
         advice.expire();
         task::sleep(REST_INTERVAL).await;
--- a/crates/micaspool-router/src/shard_client/mod.rs
+++ b/crates/micaspool-router/src/shard_client/mod.rs
@@ -12,7 +12,7 @@
 
 use async_std::channel::bounded;
 use held::{HeldWork, WaitResult, WaitingEntry};
-use micaspool_backpressure::AdviceBoard;
+use micaspool_backpressure::SharedAdvice;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::RequestTicket;
 use micaspool_telemetry::traffic::TrafficCounter;
@@ -41,7 +41,7 @@
     /// The dispatchers of the region.
     pub dispatchers: Arc<dyn DispatcherList>,
     /// What endpoints asked of this process.
-    pub advice: Arc<AdviceBoard>,
+    pub advice: Arc<SharedAdvice>,
     /// Counts control bytes.
     pub counter: TrafficCounter,
 }
--- a/crates/micaspool-router/tests/link.rs
+++ b/crates/micaspool-router/tests/link.rs
@@ -3,7 +3,7 @@
 use async_std::channel::{unbounded, Sender};
 use async_std::task;
 use futures::Stream;
-use micaspool_backpressure::{AdviceBoard, AdviceSource};
+use micaspool_backpressure::{AdviceSource, SharedAdvice};
 use micaspool_dispatch::{rank_candidates, GrantFate, RequestTicket};
 use micaspool_router::{ListedDispatchers, ShardClient, ShardClientOptions};
 use micaspool_settings::process::PeerAddress;
@@ -191,10 +191,10 @@
 
 /// A client whose first choice and second choice among dispatchers are these.
 fn client(first: SocketAddr, second: SocketAddr) -> Arc<ShardClient> {
-    client_with(first, second, AdviceBoard::new())
+    client_with(first, second, SharedAdvice::new())
 }
 
-fn client_with(first: SocketAddr, second: SocketAddr, advice: Arc<AdviceBoard>) -> Arc<ShardClient> {
+fn client_with(first: SocketAddr, second: SocketAddr, advice: Arc<SharedAdvice>) -> Arc<ShardClient> {
     let service = ServiceName::parse("modelo-acopio").expect("a name");
     let ranked = rank_candidates(&service, &[name("entry-1"), name("entry-2")]);
     let addresses = ranked.into_iter().zip([first, second]);
@@ -283,7 +283,7 @@
     task::block_on(async {
         let heard = SharedWords::default();
         let address = start_hearing(Behaviour::MovesOn, heard.clone()).await;
-        let advice = AdviceBoard::new();
+        let advice = SharedAdvice::new();
         let client = client_with(address, address, advice.clone());
         let lease = client.acquire(ticket(1), None).await.expect("it grants");
         let asked = EndpointAdvice { rest: Duration::from_secs(60), leaving: false };
