--- a/crates/micaspool-backpressure/src/retry_after.rs
+++ b/crates/micaspool-backpressure/src/retry_after.rs
@@ -43,7 +43,7 @@
     let mut longest = None;
     let mut fault = None;
     for value in values {
-        match read_one(value.trim(), now) {
+        match parse_value(value.trim(), now) {
             Ok(rest) => longest = longest.max(Some(rest)),
             Err(error) => fault = Some(error),
         }
@@ -55,23 +55,23 @@
     }
 }
 
-fn read_one(text: &str, now: SystemTime) -> Result<Duration, Error> {
-    if let Some(rest) = read_seconds(text) {
+fn parse_value(text: &str, now: SystemTime) -> Result<Duration, Error> {
+    if let Some(rest) = parse_seconds(text) {
         return Ok(rest.min(MAX_REST));
     }
-    let date = httpdate::parse_http_date(text).map_err(|_| Error::Unreadable(shortened(text)))?;
+    let date = httpdate::parse_http_date(text).map_err(|_| Error::Unreadable(truncate_quote(text)))?;
     Ok(date.duration_since(now).unwrap_or_default().min(MAX_REST))
 }
 
 /// Parses seconds with or without a fraction. A number too large for a `Duration` gives `Duration::MAX`.
-fn read_seconds(text: &str) -> Option<Duration> {
+fn parse_seconds(text: &str) -> Option<Duration> {
     let is_number = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let seconds: f64 = text.parse().ok().filter(|_| is_number)?;
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// Shortens a value to the length that error messages quote.
-fn shortened(text: &str) -> Box<str> {
-    const QUOTED: usize = 40;
-    text.chars().take(QUOTED).collect::<String>().into()
+/// Truncates a value to the length quoted in error messages.
+fn truncate_quote(text: &str) -> Box<str> {
+    const MAX_QUOTED_CHARS: usize = 40;
+    text.chars().take(MAX_QUOTED_CHARS).collect::<String>().into()
 }
--- a/crates/micaspool-backpressure/src/table.rs
+++ b/crates/micaspool-backpressure/src/table.rs
@@ -53,12 +53,13 @@
 pub struct EndedRest {
     /// The endpoint that rested.
     pub endpoint: EndpointName,
-    /// The time from the first advice to the end of the rest.
+    /// The time from the response that began the rest to its end.
     pub lasted: Duration,
     /// The number of responses that began or prolonged the rest.
     pub request_count: u32,
 }
 
+/// The advice of one start of an endpoint.
 #[derive(Debug)]
 struct AdviceEntry {
     service: ServiceName,
@@ -80,6 +81,7 @@
         }
     }
 
+    /// Starts a rest or prolongs the current one. Does nothing if the new rest would not end later.
     fn start_or_prolong(&mut self, now: Moment, rest: Duration) -> AdviceChange {
         let was_resting = now < self.rests_until;
         let until = now + rest;
@@ -98,8 +100,8 @@
 }
 
 /// The advice in force, by endpoint. An entry is created when an endpoint gives advice, and [`AdviceTable::expire`]
-/// removes it when that advice no longer holds, so that the table only grows with the endpoints that gave advice
-/// recently.
+/// removes it when that advice no longer holds, so that the size of the table is bounded by the number of endpoints that
+/// gave advice recently.
 #[derive(Debug, Default)]
 pub struct AdviceTable {
     entries: HashMap<EndpointName, AdviceEntry>,
--- a/crates/micaspool-quarantine/src/table.rs
+++ b/crates/micaspool-quarantine/src/table.rs
@@ -26,6 +26,7 @@
     }
 }
 
+/// The crashes on record for one request.
 #[derive(Clone, Debug)]
 struct RequestEntry {
     customer: CustomerName,
@@ -197,6 +198,7 @@
         digests.into_iter().filter_map(|digest| self.record(now, digest)).collect()
     }
 
+    /// Adds a crash to the record of a request, or updates the time of one already recorded.
     fn add(
         &mut self,
         now: Moment,
@@ -241,6 +243,7 @@
         }
     }
 
+    /// Removes the crashes of an endpoint within `window` from the record of a request. Returns `None` if there are none.
     fn retract_crashes(
         &mut self,
         now: Moment,
@@ -285,6 +288,7 @@
         Some(entry.customer)
     }
 
+    /// Removes a request from the index by endpoint.
     fn unlink_endpoint(&mut self, endpoint: &EndpointName, digest: RequestDigest) {
         if let Some(digests) = self.endpoints.get_mut(endpoint) {
             digests.remove(&digest);
