--- a/crates/micaspool-backpressure/tests/retry_after.rs
+++ b/crates/micaspool-backpressure/tests/retry_after.rs
@@ -50,9 +50,9 @@
 #[test]
 fn retry_after_counts_only_for_rejected_requests() {
     assert_eq!(HeaderAdvice::parse(false, ["3"], false), HeaderAdvice::default());
-    let heard = HeaderAdvice::parse(true, ["3"], true);
-    assert_eq!(heard.advice, EndpointAdvice { rest: Duration::from_secs(3), leaving: true });
-    let heard = HeaderAdvice::parse(true, ["soon"], true);
-    assert_eq!(heard.advice, EndpointAdvice { rest: Duration::ZERO, leaving: true });
-    assert!(heard.fault.is_some());
+    let parsed = HeaderAdvice::parse(true, ["3"], true);
+    assert_eq!(parsed.advice, EndpointAdvice { rest: Duration::from_secs(3), leaving: true });
+    let parsed = HeaderAdvice::parse(true, ["soon"], true);
+    assert_eq!(parsed.advice, EndpointAdvice { rest: Duration::ZERO, leaving: true });
+    assert!(parsed.fault.is_some());
 }
--- a/crates/micaspool-registry/tests/registry.rs
+++ b/crates/micaspool-registry/tests/registry.rs
@@ -180,7 +180,7 @@
     let name = cold(1, 0).name;
     let left = |millis: u64| registry.cold_left(start + Duration::from_millis(millis), &name).as_millis();
     assert_eq!([left(0), left(1_000), left(2_999), left(3_000), left(9_000)], [3_000, 2_000, 1, 0, 0]);
-    let known = registry.get(&name).expect("it was heard");
+    let known = registry.get(&name).expect("the record is known");
     let refreshed = registry.with_cold_left(start + Duration::from_millis(1_000), known);
     assert_eq!(refreshed.cold, Duration::from_millis(2_000));
 }
