--- a/crates/micaspool-ledger/src/state.rs
+++ b/crates/micaspool-ledger/src/state.rs
@@ -167,6 +167,7 @@
         self.released.iter().any(|released| released.token == token && released.key == *key)
     }
 
+    /// Grants a claim for a new key, unless the ledger is full.
     fn start_claim(&mut self, command: &ClaimCommand, now: LedgerTime) -> ClaimVerdict {
         if self.claims.len() >= self.options.max_keys {
             return ClaimVerdict::Full;
@@ -177,6 +178,7 @@
         ClaimVerdict::Granted
     }
 
+    /// Stores an answer if it is small enough, and drops the oldest answers beyond the total limit.
     fn keep_answer(&mut self, command: &FinishCommand, answer: &StoredAnswer, now: LedgerTime) {
         if answer.body.len() > self.options.max_answer {
             self.end_claim(&command.key, command.token, ClaimState::AnswerDropped, now);
@@ -203,6 +205,7 @@
         }
     }
 
+    /// Sets the final state of a call and queues its key for expiry.
     fn end_claim(&mut self, key: &ClaimKey, token: ClaimToken, state: ClaimState, now: LedgerTime) {
         if let Some(record) = self.claims.get_mut(key) {
             record.state = state;
--- a/crates/micaspool-settings/src/policy/compile.rs
+++ b/crates/micaspool-settings/src/policy/compile.rs
@@ -46,11 +46,13 @@
     faults.finish(policy)
 }
 
+/// The layers that apply to every customer and service: the built-in defaults and the fleet layer.
 struct LayerStack<'a> {
     base: &'a RequestPolicy,
     fleet: &'a PolicyLayer,
 }
 
+/// A service and its policy layer, which is merged into the policy of each customer.
 struct ServiceDraft {
     policy: ServicePolicy,
     layer: PolicyLayer,
@@ -254,6 +256,7 @@
     });
 }
 
+/// Reads a customer's own layers for services, by the index of the service.
 fn read_own_layers(
     node: &DocumentNode<'_>,
     services: &[ServiceDraft],
@@ -283,6 +286,7 @@
     keys
 }
 
+/// Fills the lookup tables by name and key, and adds faults for duplicates.
 fn index_customers(policy: &mut FleetPolicy, root: &DocumentNode<'_>, faults: &mut FaultList) {
     for (index, customer) in policy.customers.iter().enumerate() {
         if policy.names.insert(customer.name.clone(), index).is_some() {
