--- a/crates/micaspool-types/src/refusal.rs
+++ b/crates/micaspool-types/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: the responses to requests that get no response from an endpoint.
+//! Refusals: the responses that a router gives in place of an endpoint.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
