--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -5,7 +5,7 @@
 use crate::native::NativeDialect;
 use crate::proxy::{Gateway, GatewayParts};
 use async_std::task;
-use micaspool_backpressure::AdviceBoard;
+use micaspool_backpressure::SharedAdvice;
 use micaspool_client::{AddressNamed, FleetMirror, FleetMirrorOptions, PeerDirectory, ENDPOINT_LIFE};
 use micaspool_clock::BootInstant;
 use micaspool_daemon::StartError;
@@ -59,7 +59,7 @@
     dialect: Arc<dyn GatewayDialect>,
     format: Arc<dyn PlanFormat>,
     probe: Arc<dyn EndpointProbe>,
-    advice: Arc<AdviceBoard>,
+    advice: Arc<SharedAdvice>,
     edge: EdgeOptions,
 }
 
@@ -87,7 +87,7 @@
             dialect: Arc::new(NativeDialect),
             format: Arc::new(JsonFormat),
             probe: Arc::new(HttpEndpointProbe::default()),
-            advice: AdviceBoard::new(),
+            advice: SharedAdvice::new(),
             edge: EdgeOptions { turns: true, ..EdgeOptions::default() },
         };
         GatewayOptionsBuilder { options }
@@ -144,7 +144,7 @@
 
     /// Sets the board of back-off advice from endpoints. It is shared with the probe, because a resting endpoint
     /// must not be probed either.
-    pub fn advice(mut self, advice: Arc<AdviceBoard>) -> Self {
+    pub fn advice(mut self, advice: Arc<SharedAdvice>) -> Self {
         self.options.advice = advice;
         self
     }
@@ -263,7 +263,7 @@
     gateway: Gateway,
     mirror: Arc<FleetMirror>,
     pool: Arc<EndpointPool>,
-    advice: Arc<AdviceBoard>,
+    advice: Arc<SharedAdvice>,
 ) {
     let mut prepared = 0;
     loop {
@@ -307,7 +307,7 @@
     mirror: Arc<FleetMirror>,
     gateway: Gateway,
     pool: Arc<EndpointPool>,
-    advice: Arc<AdviceBoard>,
+    advice: Arc<SharedAdvice>,
     server: EdgeServer,
     registry: Registry,
     traffic: TrafficMetrics,
--- a/crates/micaspool-gateway/src/proxy/mod.rs
+++ b/crates/micaspool-gateway/src/proxy/mod.rs
@@ -16,7 +16,7 @@
 use http::{request, Request, Response};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use micaspool_backpressure::AdviceBoard;
+use micaspool_backpressure::SharedAdvice;
 use micaspool_client::{FleetMirror, PeerDirectory};
 use micaspool_clock::BootInstant;
 use micaspool_dispatcher::FleetDispatcher;
@@ -56,7 +56,7 @@
     /// The pool of connections to endpoints.
     pub pool: Arc<EndpointPool>,
     /// The back-off advice that endpoints gave this process.
-    pub advice: Arc<AdviceBoard>,
+    pub advice: Arc<SharedAdvice>,
     /// The headers and statuses that callers and endpoints use.
     pub dialect: Arc<dyn GatewayDialect>,
     /// Receives tracing spans.
