--- a/crates/micaspool-dispatch/tests/shard/advice.rs
+++ b/crates/micaspool-dispatch/tests/shard/advice.rs
@@ -1,7 +1,7 @@
 //! Endpoints that ask single routers to send nothing for a while (a rest), or announce that they leave.
 //!
-//! Guards against replacing a rest by a pause of the endpoint for all routers. The shard paused an endpoint
-//! that refused a request for 0.5 s, and any answer to another router reset that pause. A router that had
+//! Guards against replacing a rest by a pause of the endpoint for all routers. The shard paused a refusing
+//! endpoint for 0.5 s, and any answer to another router reset that pause. A router that had
 //! been asked to rest for 3 s therefore got a grant for the endpoint every half second: requests reached it
 //! after 0.41, 1.42 and 1.95 s.
 
@@ -16,12 +16,15 @@
 
 const REST: Duration = Duration::from_secs(3);
 
-fn rest_advice(on: usize, rest: Duration) -> AdviceRecord {
-    AdviceRecord { endpoint: endpoint(on), advice: EndpointAdvice { rest, leaving: false } }
+fn rest_advice(endpoint_number: usize, rest: Duration) -> AdviceRecord {
+    AdviceRecord { endpoint: endpoint(endpoint_number), advice: EndpointAdvice { rest, leaving: false } }
 }
 
-fn leaving_advice(on: usize) -> AdviceRecord {
-    AdviceRecord { endpoint: endpoint(on), advice: EndpointAdvice { rest: Duration::ZERO, leaving: true } }
+fn leaving_advice(endpoint_number: usize) -> AdviceRecord {
+    AdviceRecord {
+        endpoint: endpoint(endpoint_number),
+        advice: EndpointAdvice { rest: Duration::ZERO, leaving: true },
+    }
 }
 
 fn advise(harness: &mut ShardHarness, session: u64, advice: Vec<AdviceRecord>) {
@@ -147,7 +150,11 @@
     harness.update_policy(|policy| policy.endpoints.iter_mut().for_each(|spec| spec.memory_tokens = 100_000));
     harness.join(1, hello("r1", 1));
     let resting: Vec<usize> = (0..59).collect();
-    advise(&mut harness, 1, resting.iter().map(|on| rest_advice(*on, REST)).collect());
+    advise(
+        &mut harness,
+        1,
+        resting.iter().map(|endpoint_number| rest_advice(*endpoint_number, REST)).collect(),
+    );
     harness.submit(1, RequestTicket { prompt_tokens: Cost(100), ..ticket(1, "a", 100) });
     let grants = harness.take_grants();
     assert_eq!(grants.len(), 1);
--- a/crates/micaspool-dispatch/tests/shard/bound.rs
+++ b/crates/micaspool-dispatch/tests/shard/bound.rs
@@ -74,8 +74,8 @@
 
     fn step(&mut self, event: ShardEvent) {
         self.harness.step(event);
-        let actions = std::mem::take(&mut self.harness.actions);
-        for action in actions {
+        let taken = std::mem::take(&mut self.harness.actions);
+        for action in taken {
             if let ShardAction::Grant { request, .. } = action {
                 let entry = self.requests.get_mut(&request.0).expect("granted request was submitted");
                 entry.2 = 0;
--- a/crates/micaspool-dispatch/tests/shard/capacity.rs
+++ b/crates/micaspool-dispatch/tests/shard/capacity.rs
@@ -269,9 +269,9 @@
     let mut harness = ShardHarness::new(2, 1, &["a"]);
     harness.join(1, hello("r1", 1));
     harness.submit(1, RequestTicket { avoid: Some(endpoint(1)), ..ticket(0, "a", 10) });
-    let away = |number| RequestTicket { avoid: Some(endpoint(1)), ..ticket(number, "a", 10) };
-    harness.submit(1, RequestTicket { objective: Some(Duration::from_millis(150)), ..away(1) });
-    (2..=LOOK_AHEAD).for_each(|number| harness.submit(1, away(number)));
+    let avoiding_ticket = |number| RequestTicket { avoid: Some(endpoint(1)), ..ticket(number, "a", 10) };
+    harness.submit(1, RequestTicket { objective: Some(Duration::from_millis(150)), ..avoiding_ticket(1) });
+    (2..=LOOK_AHEAD).for_each(|number| harness.submit(1, avoiding_ticket(number)));
     harness.submit(1, ticket(LOOK_AHEAD + 1, "a", 10));
     harness.take_grants();
     harness.now = harness.now + Duration::from_millis(150);
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -43,7 +43,7 @@
     next: u128,
     /// The granted requests that have not begun, each with the time of its first event.
     granted: Vec<(Moment, u128)>,
-    /// The running requests, each with the time of its end.
+    /// The granted requests that have not ended, each with the time of its end.
     running: Vec<(Moment, u128)>,
     /// The times at which requests arrived at each endpoint.
     arrivals: HashMap<EndpointName, Vec<Moment>>,
@@ -263,10 +263,10 @@
         for shard in 0..2 {
             let mut hall = ColdHall::new(1, ShardOptions::default());
             hall.turn_cold();
-            let refused = rng.random_bool(0.3);
+            let is_unsent = rng.random_bool(0.3);
             let work = rng.random_range(10..400);
             let mut delays = ChaCha8Rng::seed_from_u64(seed * 2 + shard);
-            let fate = || if refused { GrantFate::Unsent } else { GrantFate::Done };
+            let fate = || if is_unsent { GrantFate::Unsent } else { GrantFate::Done };
             let began = hall.harness.now;
             hall.run_load(1_200, 1, || delays.random_range(0..spread), work, fate);
             let all = hall.arrivals.into_values().flatten();
--- a/crates/micaspool-dispatch/tests/shard/harness.rs
+++ b/crates/micaspool-dispatch/tests/shard/harness.rs
@@ -60,12 +60,12 @@
     }
 }
 
-pub fn held_grant(number: u128, name: &str, on: usize, order: u64) -> HeldGrant {
+pub fn held_grant(number: u128, name: &str, endpoint_number: usize, order: u64) -> HeldGrant {
     HeldGrant {
         request: request_id(number),
         customer: customer(name),
         digest: None,
-        endpoint: endpoint(on),
+        endpoint: endpoint(endpoint_number),
         estimate: Cost(10),
         delivered: Cost(0),
         order: OrderNumber(order),
@@ -165,8 +165,14 @@
         self.step(ShardEvent::Settle(SessionId(session), request_id(request), Cost(cost), fate));
     }
 
-    pub fn report_load(&mut self, on: usize, running: u32, draining: bool) {
-        let report = LoadReport { endpoint: endpoint(on), running, waiting: 0, draining, asked_at: self.now };
+    pub fn report_load(&mut self, endpoint_number: usize, running: u32, draining: bool) {
+        let report = LoadReport {
+            endpoint: endpoint(endpoint_number),
+            running,
+            waiting: 0,
+            draining,
+            asked_at: self.now,
+        };
         self.step(ShardEvent::Load(report));
     }
 
@@ -205,11 +211,11 @@
 
     /// Returns the refusals since the actions were last cleared.
     pub fn refusals(&self) -> Vec<(u128, ReleaseReason)> {
-        let refusals = self.actions.iter().filter_map(|action| match action {
+        let refused = self.actions.iter().filter_map(|action| match action {
             ShardAction::Refuse { request, reason, .. } => Some((request.0, *reason)),
             _ => None,
         });
-        refusals.collect()
+        refused.collect()
     }
 
     /// Returns the requests granted since the last call and clears all recorded actions.
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -100,8 +100,9 @@
         for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 ShardAction::Grant { request, endpoint, .. } => {
-                    let new = self.kept.entry(endpoint.clone()).or_default().insert(common_part(request.0));
-                    let missing = u64::from(if new { COMMON_TOKENS + OWN_TOKENS } else { OWN_TOKENS });
+                    let is_new =
+                        self.kept.entry(endpoint.clone()).or_default().insert(common_part(request.0));
+                    let missing = u64::from(if is_new { COMMON_TOKENS + OWN_TOKENS } else { OWN_TOKENS });
                     let until = self.busy_until.entry(endpoint).or_default();
                     *until = now.max(*until) + missing / PACE;
                     self.due.insert((*until + LATENCY, request.0), Step::Begin(request.0));
--- a/crates/micaspool-dispatch/tests/shard/limits.rs
+++ b/crates/micaspool-dispatch/tests/shard/limits.rs
@@ -55,9 +55,9 @@
             match action {
                 ShardAction::Grant { request, .. } => {
                     let waited = now - ends[&request.0];
-                    let answered = waited + SERVICE <= OBJECTIVE;
-                    in_time += u32::from(answered);
-                    late += u32::from(!answered);
+                    let is_in_time = waited + SERVICE <= OBJECTIVE;
+                    in_time += u32::from(is_in_time);
+                    late += u32::from(!is_in_time);
                     ends.insert(request.0, now + SERVICE + 1_000_000);
                 }
                 ShardAction::Refuse { request, waited, .. } => {
--- a/crates/micaspool-dispatch/tests/shard/objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/objectives.rs
@@ -47,7 +47,7 @@
     /// Time of this try.
     since: u64,
     /// True when the outcome of the first try counts.
-    counted: bool,
+    is_counted: bool,
 }
 
 /// Outcomes of the first tries of one kind.
@@ -127,9 +127,9 @@
             let mut expected = self.kinds[kind].rate * rate / 1_000.0;
             while expected > 0.0 && self.rng.random_bool(expected.min(1.0)) {
                 expected -= 1.0;
-                let counted = now >= WARM_UP_MILLIS && now + 1_000 < PLAY_MILLIS;
-                self.outcomes[kind].asked += u32::from(counted);
-                self.submit(OpenTry { kind, first: now, since: now, counted });
+                let is_counted = now >= WARM_UP_MILLIS && now + 1_000 < PLAY_MILLIS;
+                self.outcomes[kind].asked += u32::from(is_counted);
+                self.submit(OpenTry { kind, first: now, since: now, is_counted });
             }
         }
     }
@@ -156,7 +156,7 @@
             self.ends.remove(&(at, number));
             self.harness.settle(1, number, 1, GrantFate::Done);
             let open = self.open.remove(&number).expect("running requests are open");
-            if !open.counted {
+            if !open.is_counted {
                 continue;
             }
             let outcome = &mut self.outcomes[open.kind];
@@ -205,11 +205,11 @@
         let Some(open) = self.open.remove(&number) else { return };
         let kind = self.kinds[open.kind];
         let is_late = waited.as_millis() as u64 * 8 > kind.objective;
-        if open.counted {
+        if open.is_counted {
             self.outcomes[open.kind].refused_late += u32::from(is_late);
         }
         if open.since > open.first {
-            self.outcomes[open.kind].refused += u32::from(open.counted);
+            self.outcomes[open.kind].refused += u32::from(open.is_counted);
             return;
         }
         let left = (open.first + kind.patience).saturating_sub(now);
--- a/crates/micaspool-dispatch/tests/shard/outage.rs
+++ b/crates/micaspool-dispatch/tests/shard/outage.rs
@@ -50,9 +50,9 @@
         let mut outcome = RequestOutcome::default();
         for _ in 0..millis / REQUEST_INTERVAL_MILLIS {
             self.next += 1;
-            let wanted =
+            let timed_ticket =
                 RequestTicket { objective: Some(Duration::from_millis(200)), ..ticket(self.next, "a", 1) };
-            self.harness.submit(1, wanted);
+            self.harness.submit(1, timed_ticket);
             self.harness.advance_with_heartbeats(REQUEST_INTERVAL_MILLIS, &[1]);
             while !self.harness.actions.is_empty() {
                 for action in std::mem::take(&mut self.harness.actions) {
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -92,13 +92,13 @@
         BusyShard { index, harness, number: 0, sizes: HashMap::new(), due: BTreeMap::new(), running: 0 }
     }
 
-    /// Advances one millisecond and submits prompts of at least `wanted` tokens.
-    fn play(&mut self, now: u64, engine: &mut EngineModel, wanted: &mut f64) {
+    /// Advances one millisecond and submits prompts of at least `demand` tokens.
+    fn play(&mut self, now: u64, engine: &mut EngineModel, demand: &mut f64) {
         self.harness.now = self.harness.now + Duration::from_millis(1);
-        while *wanted > 0.0 {
+        while *demand > 0.0 {
             self.number += 1;
             let tokens = 500 + (self.number as u64 * 2_654_435_761) % 7_000;
-            *wanted -= tokens as f64;
+            *demand -= tokens as f64;
             self.sizes.insert(self.number, tokens);
             self.harness.submit(1, prompt(self.number, tokens));
         }
@@ -150,14 +150,14 @@
 /// Runs shards on one engine whose pace changes at the times in `paces`; each shard is asked for one and a
 /// half times what the engine reads.
 fn play(shards: &mut [BusyShard], engine: &mut EngineModel, paces: &[(u64, f64)], end: u64) {
-    let mut wanted = vec![0.0; shards.len()];
+    let mut demand = vec![0.0; shards.len()];
     for now in 0..end {
         if let Some((_, pace)) = paces.iter().find(|(at, _)| *at == now) {
             engine.pace = *pace;
         }
-        for (shard, wanted) in shards.iter_mut().zip(&mut wanted) {
-            *wanted += 1.5 * engine.pace;
-            shard.play(now, engine, wanted);
+        for (shard, demand) in shards.iter_mut().zip(&mut demand) {
+            *demand += 1.5 * engine.pace;
+            shard.play(now, engine, demand);
         }
         if now.is_multiple_of(500) {
             let running = shards.iter().map(|shard| shard.running).sum();
--- a/crates/micaspool-dispatch/tests/shard/poison.rs
+++ b/crates/micaspool-dispatch/tests/shard/poison.rs
@@ -98,16 +98,16 @@
         }
     }
 
-    fn submit(&mut self, name: &str, digest: RequestDigest) -> u128 {
+    fn submit_request(&mut self, name: &str, digest: RequestDigest) -> u128 {
         let session = self.random.random_range(1..=ROUTERS);
         self.next += 1;
-        let wanted = RequestTicket {
+        let timed_ticket = RequestTicket {
             digest: Some(digest),
             objective: Some(Duration::from_millis(600)),
             ..ticket(self.next, name, 10)
         };
         self.submitted.insert(self.next, (digest, session));
-        self.harness.submit(session, wanted);
+        self.harness.submit(session, timed_ticket);
         self.take_actions();
         self.next
     }
@@ -230,18 +230,18 @@
             let harmless = RequestDigest(1_000_000 + u128::from(step));
             if step % self.neighbours.every == 0 {
                 let name = if (step / self.neighbours.every).is_multiple_of(2) { "a" } else { "b" };
-                self.submit(name, harmless);
+                self.submit_request(name, harmless);
             }
             let now = self.harness.now;
             let due: Vec<RequestDigest> =
                 self.repeats.iter().filter(|(at, _)| *at <= now).map(|(_, digest)| *digest).collect();
             self.repeats.retain(|(at, _)| *at > now);
             for digest in due {
-                self.submit("b", digest);
+                self.submit_request("b", digest);
             }
             for _ in 0..callers {
                 if self.random.random_range(0..100) == 0 {
-                    self.submit("a", FATAL);
+                    self.submit_request("a", FATAL);
                 }
             }
             self.advance();
--- a/crates/micaspool-dispatch/tests/shard/regions.rs
+++ b/crates/micaspool-dispatch/tests/shard/regions.rs
@@ -16,14 +16,14 @@
 }
 
 impl RegionModel {
-    /// Creates a region in which customer `a` always has waiting requests, and customer `b` if `with_b`.
-    fn new(with_b: bool) -> RegionModel {
+    /// Creates a region in which customer `a` always has waiting requests, and customer `b` if `has_b`.
+    fn new(has_b: bool) -> RegionModel {
         let mut harness = ShardHarness::new(1, 2, &["a", "b"]);
         harness.join(1, hello("r1", 1));
         let mut region = RegionModel { harness, running: VecDeque::new(), served: [0, 0], next: 2 };
         for _ in 0..4 {
             region.submit(0);
-            if with_b {
+            if has_b {
                 region.submit(1);
             }
         }
@@ -58,12 +58,12 @@
 
 #[test_case(true; "with exchange")]
 #[test_case(false; "without exchange")]
-fn service_received_in_another_region_counts(exchange: bool) {
+fn service_received_in_another_region_counts(is_exchanging: bool) {
     let (mut here, mut there) = (RegionModel::new(true), RegionModel::new(false));
     for round in 0..400 {
         here.finish_one();
         there.finish_one();
-        if exchange && round % 4 == 0 {
+        if is_exchanging && round % 4 == 0 {
             let (from_here, from_there) = (here.shared_totals("here"), there.shared_totals("there"));
             here.harness.step(from_there.clone());
             here.harness.step(from_there);
@@ -73,7 +73,7 @@
     let a = here.served[0] + there.served[0];
     let b = here.served[1] + there.served[1];
     let gap = a.abs_diff(b) / COST;
-    if exchange {
+    if is_exchanging {
         assert!(gap <= 12, "a {a}, b {b}, with duplicated messages");
     } else {
         assert!(
--- a/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
@@ -159,9 +159,9 @@
             Step::Arrive(customer) => {
                 self.schedule_arrival(customer);
                 let caller = self.draw_caller(customer);
-                self.submit(caller);
+                self.submit_request(caller);
             }
-            Step::Retry(caller) => self.submit(caller),
+            Step::Retry(caller) => self.submit_request(caller),
             Step::Begin(number) => self.begin(number),
             Step::End(number, fate) => self.end(number, fate),
             Step::LoseEngine(engine) => self.lose_engine(engine),
@@ -191,7 +191,7 @@
         }
     }
 
-    fn submit(&mut self, caller: CallerTry) {
+    fn submit_request(&mut self, caller: CallerTry) {
         let load = self.plan.customers[caller.customer];
         let tokens = load.part_tokens + caller.own_tokens;
         self.record.record_demand(self.now, caller.customer, u64::from(tokens));
--- a/crates/micaspool-dispatch/tests/shard/scarcity/load.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/load.rs
@@ -16,7 +16,7 @@
     Gone,
     /// The engine sends nothing any more; connections and runs fail after a timeout.
     Silent,
-    /// It reads at a quarter of its pace.
+    /// The engine reads at a quarter of its pace.
     Slow,
 }
 
--- a/crates/micaspool-dispatch/tests/shard/scarcity/share.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/share.rs
@@ -16,7 +16,7 @@
     asked: u64,
     begun: u64,
     /// True when a request was refused or waited past its objective.
-    unserved: bool,
+    has_unserved: bool,
 }
 
 /// What each customer asked for and got in each second.
@@ -48,7 +48,7 @@
     }
 
     pub fn mark_unserved(&mut self, now: Duration, customer: usize) {
-        self.flow(now, customer).unserved = true;
+        self.flow(now, customer).has_unserved = true;
     }
 
     /// Records the retry delay that a refused caller is told.
@@ -78,7 +78,7 @@
             for (customer, flows) in spans().enumerate() {
                 let owed: u64 = flows.iter().zip(best).map(|(own, best)| own.asked.min(best.begun)).sum();
                 let got_or_tolerated = begun(flows) + TOLERATED_REQUESTS * self.largest;
-                if flows.iter().all(|flow| flow.unserved) && got_or_tolerated < owed / 2 {
+                if flows.iter().all(|flow| flow.has_unserved) && got_or_tolerated < owed / 2 {
                     let start = window.start;
                     let (got, most) = (begun(flows), begun(best));
                     found
--- a/crates/micaspool-dispatch/tests/shard/suspects.rs
+++ b/crates/micaspool-dispatch/tests/shard/suspects.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_suspected_request_runs_one_copy_at_a_time_and_refuses_others_at_once() {
+fn a_doubted_request_runs_one_copy_at_a_time_and_others_are_refused_at_once() {
     let mut harness = fleet(4);
     crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 1);
     submit_granted(&mut harness, 1, ticket_with_digest(2, SUSPECT_DIGEST));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn waiting_copies_are_refused_when_a_request_becomes_suspected() {
+fn waiting_copies_are_refused_when_a_request_becomes_doubted() {
     let mut harness = ShardHarness::new(2, 1, &["a"]);
     harness.join(1, hello("r1", 1));
     for number in 1..=5 {
@@ -123,14 +123,14 @@
 #[test_case(GrantFate::Abandoned, false; "a caller that left")]
 #[test_case(GrantFate::Broken, false; "a deadline")]
 #[test_case(GrantFate::Refused, false; "an endpoint that was full")]
-fn only_a_complete_answer_clears_a_request(fate: GrantFate, clears: bool) {
+fn only_a_complete_answer_clears_a_request(fate: GrantFate, is_cleared: bool) {
     let mut harness = fleet(6);
     crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 2);
     submit_granted(&mut harness, 1, ticket_with_digest(3, SUSPECT_DIGEST));
     harness.settle(1, 3, 10, fate);
     crash_endpoints(&mut harness, SUSPECT_DIGEST, 4, 1);
     let next = submit_refusal(&mut harness, 1, ticket_with_digest(5, SUSPECT_DIGEST));
-    assert_eq!(next.is_none(), clears, "{next:?}");
+    assert_eq!(next.is_none(), is_cleared, "{next:?}");
 }
 
 #[test_case(GrantFate::Broken; "a deadline or an unusable answer")]
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_suspected_request_is_not_retried_at_another_endpoint() {
+fn a_suspected_request_is_not_retried() {
     let mut harness = fleet(6);
     crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 1);
     let again = RequestTicket { attempt: 1, ..ticket_with_digest(1, SUSPECT_DIGEST) };
--- a/crates/micaspool-fair/src/account.rs
+++ b/crates/micaspool-fair/src/account.rs
@@ -24,7 +24,8 @@
 
 /// The service that one customer has received, from which policies compute its level.
 ///
-/// All sums count from the last [`ServiceAccount::rebase`]; earlier service is part of the base level.
+/// Except for the charges of running requests, all sums count from the last [`ServiceAccount::rebase`];
+/// earlier service is part of the base level.
 #[derive(Clone, Debug)]
 pub struct ServiceAccount {
     weight: Weight,
--- a/crates/micaspool-fair/src/policy/counters.rs
+++ b/crates/micaspool-fair/src/policy/counters.rs
@@ -23,8 +23,7 @@
 }
 
 impl ProgressCounters {
-    /// Creates counters that charge this part of the estimated remaining cost in advance; at most 100
-    /// percent.
+    /// Creates counters that charge this part of the estimated remaining cost in advance, 0 to 100 percent.
     pub fn with_remaining_percent(remaining_percent: u64) -> Self {
         ProgressCounters { remaining_percent: remaining_percent.min(100) }
     }
