--- a/crates/micaspool-dispatch/tests/shard/choice.rs
+++ b/crates/micaspool-dispatch/tests/shard/choice.rs
@@ -6,11 +6,11 @@
 use micaspool_types::{InstanceName, Moment, ServiceName};
 
 fn names(count: usize) -> Vec<InstanceName> {
-    (0..count).map(|number| InstanceName::parse(&format!("entry-{number}")).expect("a name")).collect()
+    (0..count).map(|number| InstanceName::parse(&format!("entry-{number}")).expect("valid name")).collect()
 }
 
 fn service(number: usize) -> ServiceName {
-    ServiceName::parse(&format!("model-{number}")).expect("a name")
+    ServiceName::parse(&format!("model-{number}")).expect("valid name")
 }
 
 fn at(millis: u64) -> Moment {
@@ -133,7 +133,7 @@
 /// Returns the candidates that a router connects to, each with its time in milliseconds, when all four
 /// dispatchers are lost and become reachable again at the times in `reached`.
 fn moves_after_return(router: &str, reached: [u64; 4]) -> Vec<(u64, usize)> {
-    let router = InstanceName::parse(router).expect("a name");
+    let router = InstanceName::parse(router).expect("valid name");
     let options = ChoiceOptions::spread_for(&router);
     let mut choice = CandidateChoice::of(at(0), with_last_resort([ANSWERS; 4]), options);
     choice.connected(0);
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -30,7 +30,7 @@
 const FIRST_EVENT_DELAY: Duration = Duration::from_millis(10);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn terms() -> ColdTerms {
+fn cold_terms() -> ColdTerms {
     ColdTerms {
         start: Duration::from_millis(COLD_MILLIS),
         request_time: Duration::from_secs_f64(1.0 / SUSTAINED_RATE),
@@ -54,7 +54,7 @@
         let mut harness = ShardHarness::recovering(engines, SLOTS, &["a", "b"], options);
         harness.advance(1_000);
         harness.update_policy(|policy| {
-            policy.cold = terms();
+            policy.cold = cold_terms();
             policy.planned_pace = 50.0;
             for spec in &mut policy.endpoints {
                 spec.memory_tokens = 500_000;
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -107,13 +107,13 @@
     for number in 1..60 {
         harness.advance_with_heartbeats(1_000, &[1]);
         let filler = RequestTicket {
-            avoid: Some(other(&first)),
+            avoid: Some(other_endpoint(&first)),
             ..prompt(number, "a", (100 + number as u64, 13_000), 10)
         };
         harness.submit(1, filler);
         read(&mut harness, number, 13_010, 13_010);
     }
-    let busy = RequestTicket { avoid: Some(other(&first)), ..prompt(98, "a", (98, 10), 10) };
+    let busy = RequestTicket { avoid: Some(other_endpoint(&first)), ..prompt(98, "a", (98, 10), 10) };
     harness.submit(1, busy);
     harness.advance_with_heartbeats(1_000, &[1]);
     harness.take_grants();
@@ -125,7 +125,7 @@
     );
 }
 
-fn other(name: &micaspool_types::EndpointName) -> micaspool_types::EndpointName {
+fn other_endpoint(name: &micaspool_types::EndpointName) -> micaspool_types::EndpointName {
     if *name == endpoint(0) {
         endpoint(1)
     } else {
@@ -245,7 +245,7 @@
     let first = harness.take_grants()[0].endpoint.clone();
     read(&mut harness, 1, 13_010, 13_010);
     harness.advance_with_heartbeats(1_000, &[1]);
-    let busy = RequestTicket { avoid: Some(other(&first)), ..prompt(2, "a", (8, 2_000), 10) };
+    let busy = RequestTicket { avoid: Some(other_endpoint(&first)), ..prompt(2, "a", (8, 2_000), 10) };
     harness.submit(1, busy);
     harness.step(ShardEvent::Cache(CacheNews { endpoint: first.clone(), ..news }));
     harness.take_grants();
--- a/crates/micaspool-dispatch/tests/shard/faults.rs
+++ b/crates/micaspool-dispatch/tests/shard/faults.rs
@@ -6,7 +6,7 @@
 use micaspool_types::Cost;
 use test_case::test_case;
 
-fn one_running() -> ShardHarness {
+fn shard_with_one_running() -> ShardHarness {
     let mut harness = ShardHarness::new(1, 1, &["a", "b"]);
     harness.join(1, hello("r1", 1));
     harness.join(2, hello("r2", 1));
@@ -18,7 +18,7 @@
 
 #[test]
 fn the_slot_of_a_killed_router_is_freed_when_its_lease_ends() {
-    let mut harness = one_running();
+    let mut harness = shard_with_one_running();
     harness.step(ShardEvent::Left(SessionId(1)));
     harness.advance_with_heartbeats(2_900, &[2]);
     assert!(harness.take_granted_requests().is_empty(), "the request may still run");
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_frozen_router_is_asked_to_rejoin_when_it_resumes() {
-    let mut harness = one_running();
+    let mut harness = shard_with_one_running();
     harness.advance_with_heartbeats(4_000, &[2]);
     assert_eq!(harness.take_granted_requests(), vec![2], "the lease of the frozen router has ended");
     harness.step(ShardEvent::Settle(SessionId(1), request_id(1), Cost(5), GrantFate::Done));
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_settle_report_from_another_router_is_ignored() {
-    let mut harness = one_running();
+    let mut harness = shard_with_one_running();
     harness.settle(2, 1, 5, GrantFate::Done);
     harness.step(ShardEvent::Cancel(SessionId(2), request_id(1)));
     assert!(harness.take_granted_requests().is_empty());
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_late_progress_report_after_the_end_changes_nothing() {
-    let mut harness = one_running();
+    let mut harness = shard_with_one_running();
     harness.settle(1, 1, 7, GrantFate::Done);
     let before = harness.core.status(harness.now);
     harness.step(ShardEvent::Progress(SessionId(1), request_id(1), Cost(500)));
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_lost_grant_is_repeated_after_the_router_rejoins() {
-    let mut harness = one_running();
+    let mut harness = shard_with_one_running();
     harness.step(ShardEvent::Left(SessionId(1)));
     harness.join(3, RouterHello { waiting: vec![ordered_ticket(1, "a", 1)], ..hello("r1", 1) });
     let grants = harness.take_grants();
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_lost_settle_report_is_recovered_when_the_router_rejoins() {
-    let mut harness = one_running();
+    let mut harness = shard_with_one_running();
     harness.step(ShardEvent::Left(SessionId(1)));
     harness.join(3, hello("r1", 1));
     assert_eq!(harness.take_granted_requests(), vec![2]);
@@ -93,7 +93,7 @@
 
 #[test]
 fn tickets_of_a_router_without_a_stream_are_not_granted() {
-    let mut harness = one_running();
+    let mut harness = shard_with_one_running();
     harness.submit(1, ticket(3, "a", 10));
     harness.step(ShardEvent::Left(SessionId(1)));
     harness.settle(2, 2, 0, GrantFate::Done);
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -44,8 +44,8 @@
     }
 
     fn tokens(&self, shard: usize, from: u64, to: u64) -> u64 {
-        let prompts_by_shard = self.prompts_by_shard.get(&shard).map(Vec::as_slice).unwrap_or_default();
-        prompts_by_shard.iter().filter(|(at, ..)| (from..to).contains(at)).map(|(_, tokens, _)| tokens).sum()
+        let prompts = self.prompts_by_shard.get(&shard).map(Vec::as_slice).unwrap_or_default();
+        prompts.iter().filter(|(at, ..)| (from..to).contains(at)).map(|(_, tokens, _)| tokens).sum()
     }
 
     /// The part of the time in which the engine read for a shard or a prompt was on its way to it.
--- a/crates/micaspool-dispatch/tests/shard/recovery.rs
+++ b/crates/micaspool-dispatch/tests/shard/recovery.rs
@@ -12,7 +12,7 @@
 }
 
 fn expecting(routers: &[&str]) -> ShardOptions {
-    let names = routers.iter().map(|name| InstanceName::parse(name).expect("a name")).collect();
+    let names = routers.iter().map(|name| InstanceName::parse(name).expect("valid name")).collect();
     ShardOptions::builder().expected_routers(names).recovery_window(Duration::from_secs(10)).build()
 }
 
--- a/crates/micaspool-dispatch/tests/shard/regions.rs
+++ b/crates/micaspool-dispatch/tests/shard/regions.rs
@@ -47,7 +47,7 @@
     }
 
     fn shared_totals(&self, name: &str) -> ShardEvent {
-        let region = RegionName::parse(name).expect("a name");
+        let region = RegionName::parse(name).expect("valid name");
         ShardEvent::Shared(RegionTotals {
             region,
             incarnation: Incarnation(1),
@@ -88,7 +88,7 @@
     let mut here = RegionModel::new(true);
     let total = |served: u64| {
         let totals = vec![CustomerTotal { customer: customer("a"), served: Cost(served) }];
-        let region = RegionName::parse("there").expect("a name");
+        let region = RegionName::parse("there").expect("valid name");
         ShardEvent::Shared(RegionTotals { region, incarnation: Incarnation(1), totals })
     };
     here.harness.step(total(1_000));
--- a/crates/micaspool-dispatch/tests/shard/scaling.rs
+++ b/crates/micaspool-dispatch/tests/shard/scaling.rs
@@ -50,9 +50,9 @@
 fn cache_news_does_not_cause_a_pass_over_all_tickets_each_time(engines: usize) {
     let mut harness = saturated_shard(engines);
     let before = rounds(&harness);
-    for place in 0..1_000 {
+    for index in 0..1_000 {
         harness.now = harness.now + Duration::from_millis(1);
-        harness.step(cache_news(place % engines));
+        harness.step(cache_news(index % engines));
     }
     let passes = rounds(&harness) - before;
     assert!(passes <= MAX_ROUNDS, "{passes} passes over all tickets in a second");
--- a/crates/micaspool-dispatch/tests/shard/throttling.rs
+++ b/crates/micaspool-dispatch/tests/shard/throttling.rs
@@ -38,7 +38,7 @@
     fn new(routers: usize, taken_per_second: f64) -> CrowdedFleet {
         CrowdedFleet {
             routers: vec![AskThrottle::default(); routers],
-            customer: CustomerName::parse("coop-01").expect("a name"),
+            customer: CustomerName::parse("coop-01").expect("valid name"),
             taken_per_second,
             queue: 0.0,
             now: 1.0,
