--- a/crates/micaspool-fair/tests/policies.rs
+++ b/crates/micaspool-fair/tests/policies.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_lift_never_lowers_a_level() {
+fn a_lift_raises_a_level_but_never_lowers_it() {
     let policy = policy_named("settled").expect("known policy");
     let mut account = ServiceAccount::new(Weight::ONE);
     account.charge_grant(Cost(5));
