--- a/crates/micaspool-router/src/lib.rs
+++ b/crates/micaspool-router/src/lib.rs
@@ -1,11 +1,11 @@
-//! The router: takes requests from callers, asks a dispatcher where each may run, sends it there
+//! The router accepts requests from callers, asks a dispatcher for an endpoint for each, forwards the request
 //! and streams the answer back.
 //!
-//! * [`ShardClient`] holds this router's waiting and running requests of one service, and takes
-//!   them from one dispatcher to the next,
-//! * [`RequestRouter`] is the path of a request,
-//! * [`EndpointClient`] and [`ClaimLedger`] are the borders to endpoints and keepers,
-//! * [`run_router`] puts a daemon together.
+//! * [`ShardClient`] holds this router's waiting and running requests of one service and moves them from one
+//!   dispatcher to the next.
+//! * [`RequestRouter`] handles requests.
+//! * [`EndpointClient`] and [`ClaimLedger`] abstract the connections to endpoints and keepers.
+//! * [`run_router`] assembles and starts a router daemon.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-router/src/shard_client/dispatchers.rs
+++ b/crates/micaspool-router/src/shard_client/dispatchers.rs
@@ -1,4 +1,4 @@
-//! The dispatchers that a router may speak to.
+//! The dispatchers that a router may use.
 
 use async_std::channel::Receiver;
 use async_trait::async_trait;
@@ -13,22 +13,22 @@
 use std::sync::Arc;
 use tonic::Status;
 
-/// The messages of a dispatcher.
+/// The messages from a dispatcher.
 pub type MessageStream = Pin<Box<dyn Stream<Item = Result<DispatcherMessage, Status>> + Send>>;
 
 /// A dispatcher inside this process.
 #[async_trait]
 pub trait LocalDispatcher: fmt::Debug + Send + Sync + 'static {
-    /// Opens a session; the router's messages come from the channel, the hello first.
+    /// Opens a session. The channel delivers the router's messages, starting with the hello.
     async fn open(&self, messages: Receiver<RouterMessage>) -> Option<MessageStream>;
 }
 
-/// Where a dispatcher is.
+/// The address of a dispatcher.
 #[derive(Clone, Debug)]
 pub enum DispatcherAddress {
-    /// Another process.
+    /// A dispatcher in another process.
     Remote(SocketAddr),
-    /// This process.
+    /// The dispatcher in this process.
     Local(Arc<dyn LocalDispatcher>),
 }
 
@@ -51,22 +51,22 @@
     }
 }
 
-/// A dispatcher, and how it is known whether it answers.
+/// A dispatcher and what is known about its reachability.
 #[derive(Clone, Debug)]
 pub struct DispatcherCandidate {
-    /// Where it is.
+    /// The address of the dispatcher.
     pub address: DispatcherAddress,
-    /// How it is known whether it answers, and what is known now.
+    /// How its reachability is determined, and what is known of it now.
     pub kind: CandidateKind,
 }
 
-/// Gives the dispatchers for a service.
+/// Provides the dispatchers for a service.
 pub trait DispatcherList: fmt::Debug + Send + Sync + 'static {
-    /// The dispatchers as of now, the first choice first.
+    /// Returns the current dispatchers, most preferred first.
     fn ranked(&self, service: &ServiceName) -> Vec<DispatcherCandidate>;
 }
 
-/// Dispatchers that the settings list.
+/// The dispatchers that the settings list.
 #[derive(Debug, Clone)]
 pub struct ListedDispatchers(pub Vec<PeerAddress>);
 
--- a/crates/micaspool-router/src/shard_client/lease.rs
+++ b/crates/micaspool-router/src/shard_client/lease.rs
@@ -1,4 +1,4 @@
-//! A grant in the hands of the path of a request.
+//! Leases of grants.
 
 use super::ShardClient;
 use micaspool_clock::BootInstant;
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time before the end of a lease in which a request is no longer sent.
+/// How long before the end of a lease a request is no longer sent.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
-/// Progress is told after this much more was delivered, or after this time.
+/// Progress is reported after this much more cost was delivered, or after this time if there was any.
 const PROGRESS_STEP: u64 = 128;
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a dispatcher granted.
+/// The terms of a grant.
 #[derive(Debug, Clone)]
 pub(super) struct LeaseTerms {
     pub endpoint: EndpointName,
@@ -21,7 +21,7 @@
     pub expires: Option<BootInstant>,
 }
 
-/// The right to send one request to one endpoint. Dropping it ends the grant.
+/// The right to send one request to one endpoint. Dropping the lease ends the grant.
 #[derive(Debug)]
 pub struct GrantLease {
     client: Arc<ShardClient>,
@@ -48,28 +48,30 @@
         }
     }
 
-    /// Where the request may run.
+    /// Returns the endpoint that may run the request.
     pub fn endpoint(&self) -> &EndpointName {
         &self.terms.endpoint
     }
 
-    /// The request's place in the arrival order.
+    /// Returns the order number of the request.
     pub fn order(&self) -> OrderNumber {
         self.terms.order
     }
 
-    /// True while the request may still be sent. The lease runs from when this router sent the
-    /// heartbeat that the dispatcher had, so a router that was frozen does not trust it.
+    /// Returns true while the request may still be sent.
+    ///
+    /// The lease starts when this router sent the heartbeat that the dispatcher had last received, so a router that was
+    /// suspended in between finds it expired.
     pub fn is_valid(&self) -> bool {
         self.terms.expires.is_some_and(|expires| BootInstant::now() + LEASE_MARGIN < expires)
     }
 
-    /// Notes that the request is being sent.
+    /// Records that the request is being sent.
     pub fn mark_sent(&mut self) {
         self.sent = true;
     }
 
-    /// Notes how much was delivered, and tells the dispatcher at the beginning and now and then.
+    /// Records the cost delivered so far and reports it to the dispatcher, at the first delivery and then at intervals.
     pub fn progress(&mut self, delivered: Cost) {
         self.delivered = delivered;
         let unreported = delivered.0.saturating_sub(self.reported.0);
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Ends the grant.
+    /// Ends the grant with its cost and outcome.
     pub fn settle(mut self, cost: Cost, fate: GrantFate) {
         self.end_once(cost, fate);
     }
--- a/crates/micaspool-router/src/shard_client/link.rs
+++ b/crates/micaspool-router/src/shard_client/link.rs
@@ -1,4 +1,4 @@
-//! Keeps a stream to the best reachable dispatcher open.
+//! Maintains a stream to the highest-ranked reachable dispatcher.
 
 use super::dispatchers::{DispatcherAddress, DispatcherCandidate, MessageStream};
 use super::ShardClient;
@@ -20,20 +20,20 @@
 
 /// How often a heartbeat is sent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a router looks at what is known of its dispatchers.
+/// How often the state of the current stream and of the candidates is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A dispatcher that did not answer a heartbeat for this long is left.
+/// A dispatcher that has not answered a heartbeat for this long is abandoned.
 const PULSE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A dispatcher that said nothing for this long since a ticket was sent to it is left. It answers within
-/// some ten milliseconds, and within 300 when its processor is used up. Requests that wait for a dispatcher
-/// without power are held for this long, and not until its keeper has been silent for 2.5 s as well.
+/// A dispatcher that has sent nothing for this long after a ticket is abandoned. It normally answers within about
+/// 10 ms, and within 300 ms when its processor is saturated. This bounds how long requests wait for a dispatcher that
+/// has lost power; otherwise they would wait until its keeper has been silent for 2.5 s as well.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long opening a stream may take.
+/// How long opening a stream, or a probe, may take.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
-/// The bounds of a pause before the next step.
+/// The bounds of the pause before the next step of the candidate choice.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 const MAX_WAIT: Duration = Duration::from_millis(200);
-/// The largest message from a dispatcher.
+/// The largest message accepted from a dispatcher.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a stream was lost.
@@ -41,18 +41,18 @@
 enum LossReason {
     /// The connection ended, or the dispatcher closed the stream.
     Ended,
-    /// The dispatcher did not answer heartbeats.
+    /// The dispatcher stopped answering heartbeats.
     NoPulse,
-    /// It did not answer tickets.
+    /// The dispatcher did not answer a ticket.
     NoReply,
-    /// Another stream to its process was lost, or it is no longer listed.
+    /// Another stream to the dispatcher's process was lost, or the dispatcher is no longer listed.
     ProcessLost,
-    /// It could not be opened.
+    /// The stream could not be opened.
     Unreachable,
 }
 
 impl LossReason {
-    /// The reason as logs name it.
+    /// Returns the reason as it appears in logs.
     fn as_str(self) -> &'static str {
         match self {
             LossReason::Ended => "ended",
@@ -66,17 +66,17 @@
 
 /// How a stream ended.
 enum LinkEnd {
-    /// It is of no use any more.
+    /// The stream has failed.
     Lost(LossReason),
-    /// The dispatcher asked for a new one.
+    /// The dispatcher asked for a new stream.
     Moved,
-    /// A higher-ranked dispatcher answers again.
+    /// A higher-ranked dispatcher is available again.
     HigherRanked,
-    /// Nobody needs the shard any more.
+    /// The client is no longer used.
     Unused,
 }
 
-/// The dispatchers of a service and the choice among them.
+/// The candidate dispatchers of a service and the state of the choice among them.
 struct LinkChoice {
     candidates: Vec<DispatcherCandidate>,
     choice: CandidateChoice,
@@ -96,8 +96,7 @@
         Moment(0) + self.start.elapsed()
     }
 
-    /// Takes over what is known of the dispatchers now; false when the present one is no longer listed
-    /// or has been lost.
+    /// Updates the candidates. Returns false if the current dispatcher is no longer listed or has been lost.
     fn refresh(&mut self, client: &ShardClient) -> bool {
         let candidates = client.options.dispatchers.ranked(&client.service);
         let had_current = self.choice.current().is_some();
@@ -115,7 +114,7 @@
     }
 }
 
-/// Works until the client is gone.
+/// Maintains the stream until the client is dropped.
 pub(super) async fn maintain_link(client: Weak<ShardClient>) {
     let Some(mut link) = client.upgrade().map(|client| LinkChoice::new(&client)) else { return };
     loop {
@@ -137,7 +136,7 @@
     }
 }
 
-/// Speaks to one candidate for as long as that goes.
+/// Opens a stream to a candidate and uses it until it ends.
 async fn use_candidate(client: &Arc<ShardClient>, link: &mut LinkChoice, rank: usize) -> LinkEnd {
     let Some(messages) = open_stream(client, &link.candidates[rank].address).await else {
         client.lock_state().unlink();
@@ -148,7 +147,7 @@
     client.lock_state().confirm_link();
     let end = run_stream(client, messages, link).await;
     client.lock_state().unlink();
-    // Without a place in the list any more, nothing is to be noted of it.
+    // A dispatcher that is no longer listed has no state to update.
     let Some(rank) = link.choice.current() else { return end };
     match end {
         LinkEnd::Lost(reason) => {
@@ -167,7 +166,7 @@
     end
 }
 
-/// Opens a stream whose first message says everything that this router holds.
+/// Opens a stream. Its first message carries everything that this router holds.
 async fn open_stream(client: &Arc<ShardClient>, address: &DispatcherAddress) -> Option<MessageStream> {
     let (sender, receiver) = unbounded();
     let messages = match address {
@@ -185,11 +184,11 @@
     Some(messages)
 }
 
-/// Queues the hello; what is sent from here on follows it.
+/// Queues the hello. Messages sent from now on follow it.
 fn queue_hello(client: &ShardClient, sender: Sender<v1::RouterMessage>) {
     let mut state = client.lock_state();
     let hello = client.hello(&mut state);
-    sender.try_send(hello).expect("a new channel without a bound takes a message");
+    sender.try_send(hello).expect("a new unbounded channel accepts a message");
     state.attach_link(sender);
 }
 
@@ -201,6 +200,7 @@
     Some(Box::pin(reply.into_inner()))
 }
 
+/// Processes the messages of a stream, sends heartbeats and probes higher-ranked candidates, until the stream ends.
 async fn run_stream(
     client: &Arc<ShardClient>,
     mut messages: MessageStream,
@@ -252,7 +252,7 @@
     }
 }
 
-/// Why the present stream should be left, if it should.
+/// Returns why the current stream must be abandoned, if it must.
 fn loss_reason(client: &ShardClient, link: &mut LinkChoice) -> Option<LossReason> {
     if !link.refresh(client) {
         return Some(LossReason::ProcessLost);
@@ -264,6 +264,7 @@
     (state.time_since_pulse() > PULSE_TIMEOUT).then_some(LossReason::NoPulse)
 }
 
+/// What happened next on a stream.
 enum StreamEvent {
     Message(v1::DispatcherMessage),
     End,
@@ -289,7 +290,7 @@
     }
 }
 
-/// Sees whether a dispatcher can be reached.
+/// Probes in the background whether a dispatcher responds.
 fn start_probe(client: &ShardClient, address: DispatcherAddress, results: Sender<(DispatcherAddress, bool)>) {
     let counter = client.options.counter.clone();
     tokio::spawn(async move {
@@ -297,11 +298,12 @@
             DispatcherAddress::Remote(remote) => is_answering(*remote, counter).await,
             DispatcherAddress::Local(_) => true,
         };
-        // The stream that wanted to know may have ended meanwhile.
+        // The stream that started the probe may have ended.
         let _ = results.send((address, answered)).await;
     });
 }
 
+/// Returns whether a dispatcher answers a status call in time.
 async fn is_answering(address: SocketAddr, counter: TrafficCounter) -> bool {
     let Ok(channel) = socket::connect(address, counter).await else { return false };
     let status = async { DispatchClient::new(channel).status(v1::StatusRequest {}).await.is_ok() };
--- a/crates/micaspool-router/src/shard_client/mod.rs
+++ b/crates/micaspool-router/src/shard_client/mod.rs
@@ -1,4 +1,4 @@
-//! This router's part of one shard.
+//! The client of one shard: the requests of one service that this router holds.
 
 mod dispatchers;
 mod lease;
@@ -24,29 +24,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// After this time without any dispatcher new requests are refused at once.
+/// How long new requests may wait for a reachable dispatcher; after that they are refused at once.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// When a request that found no dispatcher may come back.
+/// `Retry-After` of requests refused for lack of a dispatcher.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Who this router is and whom it may speak to.
+/// The identity of this router and the dependencies of its shard clients.
 #[derive(Debug, Clone)]
 pub struct ShardClientOptions {
     /// The instance of the router.
     pub router: InstanceName,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: String,
-    /// Tells one life of the router from the next.
+    /// Distinguishes this run of the router from earlier and later ones.
     pub incarnation: Incarnation,
-    /// The dispatchers of the region.
+    /// The dispatchers that may be used.
     pub dispatchers: Arc<dyn DispatcherList>,
-    /// What endpoints asked of this process.
+    /// The back-off advice that endpoints gave this process.
     pub advice: Arc<AdviceBoard>,
-    /// Counts control bytes.
+    /// Counts the control traffic, in bytes.
     pub counter: TrafficCounter,
 }
 
-/// Holds this router's requests of one service and speaks to the dispatcher that orders them.
+/// Holds this router's requests of one service and the session with the dispatcher that grants them.
 #[derive(Debug)]
 pub struct ShardClient {
     service: ServiceName,
@@ -54,7 +54,7 @@
     state: Mutex<ShardState>,
 }
 
-/// Gives a waiting request up when its caller no longer waits.
+/// Cancels a waiting request when the future that waits for it is dropped.
 struct WaitGuard {
     client: Arc<ShardClient>,
     request: RequestId,
@@ -70,7 +70,7 @@
 }
 
 impl ShardClient {
-    /// Starts to look for a dispatcher.
+    /// Creates a client and starts connecting to a dispatcher.
     pub fn start(service: ServiceName, options: ShardClientOptions) -> Arc<ShardClient> {
         let state = Mutex::new(ShardState::new(BootInstant::now()));
         let client = Arc::new(ShardClient { service, options, state });
@@ -78,13 +78,15 @@
         client
     }
 
-    /// Says whether a new request of a customer may be submitted. Most of what the dispatcher would refuse is refused
-    /// here, before its router has spent anything on it. Asked once for each request.
+    /// Checks whether a new request of a customer may be submitted. Must be called once per request.
+    ///
+    /// This refuses most of the requests that the dispatcher would refuse, before the router has spent resources on
+    /// them.
     pub fn admit(&self, customer: &CustomerName) -> Result<(), Refusal> {
         self.lock_state().check_throttle(customer)
     }
 
-    /// Waits until the request may run. Dropping the future gives the request up.
+    /// Waits until the request may run. Dropping the future cancels the request.
     pub async fn acquire(
         self: &Arc<Self>,
         ticket: RequestTicket,
@@ -103,27 +105,27 @@
         }
     }
 
-    /// Tells the dispatcher what an endpoint asked of this router; one that is met later hears of it at first.
+    /// Reports an endpoint's back-off advice to the dispatcher. Later dispatchers receive it in the hello.
     pub fn report_advice(&self, advice: AdviceRecord) {
         self.lock_state().report_advice(&advice);
     }
 
-    /// The service of the shard.
+    /// Returns the service of the shard.
     pub fn service(&self) -> &ServiceName {
         &self.service
     }
 
-    /// True while a dispatcher is reached.
+    /// Returns true while there is a stream to a dispatcher, including one that is being opened.
     pub fn is_linked(&self) -> bool {
         self.lock_state().is_linked()
     }
 
-    /// The number of waiting and of running requests.
+    /// Returns the numbers of waiting and running requests.
     pub fn counts(&self) -> (usize, usize) {
         self.lock_state().counts()
     }
 
-    /// What operators see of it.
+    /// Returns the state of the client for status pages.
     pub fn state(&self) -> serde_json::Value {
         let (waiting, running) = self.counts();
         json!({
@@ -153,9 +155,10 @@
     }
 
     fn lock_state(&self) -> std::sync::MutexGuard<'_, ShardState> {
-        self.state.lock().expect("no holder of the requests panics")
+        self.state.lock().expect("the lock of the shard state is not poisoned")
     }
 
+    /// Builds the first message of a session, which carries everything that this router holds.
     fn hello(&self, state: &mut ShardState) -> v1::RouterMessage {
         let advice = self.options.advice.records(&self.service);
         let hello = state.build_hello(&self.options, advice);
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -1,6 +1,6 @@
-//! Everything that this router holds of one shard, in memory only.
+//! The in-memory state of this router for one shard.
 //!
-//! A dispatcher that starts empty is rebuilt from this.
+//! A dispatcher that starts without state is rebuilt from it.
 
 use super::lease::LeaseTerms;
 use super::ShardClientOptions;
@@ -22,13 +22,13 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Levels that are older than this are not told to a new dispatcher: a customer that was idle for
-/// so long starts from the others' level in any case.
+/// The maximum age of the service levels in a hello. A customer that was idle for longer starts from the level of the
+/// others in any case.
 const TOTAL_MAX_AGE: Duration = Duration::from_secs(60);
-/// The most requests under which endpoints ended that a router remembers, in all and of one customer. A hello of all
-/// is some 25 KB.
+/// The maximum number of remembered requests during which endpoints crashed, in total and per customer. A hello with
+/// all of them is about 25 KB.
 const CRASH_CAPACITY: (usize, usize) = (256, 64);
-/// How many heartbeats are remembered, to anchor leases.
+/// How many sent heartbeats are remembered. A lease starts when the heartbeat that its grant names was sent.
 const MAX_HEARTBEATS: usize = 64;
 
 fn crash_options() -> QuarantineOptions {
@@ -36,18 +36,19 @@
     QuarantineOptions::builder().capacity(total, per_customer).build()
 }
 
-/// What a waiting request gets.
+/// The outcome of waiting for a grant.
 pub(super) type WaitResult = Result<LeaseTerms, Refusal>;
 
-/// A waiting request and whoever waits for it.
+/// A waiting request and the channel to its waiter.
 #[derive(Debug)]
 pub(super) struct WaitingEntry {
     pub ticket: RequestTicket,
-    /// The trace that the wait belongs to; empty for none.
+    /// The trace context of the wait; empty if there is none.
     pub traceparent: String,
     pub waiter: Sender<WaitResult>,
 }
 
+/// The last known service level of a customer.
 #[derive(Debug)]
 struct KnownTotal {
     level: ServiceLevel,
@@ -55,7 +56,7 @@
     updated_at: BootInstant,
 }
 
-/// The requests, grants and levels of one shard that this router holds.
+/// The requests, grants and service levels of one shard that this router holds.
 #[derive(Debug)]
 pub(super) struct ShardState {
     waiting: HashMap<RequestId, WaitingEntry>,
@@ -63,16 +64,16 @@
     totals: HashMap<CustomerName, KnownTotal>,
     link: Option<Sender<v1::RouterMessage>>,
     unlinked_since: Option<BootInstant>,
-    /// The newest heartbeats and when each was sent.
+    /// The numbers of the newest heartbeats and the times at which they were sent.
     heartbeats: VecDeque<(u64, BootInstant)>,
     next_heartbeat: u64,
     last_pulse: BootInstant,
-    /// Decides which requests are not taken to the dispatcher.
+    /// Decides which requests are refused without asking the dispatcher.
     throttle: AskThrottle,
     start: BootInstant,
-    /// The requests of this router under which endpoints ended, and what dispatchers told of others'.
+    /// The requests during which endpoints crashed: those seen by this router, and those reported by dispatchers.
     crashes: CrashTable,
-    /// Since when the dispatcher has said nothing though a ticket was sent to it.
+    /// The time of the first ticket sent since the last message from the dispatcher.
     unanswered_since: Option<BootInstant>,
 }
 
@@ -106,34 +107,34 @@
         self.unlinked_since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 
-    /// Takes a new stream into use; what is sent from here on follows the hello.
+    /// Starts using a new stream. Messages sent from now on follow the hello.
     pub fn attach_link(&mut self, link: Sender<v1::RouterMessage>) {
         self.link = Some(link);
         self.last_pulse = BootInstant::now();
-        // The hello has the tickets that wait; those without a place in the order get one.
+        // The hello contains the waiting tickets, and the dispatcher answers those without an order number.
         let is_asking = self.waiting.values().any(|entry| entry.ticket.order.is_none());
         self.unanswered_since = is_asking.then(BootInstant::now);
     }
 
-    /// Notes that the dispatcher has taken the stream.
+    /// Records that the dispatcher has accepted the stream.
     pub fn confirm_link(&mut self) {
         self.unlinked_since = None;
         self.last_pulse = BootInstant::now();
     }
 
-    /// Notes that the stream is gone.
+    /// Records that the stream has ended.
     pub fn unlink(&mut self) {
         self.link = None;
         self.unlinked_since.get_or_insert_with(BootInstant::now);
     }
 
-    /// How long the dispatcher has not answered a heartbeat.
+    /// Returns the time since the dispatcher last answered a heartbeat.
     pub fn time_since_pulse(&self) -> Duration {
         self.last_pulse.elapsed()
     }
 
-    /// How long the dispatcher has said nothing at all since a ticket was sent to it, which it answers
-    /// at once: that it waits, with a grant, or with a refusal.
+    /// Returns how long the dispatcher has sent nothing since a ticket was sent to it. A dispatcher answers each ticket
+    /// at once, by accepting, granting or refusing it.
     pub fn unanswered_for(&self) -> Duration {
         self.unanswered_since.map_or(Duration::ZERO, |since| since.elapsed())
     }
@@ -159,14 +160,14 @@
         }
     }
 
-    /// Sends a heartbeat.
+    /// Sends a numbered heartbeat.
     pub fn send_heartbeat(&mut self) {
         let number = self.allocate_heartbeat();
         self.send(Body::Heartbeat(v1::Heartbeat { number, ..v1::Heartbeat::default() }));
     }
 
-    /// Says what an endpoint asked of this router. It stands beside a heartbeat without a number, since a dispatcher
-    /// that does not know of it would close the stream on a message of its own.
+    /// Reports an endpoint's back-off advice. It is sent in a heartbeat without a number, because a dispatcher that
+    /// doesn't support advice would close the stream on an unknown message.
     pub fn report_advice(&mut self, advice: &AdviceRecord) {
         let advice = vec![advice_message(advice)];
         self.send(Body::Heartbeat(v1::Heartbeat { advice, ..v1::Heartbeat::default() }));
@@ -182,18 +183,18 @@
         number
     }
 
-    /// The trace that a request's wait belongs to.
+    /// Returns the trace context of a waiting request; empty if there is none.
     pub fn traceparent_of(&self, request: &[u8]) -> String {
         let entry = request_id(request).ok().and_then(|request| self.waiting.get(&request));
         entry.map(|entry| entry.traceparent.clone()).unwrap_or_default()
     }
 
-    /// The time since the start, as the throttle counts it.
+    /// Returns the current time as an offset from the creation of this state.
     fn current_moment(&self) -> Moment {
         Moment(0) + self.start.elapsed()
     }
 
-    /// Refuses a new request that the dispatcher would most probably refuse.
+    /// Refuses a new request that the dispatcher would probably refuse.
     pub fn check_throttle(&mut self, customer: &CustomerName) -> Result<(), Refusal> {
         let now = self.current_moment();
         let admitted = self.throttle.admit(now, customer, rand::random());
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Forgets a waiting request. A grant that comes later is given back.
+    /// Cancels a waiting request, or returns its grant unused. A grant that arrives later is returned too.
     pub fn cancel(&mut self, request: RequestId) {
         if self.waiting.remove(&request).is_some() {
             self.send(Body::Cancel(v1::Cancel { request: request_bytes(request) }));
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Says how much a running request has delivered.
+    /// Reports the cost that a running request has delivered so far.
     pub fn progress(&mut self, request: RequestId, delivered: Cost) {
         if let Some(grant) = self.running.get_mut(&request) {
             grant.delivered = delivered;
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Ends a grant.
+    /// Ends a grant and reports its cost and outcome.
     pub fn settle(&mut self, request: RequestId, cost: Cost, fate: GrantFate) {
         if let Some(grant) = self.running.remove(&request) {
             self.record_outcome(&grant, fate);
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Remembers under which requests endpoints seem to have ended, so that the next dispatcher hears of it.
+    /// Remembers requests during which an endpoint seems to have crashed, so that the next hello carries them.
     fn record_outcome(&mut self, grant: &HeldGrant, fate: GrantFate) {
         let Some(digest) = grant.digest else { return };
         let now = self.current_moment();
@@ -252,6 +253,7 @@
         }
     }
 
+    /// Replaces the crash record of a request by the dispatcher's.
     fn apply_crash_record(&mut self, message: v1::CrashRecord) {
         let now = self.current_moment();
         match crash_record(message) {
@@ -264,7 +266,7 @@
         self.send(Body::Settle(settle_message(request, cost, fate)));
     }
 
-    /// Takes a message of the dispatcher; false when the router shall connect anew.
+    /// Handles a message from the dispatcher. Returns false if the dispatcher asks for a new session.
     pub fn handle_message(&mut self, message: v1::DispatcherMessage) -> bool {
         use v1::dispatcher_message::Body as FromDispatcher;
         self.unanswered_since = None;
@@ -323,6 +325,7 @@
         }
     }
 
+    /// Updates a customer's service level, unless a newer and higher one is known.
     fn update_total(&mut self, customer: &CustomerName, level: ServiceLevel, order: OrderNumber) {
         let known = self.totals.get(customer).is_some_and(|total| total.order > order && total.level > level);
         if !known {
@@ -330,7 +333,7 @@
         }
     }
 
-    /// When a heartbeat was sent; a lease runs from then by this router's own clock.
+    /// Returns when a heartbeat was sent. A lease is measured from that time by this router's own clock.
     fn heartbeat_sent_at(&self, number: u64) -> Option<BootInstant> {
         self.heartbeats.iter().find(|(known, _)| *known == number).map(|(_, at)| *at)
     }
