--- a/crates/micaspool-router/src/call/mod.rs
+++ b/crates/micaspool-router/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to a plan: whose it is, what it calls, and what it may cost.
+//! Resolves the customer, service and estimated cost of an HTTP request.
 
 mod model;
 
@@ -10,54 +10,54 @@
 
 /// The path of model calls.
 pub(crate) const CHAT_PATH: &str = "/v1/chat/completions";
-/// What a call of a plain service costs.
+/// The cost of a call to a plain service.
 const PLAIN_COST: Cost = Cost(1);
 /// The longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// The key of a call that may not be repeated.
+/// The idempotency key of a call, with a digest of the call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IdempotencyKey {
     /// The key as the caller sent it.
     pub key: String,
-    /// The SHA-256 of method, path and body.
+    /// The SHA-256 of method, request target and body, each prefixed with its length.
     pub digest: [u8; 32],
 }
 
-/// Everything that the path of a request needs to know of it.
+/// A resolved request.
 #[derive(Debug, Clone)]
 pub struct CallPlan {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// Whose it is.
+    /// The customer that sent the request.
     pub customer: CustomerName,
-    /// What it asks for, the same for each time that it comes.
+    /// The digest of the request, equal for each copy of it.
     pub digest: RequestDigest,
-    /// What it calls.
+    /// The service that is called.
     pub service: ServiceName,
-    /// How the service is called.
+    /// The kind of the service.
     pub kind: ServiceKind,
-    /// What holds for it, as of its arrival.
+    /// The customer's policy for the service, as of the arrival of the request.
     pub policy: RequestPolicy,
     /// The HTTP method.
     pub method: String,
-    /// The path with its query.
+    /// The path and query.
     pub target: String,
     /// The media type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Vec<u8>,
-    /// True when it may be sent again after it may have run.
+    /// True if the request may be sent again after it may have run.
     pub repeatable: bool,
-    /// The key, when the caller sent one.
+    /// The idempotency key, if the caller sent one.
     pub idempotency: Option<IdempotencyKey>,
-    /// True when the answer is to be streamed.
+    /// True if the caller asked for a streamed answer.
     pub is_streamed: bool,
     hint: Cost,
     prefixes: Vec<u64>,
 }
 
-/// The parts of a request that a plan is made from.
+/// The parts of a request from which a [`CallPlan`] is made.
 #[derive(Debug)]
 pub(crate) struct PlanParts {
     pub request: RequestId,
@@ -69,14 +69,15 @@
     pub body: Vec<u8>,
 }
 
-/// The customer of a bearer key.
+/// Returns the index of the customer that owns the bearer key.
 pub(crate) fn authenticate(policy: &SharedPolicy, authorization: Option<&str>) -> Result<usize, Refusal> {
     let (scheme, key) = authorization.and_then(|value| value.split_once(' ')).unwrap_or_default();
     let customer = policy.customer_of_key(key.trim()).filter(|_| scheme.eq_ignore_ascii_case("bearer"));
     customer.ok_or_else(|| Refusal::not_run(RefusalKind::UnknownKey))
 }
 
-/// The largest body that the customer may send to this path.
+/// Returns the largest body that the customer may send to this path, in bytes. The model of a model call is not known
+/// yet, so the largest limit of all models applies.
 pub(crate) fn body_limit(policy: &SharedPolicy, customer: usize, target: &str) -> Result<u64, Refusal> {
     let services = &policy.customers[customer].services;
     if path_of(target) == CHAT_PATH {
@@ -90,6 +91,7 @@
 }
 
 impl CallPlan {
+    /// Resolves a request, or refuses it.
     pub(crate) fn new(policy: &SharedPolicy, parts: PlanParts) -> Result<CallPlan, Refusal> {
         let refuse = |kind| Refusal::not_run(kind);
         let model =
@@ -132,7 +134,7 @@
         })
     }
 
-    /// The ticket of an attempt.
+    /// Creates the ticket for an attempt.
     pub fn ticket(&self, attempt: u32, avoid: Option<micaspool_types::EndpointName>) -> RequestTicket {
         RequestTicket {
             request: self.request,
@@ -152,7 +154,7 @@
     }
 }
 
-/// The settings must name an endpoint in an allowed data hall.
+/// Checks that the service has an endpoint in an allowed data hall.
 fn check_placement(service: &ServicePolicy, customer_policy: &RequestPolicy) -> Result<(), Refusal> {
     if service.endpoints.is_empty() {
         return Err(Refusal::not_run(RefusalKind::NoEndpoint).after(std::time::Duration::from_secs(5)));
@@ -163,6 +165,7 @@
     Ok(())
 }
 
+/// Returns true if the settings list this method and path as not repeatable.
 fn matches_once_rule(service: &ServicePolicy, method: &str, path: &str) -> bool {
     service.once.iter().any(|rule| rule.method == method && path.starts_with(&rule.path))
 }
--- a/crates/micaspool-router/src/call/model.rs
+++ b/crates/micaspool-router/src/call/model.rs
@@ -1,16 +1,16 @@
-//! What a router reads from the body of a model call.
+//! Parsing of the body of a model call.
 
 use micaspool_types::{stable_hash, Cost, Refusal, RefusalKind};
 use serde::Deserialize;
 
-/// A token has about this many bytes of text.
+/// The approximate number of bytes of text per token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// The answer's length when the caller gives none, in tokens.
+/// The assumed length of an answer if the caller sets no maximum, in tokens.
 const DEFAULT_ANSWER_TOKENS: u64 = 256;
-/// The prompt lengths in bytes whose hashes are told to the dispatcher.
+/// The lengths of the prompt prefixes whose hashes are sent to the dispatcher, in bytes.
 const PREFIX_LENGTHS: [usize; 4] = [256, 1_024, 4_096, 16_384];
 
-/// The parts of a model call that matter for placement.
+/// The parts of a model call that affect placement.
 #[derive(Debug)]
 pub(super) struct ModelBody {
     pub model: String,
@@ -54,6 +54,7 @@
     }
 }
 
+/// Concatenates the roles and contents of all messages.
 fn prompt_text(messages: &[RawMessage]) -> String {
     let mut text = String::new();
     for message in messages {
@@ -68,7 +69,7 @@
     text
 }
 
-/// The hashes of the prompt's growing prefixes, the shortest first.
+/// Returns the hashes of the prompt's prefixes, shortest first.
 fn prefix_hashes(prompt: &[u8]) -> Vec<u64> {
     let lengths = PREFIX_LENGTHS.iter().filter(|length| **length <= prompt.len());
     lengths.map(|length| stable_hash(prompt[..*length].iter().copied())).collect()
--- a/crates/micaspool-router/src/claims.rs
+++ b/crates/micaspool-router/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of calls that may not be repeated.
+//! Claims of calls with idempotency keys.
 
 use crate::call::CallPlan;
 use async_std::task;
@@ -12,44 +12,44 @@
 
 /// How long a claim may take.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
-/// For how long the outcome of a call is offered to the keepers.
+/// How long recording the outcome of a call is retried.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(120);
-/// When a caller may ask again about a running call, or about one that found no ledger.
+/// `Retry-After` for calls that are still running, and for those that can't be claimed now.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a claim gave.
+/// The outcome of a claim.
 #[derive(Debug)]
 pub enum ClaimOutcome {
-    /// Run the call; the token ends the claim.
+    /// The call may run. The token is needed to end the claim.
     Granted(u64),
-    /// The call ran before; this was its answer.
+    /// The call has already run, with this answer.
     Answered(Box<Response>),
 }
 
-/// Where calls that may not be repeated are claimed.
+/// The ledger in which calls with idempotency keys are claimed.
 #[async_trait]
 pub trait ClaimLedger: Send + Sync + 'static {
-    /// Claims a call that has a key, before any byte of it is sent.
+    /// Claims a call, before any byte of it is sent.
     async fn claim(&self, plan: &CallPlan, traceparent: &str) -> Result<ClaimOutcome, Refusal>;
 
-    /// Provably nothing was sent: the key is free again.
+    /// Releases the key of a call that provably did not run.
     async fn release(&self, plan: &CallPlan, token: u64);
 
-    /// The call ran and gave this answer.
+    /// Records that the call ran, with its answer.
     async fn record_answer(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]);
 
-    /// The call may have run.
+    /// Records that the call may have run.
     async fn record_unknown(&self, plan: &CallPlan, token: u64);
 }
 
-/// The ledger of the keepers.
+/// The ledger that the keepers replicate.
 #[derive(Debug, Clone)]
 pub struct KeeperLedger {
     client: Arc<KeeperClient>,
 }
 
 impl KeeperLedger {
-    /// The ledger behind this client.
+    /// Creates a ledger that uses this client.
     pub fn new(client: Arc<KeeperClient>) -> KeeperLedger {
         KeeperLedger { client }
     }
@@ -115,6 +115,7 @@
     }
 }
 
+/// Maps the keepers' verdict to an outcome or a refusal.
 fn claim_outcome(reply: v1::ClaimReply, token: u64) -> Result<ClaimOutcome, Refusal> {
     use v1::ClaimVerdict::*;
     match reply.verdict() {
@@ -128,6 +129,7 @@
     }
 }
 
+/// Builds the response that replays a stored answer.
 fn stored_response(answer: v1::StoredAnswer) -> Response {
     let status = u16::try_from(answer.status).ok().and_then(|status| StatusCode::try_from(status).ok());
     let mut response = Response::new(status.unwrap_or(StatusCode::Ok));
--- a/crates/micaspool-router/src/limits.rs
+++ b/crates/micaspool-router/src/limits.rs
@@ -1,16 +1,16 @@
-//! How many request bytes wait in this router.
+//! Limits on the request bytes held by this router.
 
 use micaspool_types::{CustomerName, Refusal, RefusalKind};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The most request bytes that wait in one router, in all.
+/// The maximum number of request bytes held by one router, in total.
 const MAX_ROUTER_BYTES: u64 = 96 * 1024 * 1024;
-/// When a request that found no room may come back.
+/// `Retry-After` of requests that exceed a limit.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Counts the bytes of bodies that are held, for each customer and in all.
+/// Counts the bytes of the bodies held, per customer and in total.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BodyBudget {
     held: Arc<Mutex<HeldBytes>>,
@@ -22,7 +22,7 @@
     customers: HashMap<CustomerName, u64>,
 }
 
-/// Bytes that count until this is dropped.
+/// A reservation of bytes, released on drop.
 #[derive(Debug)]
 pub(crate) struct BodyGuard {
     budget: BodyBudget,
@@ -31,9 +31,9 @@
 }
 
 impl BodyBudget {
-    /// Counts a body, or refuses it when the customer or the router holds too much.
+    /// Reserves the bytes of a body, or refuses it if the customer or the router would exceed its limit.
     pub fn reserve(&self, customer: &CustomerName, bytes: u64, limit: u64) -> Result<BodyGuard, Refusal> {
-        let mut held = self.held.lock().expect("no holder of the counts panics");
+        let mut held = self.held.lock().expect("the lock of the counts is not poisoned");
         let customer_bytes = held.customers.get(customer).copied().unwrap_or(0);
         if customer_bytes.saturating_add(bytes) > limit {
             return Err(Refusal::not_run(RefusalKind::CustomerBacklogFull).after(RETRY_AFTER));
@@ -49,7 +49,7 @@
 
 impl Drop for BodyGuard {
     fn drop(&mut self) {
-        let mut held = self.budget.held.lock().expect("no holder of the counts panics");
+        let mut held = self.budget.held.lock().expect("the lock of the counts is not poisoned");
         held.total -= self.bytes;
         let customer_bytes =
             held.customers.get(&self.customer).copied().unwrap_or(0).saturating_sub(self.bytes);
