--- a/crates/micaspool-router/src/daemon.rs
+++ b/crates/micaspool-router/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a router daemon together.
+//! Assembles and runs a router daemon.
 
 use crate::claims::KeeperLedger;
 use crate::endpoint::HttpEndpointClient;
@@ -22,15 +22,15 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-/// How often what endpoints asked for is looked at for what is over; only the log line waits for it.
+/// How often ended rests of endpoints are removed and logged. This delays only the log line: rests end on time.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A running router.
 #[derive(Debug)]
 pub struct RouterDaemon {
-    /// Where it serves callers.
+    /// The bound address on which callers are served.
     pub callers: SocketAddr,
-    /// Where it shows its status.
+    /// The bound address of the status pages.
     pub status: SocketAddr,
     server: HttpServer,
     router: RequestRouter,
@@ -38,15 +38,14 @@
 }
 
 impl RouterDaemon {
-    /// Takes no new request and waits for those in flight, at most for `limit`; true when none
-    /// was cut.
+    /// Refuses new requests and waits up to `limit` for those in flight. Returns true if all of them ended in time.
     pub async fn stop(self, limit: Duration) -> bool {
         self.router.drain();
         self.server.stop();
         self.server.drained(limit).await
     }
 
-    /// The settings that the router follows.
+    /// Returns the local copy of the settings.
     pub fn mirror(&self) -> &Arc<SettingsMirror> {
         &self.mirror
     }
@@ -99,7 +98,7 @@
     Ok(RouterDaemon { callers, status, server, router, mirror })
 }
 
-/// Forgets what endpoints asked for once it is over, for as long as the router runs.
+/// Removes ended rests of endpoints periodically, until the router stops.
 async fn expire_advice(advice: Weak<AdviceBoard>) {
     while let Some(advice) = advice.upgrade() {
         advice.expire();
--- a/crates/micaspool-router/src/relay.rs
+++ b/crates/micaspool-router/src/relay.rs
@@ -1,4 +1,4 @@
-//! An answer on its way from an endpoint to a caller.
+//! Relays answers from endpoints to callers.
 
 use crate::cost::CostMeter;
 use crate::metrics::RouterMetrics;
@@ -11,14 +11,13 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// How much is read from an endpoint at once.
+/// The size of the buffer for reads from an endpoint, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Reads an endpoint's body, counts its cost, and ends the grant with it.
+/// Reads the body of an endpoint's answer, meters its cost, and ends the grant when the body ends.
 ///
-/// An error of the endpoint's body is passed on, so that the caller sees a broken answer instead
-/// of a short one. When the caller leaves, the relay is dropped and the endpoint's connection
-/// with it.
+/// An error of the body is passed on, so that the caller sees a broken answer instead of a truncated one. If the caller
+/// disconnects, the relay is dropped, which closes the connection to the endpoint.
 pub(crate) struct AnswerRelay {
     body: Body,
     meter: Box<dyn CostMeter>,
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a grant, a claim where one is needed, the call, and its answer.
+//! A single attempt of a request: the grant, the claim if one is needed, the call and its answer.
 
 use super::{RequestRouter, RETRY_AFTER};
 use crate::call::CallPlan;
@@ -23,12 +23,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often a grant that can't be used is exchanged for another.
+/// How many unusable grants are accepted before a request is refused.
 const MAX_UNUSABLE_GRANTS: u32 = 5;
-/// The largest answer of a call that may not be repeated.
+/// The largest answer to a call with an idempotency key, in bytes. A longer one is truncated.
 const MAX_RECORDED_ANSWER: u64 = 32 * 1024 * 1024;
 
-/// A grant whose endpoint may be used by the newest settings.
+/// A grant whose endpoint is allowed by the newest settings.
 struct UsableGrant {
     lease: GrantLease,
     address: SocketAddr,
@@ -40,20 +40,20 @@
     pub avoid: Option<EndpointName>,
     pub deadline: BootInstant,
     pub claim: Option<u64>,
-    /// True once an attempt may have had an effect; no later refusal says "not run" then.
+    /// True once an attempt may have had an effect. Later refusals must not claim that the request did not run.
     pub may_have_run: bool,
 }
 
-/// Why a request did not get its answer yet.
+/// How an attempt without an answer ended.
 pub(super) enum AttemptEnd {
-    /// Try again, with the endpoint that failed left out.
+    /// Retry, avoiding the endpoint that failed.
     Retry(EndpointName),
-    /// This is the final answer.
+    /// Refuse the request.
     Refused(Refusal),
 }
 
 impl RequestRouter {
-    /// Takes a request one attempt further.
+    /// Makes one attempt at a request.
     pub(super) async fn attempt(
         &self,
         plan: &CallPlan,
@@ -92,7 +92,7 @@
         self.parts.ledger.claim(plan, &span.traceparent()).await
     }
 
-    /// Waits for a grant whose endpoint the newest settings allow and whose lease still runs.
+    /// Waits for a grant whose lease is valid and whose endpoint is allowed by the newest settings and not resting.
     async fn usable_grant(
         &self,
         plan: &CallPlan,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// The address of an endpoint, when the newest settings allow the customer to use its hall.
+    /// Returns the address of an endpoint if the newest settings allow the customer to use its data hall.
     fn allowed_address(&self, plan: &CallPlan, endpoint: &EndpointName) -> Option<SocketAddr> {
         let policy = self.parts.mirror.policy();
         let service = policy.service_index(plan.service.as_str())?;
@@ -172,6 +172,7 @@
         matching.next().map(|spec| spec.address)
     }
 
+    /// Logs a failed call, ends its grant and decides whether to retry.
     fn handle_failure(&self, plan: &CallPlan, grant: UsableGrant, error: EndpointError) -> AttemptEnd {
         let endpoint = grant.lease.endpoint().clone();
         let kind = match error {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Takes in for how long an endpoint that turned a request away wants nothing. The dispatcher hears of it before the
+    /// Applies the back-off time of an endpoint that rejected a request and reports it to the dispatcher before the
     /// grant ends.
     fn apply_advice(&self, plan: &CallPlan, endpoint: &EndpointName, error: EndpointError) {
         let request = plan.request.to_string();
@@ -207,6 +208,7 @@
         }
     }
 
+    /// Builds the caller's response from an endpoint's answer.
     async fn deliver(
         &self,
         plan: &CallPlan,
@@ -238,8 +240,7 @@
         Ok(response)
     }
 
-    /// Reads the whole answer of a call that may not be repeated and records it before anyone
-    /// sees it.
+    /// Buffers the answer to a call with an idempotency key and records it in the ledger before it is returned.
     async fn collect_and_record(
         &self,
         plan: &CallPlan,
--- a/crates/micaspool-router/src/router/handler.rs
+++ b/crates/micaspool-router/src/router/handler.rs
@@ -1,4 +1,4 @@
-//! The router as a handler of HTTP requests.
+//! The HTTP handler of the router.
 
 use super::{RequestRouter, RETRY_AFTER};
 use crate::call::{authenticate, body_limit};
@@ -53,6 +53,7 @@
 }
 
 impl RequestRouter {
+    /// Checks the head of a request and returns the maximum size of its body, in bytes.
     fn admit_head(&self, head: &RequestHead) -> Result<u64, Refusal> {
         if self.draining.load(Ordering::SeqCst) {
             return Err(Refusal::not_run(RefusalKind::Draining).after(RETRY_AFTER));
--- a/crates/micaspool-router/src/router/mod.rs
+++ b/crates/micaspool-router/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The path of a request.
+//! Handling of requests.
 
 mod attempt;
 mod handler;
@@ -23,26 +23,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often one request is sent at most.
+/// The maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 3;
-/// When a request that failed for lack of endpoints may come back.
+/// `Retry-After` of requests refused here, such as for lack of a usable endpoint or while the router is draining.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a router is made of.
+/// The dependencies of a [`RequestRouter`].
 pub struct RouterParts {
-    /// The settings.
+    /// The local copy of the settings.
     pub mirror: Arc<SettingsMirror>,
-    /// How dispatchers are reached.
+    /// The options of the shard clients.
     pub shards: ShardClientOptions,
-    /// How endpoints are reached.
+    /// Sends requests to endpoints.
     pub endpoints: Arc<dyn EndpointClient>,
-    /// Where calls that may not be repeated are claimed.
+    /// Claims calls with idempotency keys.
     pub ledger: Arc<dyn ClaimLedger>,
-    /// Where spans go.
+    /// Receives tracing spans.
     pub spans: SpanSink,
 }
 
-/// Takes requests along their path; cheap to clone.
+/// Handles requests from admission to answer. Cheap to clone.
 #[derive(Clone)]
 pub struct RequestRouter {
     parts: Arc<RouterParts>,
@@ -69,18 +69,18 @@
         }
     }
 
-    /// Takes no new request from now on.
+    /// Refuses new requests from now on.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// The shards in use.
+    /// Returns the clients of all shards opened so far.
     pub fn shards(&self) -> Vec<Arc<ShardClient>> {
         self.lock_shards().values().cloned().collect()
     }
 
     fn lock_shards(&self) -> std::sync::MutexGuard<'_, BTreeMap<ServiceName, Arc<ShardClient>>> {
-        self.shards.lock().expect("no holder of the shards panics")
+        self.shards.lock().expect("the lock of the shards is not poisoned")
     }
 
     fn shard(&self, service: &ServiceName) -> Arc<ShardClient> {
@@ -89,6 +89,7 @@
         shards.entry(service.clone()).or_insert_with(start).clone()
     }
 
+    /// Authenticates a request, resolves its plan and runs it.
     async fn route(&self, request: CallerRequest, span: &mut HopSpan) -> Result<Response, Refusal> {
         let policy = self.parts.mirror.policy();
         let header =
@@ -116,8 +117,7 @@
         self.run_attempts(&plan, &request.watch, &traceparent).await
     }
 
-    /// Runs a call that may not be repeated in a task of its own, so that it goes on when its
-    /// caller leaves.
+    /// Runs a call with an idempotency key in its own task, so that it continues if its caller disconnects.
     async fn run_detached(
         &self,
         plan: CallPlan,
@@ -135,6 +135,7 @@
         receiver.await.unwrap_or_else(|_| Err(Refusal::unknown(RefusalKind::EndpointFailed)))
     }
 
+    /// Makes attempts until there is an answer or a refusal, and ends an open claim.
     async fn run_attempts(
         &self,
         plan: &CallPlan,
@@ -171,7 +172,7 @@
         Err(result)
     }
 
-    /// Frees the key of a call that provably did not run; otherwise records that it may have.
+    /// Releases the key of a call that provably did not run, or records that the call may have run.
     async fn finish_claim(&self, plan: &CallPlan, token: u64, refusal: &Refusal) {
         if refusal.run == RunState::NotRun {
             self.parts.ledger.release(plan, token).await;
