--- a/crates/micaspool-router/src/cost.rs
+++ b/crates/micaspool-router/src/cost.rs
@@ -1,4 +1,4 @@
-//! What an answer costs, counted while it passes.
+//! Metering the cost of answers while they are relayed.
 
 use micaspool_settings::policy::ServiceKind;
 use micaspool_types::Cost;
@@ -6,22 +6,22 @@
 
 /// The media type of event streams.
 const EVENT_STREAM: &str = "text/event-stream";
-/// The longest line, or whole JSON answer, that is looked into.
+/// The longest line of a stream, or JSON answer, that is examined, in bytes.
 const MAX_BUFFER_BYTES: usize = 4 * 1024 * 1024;
 const DATA_PREFIX: &[u8] = b"data:";
 const DONE_MARKER: &[u8] = b"[DONE]";
 const USAGE_KEY: &[u8] = b"\"usage\"";
 
-/// Counts the cost of one answer.
+/// Meters the cost of one answer.
 pub trait CostMeter: Send + Sync {
-    /// Looks at the next bytes of the answer.
+    /// Processes the next bytes of the answer.
     fn observe(&mut self, bytes: &[u8]);
 
-    /// The cost so far, or the whole cost after the last byte.
+    /// Returns the cost so far, which is the total cost after the last byte.
     fn cost(&self) -> Cost;
 }
 
-/// The meter for an answer of this kind and media type.
+/// Returns the meter for an answer of this kind of service and media type.
 pub fn meter_for(kind: ServiceKind, content_type: &str) -> Box<dyn CostMeter> {
     match kind {
         ServiceKind::Plain => Box::new(CallMeter),
@@ -45,7 +45,7 @@
     body.usage.map(|usage| Cost(usage.total_tokens))
 }
 
-/// Every call costs one unit.
+/// Charges one unit per call.
 struct CallMeter;
 
 impl CostMeter for CallMeter {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Counts the events of a stream, one token each, until the engine gives its own count.
+/// Counts one token per event of a stream, until the engine reports its own count.
 #[derive(Default)]
 struct StreamMeter {
     line: Vec<u8>,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Reads the engine's count from a JSON answer.
+/// Reads the engine's token count from a JSON answer; without one the call costs one unit.
 #[derive(Default)]
 struct JsonMeter {
     body: Vec<u8>,
--- a/crates/micaspool-router/src/endpoint.rs
+++ b/crates/micaspool-router/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Sending requests to endpoints.
+//! The client for endpoints.
 
 use crate::call::CallPlan;
 use async_std::io::ReadExt;
@@ -13,58 +13,58 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The header by which an endpoint says that it is leaving.
+/// The header in which an endpoint announces that it is draining.
 const DRAINING_HEADER: &str = "micaspool-draining";
 /// How long connecting to an endpoint may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The most bytes of a refusal that are read.
+/// The maximum number of bytes read from the body of a refusal.
 const MAX_REFUSAL_BYTES: u64 = 64 * 1024;
 
-/// One request on its way to an endpoint.
+/// A request to an endpoint.
 #[derive(Debug)]
 pub struct EndpointCall<'a> {
-    /// Where it goes.
+    /// The address of the endpoint.
     pub address: SocketAddr,
     /// The request.
     pub plan: &'a CallPlan,
-    /// The trace that it belongs to.
+    /// The trace context of the request.
     pub traceparent: &'a str,
 }
 
-/// The head of an endpoint's answer; the body is read from it.
+/// An endpoint's answer, whose body has not been read yet.
 #[derive(Debug)]
 pub struct EndpointAnswer {
-    /// The answer.
+    /// The response.
     pub response: Response,
 }
 
 /// Why an endpoint gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointError {
-    /// No connection could be made; nothing ran.
+    /// No connection could be established, so nothing ran.
     Unreachable,
-    /// The endpoint is full; `is_proved_not_run` when it said itself that nothing ran.
+    /// The endpoint is at capacity.
     Refused {
-        /// True when the endpoint said that nothing ran.
+        /// True if the endpoint stated that nothing ran.
         is_proved_not_run: bool,
-        /// How long it wants nothing; zero when it does not say.
+        /// The back-off time that the endpoint asked for; zero if none.
         rest: Duration,
     },
-    /// The endpoint takes no new work; `is_proved_not_run` when it said itself that nothing ran.
+    /// The endpoint is draining and accepts no new requests.
     Draining {
-        /// True when the endpoint said that nothing ran.
+        /// True if the endpoint stated that nothing ran.
         is_proved_not_run: bool,
     },
-    /// The connection ended after the request may have been sent.
+    /// The connection was lost after the request may have been sent.
     ConnectionLost,
-    /// The endpoint gave no answer, or none that can be read, after the request may have been sent.
+    /// No readable answer arrived after the request may have been sent.
     NoAnswer,
-    /// The endpoint answered another request.
+    /// The response has the id of another request.
     WrongRequest,
 }
 
 impl EndpointError {
-    /// True when the request provably did not run.
+    /// Returns true if the request provably did not run.
     pub fn is_not_run(self) -> bool {
         match self {
             EndpointError::Unreachable => true,
@@ -76,7 +76,8 @@
 }
 
 impl EndpointError {
-    /// How long the endpoint is left alone by its own word; zero without one.
+    /// Returns how long the endpoint must not be sent requests, according to its response; zero if it asked for no
+    /// back-off.
     pub fn rest(self) -> Duration {
         match self {
             EndpointError::Refused { rest, .. } => rest,
@@ -89,12 +90,14 @@
 impl fmt::Display for EndpointError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            EndpointError::Unreachable => "no connection; check that the endpoint runs",
-            EndpointError::Refused { .. } => "the endpoint is full; check its slots in the settings",
-            EndpointError::Draining { .. } => "the endpoint is leaving",
-            EndpointError::ConnectionLost => "the endpoint broke off; check it",
-            EndpointError::NoAnswer => "the endpoint was silent; check it",
-            EndpointError::WrongRequest => "the endpoint answered another request; take it out of use",
+            EndpointError::Unreachable => "cannot connect; check that the endpoint is running",
+            EndpointError::Refused { .. } => "endpoint is at capacity; check its slots in the settings",
+            EndpointError::Draining { .. } => "endpoint is draining",
+            EndpointError::ConnectionLost => "connection lost before a response arrived; check the endpoint",
+            EndpointError::NoAnswer => "no valid response; check the endpoint",
+            EndpointError::WrongRequest => {
+                "response has the id of another request; take the endpoint out of service"
+            }
         })
     }
 }
@@ -104,11 +107,11 @@
 /// Sends requests to endpoints.
 #[async_trait]
 pub trait EndpointClient: Send + Sync + 'static {
-    /// Sends a request and gives the answer once its head is there.
+    /// Sends a request and returns the answer once its head has arrived.
     async fn send(&self, call: EndpointCall<'_>) -> Result<EndpointAnswer, EndpointError>;
 }
 
-/// Sends requests over HTTP/1.1, each on its own connection.
+/// Sends each request over its own HTTP/1.1 connection.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HttpEndpointClient;
 
@@ -131,6 +134,7 @@
     }
 }
 
+/// Builds the request to the endpoint; `None` if its method or target is invalid.
 fn build_request(call: &EndpointCall<'_>) -> Option<Request> {
     let plan = call.plan;
     let method = Method::from_str(&plan.method).ok()?;
@@ -149,7 +153,7 @@
     Some(request)
 }
 
-/// Turns a full or leaving endpoint's answer into an error; others pass.
+/// Turns responses with status 429 or 503 into an error and passes on all others.
 async fn check_refusal(
     call: &EndpointCall<'_>,
     mut response: Response,
--- a/crates/micaspool-router/src/metrics.rs
+++ b/crates/micaspool-router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The router's metrics.
+//! The metrics of the router.
 
 use micaspool_types::Refusal;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -13,7 +13,7 @@
     result: &'static str,
 }
 
-/// Counters and times of the path of a request.
+/// The metrics of request handling.
 #[derive(Clone, Debug)]
 pub(crate) struct RouterMetrics {
     results: Family<ResultLabels, Counter>,
@@ -37,10 +37,10 @@
             running: Gauge::default(),
         };
         registry.register("micaspool_requests", "Requests by result", metrics.results.clone());
-        let wait_help = "Seconds from arrival to grant";
+        let wait_help = "Seconds from ticket to grant or refusal";
         registry.register("micaspool_wait_seconds", wait_help, metrics.wait_seconds.clone());
         registry.register("micaspool_cost", "Cost delivered: tokens, or calls", metrics.cost.clone());
-        registry.register("micaspool_retries", "Requests sent again", metrics.retries.clone());
+        registry.register("micaspool_retries", "Retries of requests", metrics.retries.clone());
         registry.register("micaspool_settings_revision", "Revision in force", metrics.revision.clone());
         registry.register("micaspool_waiting_requests", "Waiting requests", metrics.waiting.clone());
         registry.register("micaspool_running_requests", "Running requests", metrics.running.clone());
