--- a/crates/micaspool-router/tests/link.rs
+++ b/crates/micaspool-router/tests/link.rs
@@ -1,4 +1,4 @@
-//! The contract between a router and its dispatchers, against small fakes.
+//! The protocol between a router and its dispatchers, tested against fake dispatchers.
 
 use async_std::channel::{unbounded, Sender};
 use async_std::task;
@@ -23,22 +23,22 @@
 
 const DIGEST: RequestDigest = RequestDigest(0x1e77e4);
 
-/// What a dispatcher does.
+/// The behaviour of a fake dispatcher.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Behaviour {
-    /// Grants everything at once.
+    /// Grants every request immediately.
     Grants,
     /// Refuses every stream.
     Refuses,
-    /// Takes streams and says nothing, as one that has just lost power.
+    /// Accepts streams and sends nothing, like a machine that has just lost power.
     Silent,
-    /// Grants everything, and asks for a new stream after each end of a grant.
+    /// Grants every request and asks for a new stream whenever a grant ends.
     Moves,
-    /// The same, and says before that nothing is held against what the grant asked for.
+    /// Like `Moves`, but first reports an empty crash record for the request.
     ClearsAndMoves,
 }
 
-/// What routers said, in hellos and later of what endpoints asked of them.
+/// The hellos and the endpoint advice received from routers.
 #[derive(Default)]
 struct ReceivedMessages {
     hellos: Vec<v1::Hello>,
@@ -63,7 +63,7 @@
         request: Request<Streaming<v1::RouterMessage>>,
     ) -> Result<Response<Messages>, Status> {
         if self.behaviour == Behaviour::Refuses {
-            return Err(Status::unavailable("no streams"));
+            return Err(Status::unavailable("streams are refused"));
         }
         let (sender, receiver) = unbounded();
         match self.behaviour {
@@ -99,7 +99,7 @@
         let submits = match message.body {
             Some(router_message::Body::Hello(hello)) => {
                 let waiting = hello.waiting.clone();
-                received.lock().expect("nobody panics").hellos.push(hello);
+                received.lock().expect("the lock is not poisoned").hellos.push(hello);
                 waiting
             }
             Some(router_message::Body::Settle(_)) => {
@@ -108,7 +108,7 @@
             }
             Some(router_message::Body::Submit(submit)) => vec![submit],
             Some(router_message::Body::Heartbeat(beat)) => {
-                received.lock().expect("nobody panics").advice.extend(beat.advice);
+                received.lock().expect("the lock is not poisoned").advice.extend(beat.advice);
                 let pulse = v1::Pulse { heartbeat: beat.number, incarnation: 1 };
                 send(&sender, dispatcher_message::Body::Pulse(pulse)).await;
                 Vec::new()
@@ -142,7 +142,7 @@
     }
 }
 
-/// Reads and says nothing.
+/// Reads messages without answering.
 async fn keep_open(
     mut messages: Streaming<v1::RouterMessage>,
     _sender: Sender<Result<v1::DispatcherMessage, Status>>,
@@ -159,9 +159,9 @@
 }
 
 async fn start_recording(behaviour: Behaviour, received: SharedMessages) -> SocketAddr {
-    let any = "127.0.0.1:0".parse().expect("an address");
+    let any = "127.0.0.1:0".parse().expect("a valid address");
     let listener = CountedListener::bind(any, TrafficCounter::default()).await.expect("a free port");
-    let address = listener.local_address().expect("it is bound");
+    let address = listener.local_address().expect("the listener is bound");
     let server = DispatchServer::new(FakeDispatcher { behaviour, received });
     task::spawn(tonic::transport::Server::builder().add_service(server).serve_with_incoming(listener));
     address
@@ -170,7 +170,7 @@
 fn ticket(number: u128) -> RequestTicket {
     RequestTicket {
         request: RequestId(number),
-        customer: CustomerName::parse("coop-01").expect("a name"),
+        customer: CustomerName::parse("coop-01").expect("a valid name"),
         digest: Some(DIGEST),
         hint: Cost(1),
         priority: 5,
@@ -186,16 +186,16 @@
 }
 
 fn name(text: &str) -> InstanceName {
-    InstanceName::parse(text).expect("a name")
+    InstanceName::parse(text).expect("a valid name")
 }
 
-/// A client whose first choice and second choice among dispatchers are these.
+/// Creates a client with these dispatchers as its first and second choice.
 fn client(first: SocketAddr, second: SocketAddr) -> Arc<ShardClient> {
     client_with(first, second, AdviceBoard::new())
 }
 
 fn client_with(first: SocketAddr, second: SocketAddr, advice: Arc<AdviceBoard>) -> Arc<ShardClient> {
-    let service = ServiceName::parse("modelo-acopio").expect("a name");
+    let service = ServiceName::parse("modelo-acopio").expect("a valid name");
     let ranked = rank_candidates(&service, &[name("entry-1"), name("entry-2")]);
     let addresses = ranked.into_iter().zip([first, second]);
     let options = ShardClientOptions {
@@ -218,20 +218,20 @@
         let granted = client.acquire(ticket(1), None).await.expect("the second choice grants");
         assert_eq!(granted.endpoint().as_str(), "endpoint-1");
         assert!(granted.is_valid());
-        // Longer than the hold-down after which the better one is tried.
+        // Longer than the hold-down after which the higher-ranked dispatcher is tried.
         task::sleep(Duration::from_millis(3_500)).await;
         let again = async_std::future::timeout(Duration::from_secs(3), client.acquire(ticket(2), None)).await;
-        assert!(again.expect("in time").is_ok());
+        assert!(again.expect("the second grant arrives in time").is_ok());
     });
 }
 
 #[test]
 fn refuses_requests_after_two_seconds_without_a_dispatcher() {
     task::block_on(async {
-        let nowhere = "127.0.0.1:1".parse().expect("an address");
+        let nowhere = "127.0.0.1:1".parse().expect("a valid address");
         let client = client(nowhere, nowhere);
         task::sleep(Duration::from_millis(2_200)).await;
-        let refusal = client.acquire(ticket(1), None).await.expect_err("there is no dispatcher");
+        let refusal = client.acquire(ticket(1), None).await.expect_err("no dispatcher is reachable");
         assert_eq!(refusal.kind.as_str(), "no-dispatcher");
         assert!(refusal.retry_after.is_some());
     });
@@ -243,41 +243,42 @@
         let client = client(start(Behaviour::Silent).await, start(Behaviour::Grants).await);
         let limit = Duration::from_millis(1_800);
         let granted = async_std::future::timeout(limit, client.acquire(ticket(1), None)).await;
-        let granted = granted.expect("no longer held than its silence needs to show");
+        let granted = granted.expect("the request moves to the second dispatcher in time");
         assert_eq!(granted.expect("the second choice grants").endpoint().as_str(), "endpoint-1");
     });
 }
 
-#[test_case(Behaviour::Moves, GrantFate::Severed => 1; "a connection that ended")]
-#[test_case(Behaviour::Moves, GrantFate::Done => 0; "an answer that came whole")]
+#[test_case(Behaviour::Moves, GrantFate::Severed => 1; "a lost connection")]
+#[test_case(Behaviour::Moves, GrantFate::Done => 0; "a complete answer")]
 #[test_case(Behaviour::Moves, GrantFate::Broken => 0; "a deadline")]
-#[test_case(Behaviour::ClearsAndMoves, GrantFate::Severed => 0; "one that the dispatcher knows to be harmless")]
+#[test_case(Behaviour::ClearsAndMoves, GrantFate::Severed => 0; "a request that the dispatcher cleared")]
 fn hello_to_the_next_dispatcher_carries_crash_records(behaviour: Behaviour, fate: GrantFate) -> usize {
     task::block_on(async {
         let received = SharedMessages::default();
         let address = start_recording(behaviour, received.clone()).await;
         let client = client(address, address);
-        let mut lease = client.acquire(ticket(1), None).await.expect("it grants");
+        let mut lease = client.acquire(ticket(1), None).await.expect("the dispatcher grants");
         lease.mark_sent();
         lease.settle(Cost(1), fate);
         wait_for(&received, |received| received.hellos.len() > 1).await;
-        let received = received.lock().expect("nobody panics");
+        let received = received.lock().expect("the lock is not poisoned");
         received.hellos[1].crashes.len()
     })
 }
 
-/// Waits until a dispatcher has heard something, four seconds at most.
+/// Waits up to 4 s until the dispatcher has received messages that match.
 async fn wait_for(received: &SharedMessages, is_received: impl Fn(&ReceivedMessages) -> bool) {
     for _ in 0..200 {
-        if is_received(&received.lock().expect("nobody panics")) {
+        if is_received(&received.lock().expect("the lock is not poisoned")) {
             return;
         }
         task::sleep(Duration::from_millis(20)).await;
     }
-    panic!("it was not heard in time");
+    panic!("the message was not received within 4 s");
 }
 
-/// A new dispatcher knew nothing of what endpoints had asked of a router, and granted it those that rest.
+/// Guards against a new dispatcher granting endpoints that are resting, because it did not know the advice that they
+/// had given to its routers.
 #[test]
 fn reports_endpoint_advice_to_the_current_and_the_next_dispatcher() {
     task::block_on(async {
@@ -285,16 +286,16 @@
         let address = start_recording(Behaviour::Moves, received.clone()).await;
         let advice = AdviceBoard::new();
         let client = client_with(address, address, advice.clone());
-        let lease = client.acquire(ticket(1), None).await.expect("it grants");
+        let lease = client.acquire(ticket(1), None).await.expect("the dispatcher grants");
         let requested_advice = EndpointAdvice { rest: Duration::from_secs(60), leaving: false };
         let (endpoint, service) = (lease.endpoint().clone(), client.service().clone());
         let source = AdviceSource { endpoint: &endpoint, service: &service, request: "r" };
-        client.report_advice(advice.hear(source, requested_advice).expect("a rest begins"));
+        client.report_advice(advice.hear(source, requested_advice).expect("the advice is new"));
         wait_for(&received, |received| !received.advice.is_empty()).await;
         lease.settle(Cost(0), GrantFate::Refused);
         wait_for(&received, |received| received.hellos.len() > 1).await;
-        let received = received.lock().expect("nobody panics");
-        let reported = received.hellos[1].advice.first().expect("the next one hears of it");
+        let received = received.lock().expect("the lock is not poisoned");
+        let reported = received.hellos[1].advice.first().expect("the next hello carries the advice");
         for reported in [&received.advice[0], reported] {
             assert_eq!(reported.endpoint, "endpoint-1");
             assert!((59_000..=60_000).contains(&reported.rest_millis) && !reported.leaving, "{reported:?}");
