--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -100,14 +100,14 @@
 
     /// Logs a grant that is not used because the endpoint asked this process to back off or announced that it is
     /// leaving.
-    pub fn log_withheld_grant(&self, advice: &AdviceRecord) {
-        let held_as = if advice.advice.leaving { "said-leaving" } else { "resting" };
+    pub fn log_withheld_grant(&self, advice_record: &AdviceRecord) {
+        let held_as = if advice_record.advice.leaving { "said-leaving" } else { "resting" };
         self.metrics.count_failure(held_as);
         let fields = [
             field("request", &self.id),
-            field("endpoint", &advice.endpoint),
+            field("endpoint", &advice_record.endpoint),
             field("held_as", held_as),
-            field("rest_ms", advice.advice.rest.as_millis()),
+            field("rest_ms", advice_record.advice.rest.as_millis()),
         ];
         record(&events::GRANT_UNUSABLE, &fields);
     }
