--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -174,7 +174,7 @@
     pub status: Vec<SocketAddr>,
     server: EdgeServer,
     mirror: Arc<FleetMirror>,
-    stopping: Arc<AtomicBool>,
+    is_stopping: Arc<AtomicBool>,
 }
 
 impl GatewayDaemon {
@@ -188,7 +188,7 @@
     /// It reports not ready at once, keeps accepting requests until load balancers have noticed, and waits up
     /// to `limit` for open connections. Returns true if all connections ended in time.
     pub async fn stop(self, limit: Duration) -> bool {
-        self.stopping.store(true, Ordering::SeqCst);
+        self.is_stopping.store(true, Ordering::SeqCst);
         self.server.drain();
         let now = BootInstant::now();
         let latest = now + limit;
@@ -237,7 +237,7 @@
     let server = EdgeServer::new(Arc::new(gateway.clone()), options.edge);
     let callers = server.listen(options.callers).await.map_err(StartError::bind(options.callers))?;
     task::spawn(run_maintenance(gateway.clone(), mirror.clone(), pool.clone(), options.advice.clone()));
-    let stopping: Arc<AtomicBool> = Arc::default();
+    let is_stopping: Arc<AtomicBool> = Arc::default();
     let traffic = counters.register(&mut registry);
     let source = Arc::new(GatewayStatusSource {
         mirror: mirror.clone(),
@@ -248,13 +248,13 @@
         registry,
         traffic,
         metrics,
-        stopping: stopping.clone(),
+        is_stopping: is_stopping.clone(),
     });
     let mut status = Vec::new();
     for address in &options.status {
         status.push(serve_status(*address, source.clone()).await.map_err(StartError::bind(*address))?);
     }
-    Ok(GatewayDaemon { callers, status, server, mirror, stopping })
+    Ok(GatewayDaemon { callers, status, server, mirror, is_stopping })
 }
 
 /// Opens shards for the services of new plans, closes connections that were idle for too long and expires endpoint
@@ -312,13 +312,13 @@
     registry: Registry,
     traffic: TrafficMetrics,
     metrics: GatewayMetrics,
-    stopping: Arc<AtomicBool>,
+    is_stopping: Arc<AtomicBool>,
 }
 
 impl StatusSource for GatewayStatusSource {
     /// Returns true once there is a plan, even while no keeper is reachable, until the gateway stops.
     fn is_ready(&self) -> bool {
-        self.mirror.has_plan() && !self.stopping.load(Ordering::SeqCst)
+        self.mirror.has_plan() && !self.is_stopping.load(Ordering::SeqCst)
     }
 
     fn metrics(&self) -> String {
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -29,7 +29,7 @@
 const EXTRA_NOT_RUN_SENDS: u32 = 2;
 /// The largest answer that is buffered before it is passed on, in bytes.
 const MAX_BUFFERED_ANSWER: u64 = 64 * 1024;
-/// The minimum time left before the deadline for which a request is still sent.
+/// A request with less time left before its deadline is refused instead of sent.
 const MIN_SEND_TIME: Duration = Duration::from_millis(5);
 
 /// The lower bound of the remaining latency objective. Zero would mean that there is no objective.
@@ -58,12 +58,12 @@
 
 impl Attempts {
     pub(super) fn new(call: AcceptedCall, target: CallTarget) -> Attempts {
-        let patience = call.caller.patience.unwrap_or(target.time_limit).min(target.time_limit);
+        let caller_timeout = call.caller.patience.unwrap_or(target.time_limit).min(target.time_limit);
         let uri = origin_form(&call.head.uri).to_string();
         let customer = target.queue_customer();
         let digest = RequestDigest::of(&customer, call.head.method.as_str(), &uri, &call.body);
         Attempts {
-            deadline: call.arrived_at + patience,
+            deadline: call.arrived_at + caller_timeout,
             call,
             target,
             request: RequestId(rand::random()),
@@ -100,9 +100,9 @@
     /// Returns true for a short answer to a request that may be repeated. Buffering it before any of it is passed on
     /// allows a retry if its body breaks.
     fn should_buffer(&self, answer: &UsableAnswer) -> bool {
-        let short =
+        let is_short =
             answer.response.body().size_hint().upper().is_some_and(|bytes| bytes <= MAX_BUFFERED_ANSWER);
-        short && self.target.run == RunRule::Repeatable && self.may_run_again()
+        is_short && self.target.run == RunRule::Repeatable && self.may_run_again()
     }
 
     async fn buffer_answer(
@@ -172,7 +172,7 @@
             let granted = self.wait_for_grant(gateway).await;
             log.record_wait(wait_start.elapsed());
             let lease = granted?;
-            if self.plan_changed(gateway)? {
+            if self.apply_newest_plan(gateway)? {
                 self.target.write_to_log(log);
                 lease.settle(Cost(0), GrantFate::Unsent);
                 continue;
@@ -215,15 +215,15 @@
     }
 
     /// Applies a newer plan. Returns true if it changes the service or the customer of the request.
-    fn plan_changed(&mut self, gateway: &Gateway) -> Result<bool, Refusal> {
+    fn apply_newest_plan(&mut self, gateway: &Gateway) -> Result<bool, Refusal> {
         let plan = gateway.shared.parts.mirror.plan();
         if plan.number == self.target.plan_number {
             return Ok(false);
         }
         let target = CallTarget::resolve(&plan, &self.call.head, &self.call.caller)?;
-        let changed = !target.has_same_destination(&self.target);
+        let is_changed = !target.has_same_destination(&self.target);
         self.target = target;
-        Ok(changed)
+        Ok(is_changed)
     }
 
     fn ticket(&self) -> RequestTicket {
--- a/crates/micaspool-gateway/src/proxy/mod.rs
+++ b/crates/micaspool-gateway/src/proxy/mod.rs
@@ -166,12 +166,12 @@
         target.write_to_log(log);
         let limit = plan.plan.parts().limits.body_bytes;
         check_length(&head, limit)?;
-        let patience = caller.patience.unwrap_or(DEFAULT_BODY_TIMEOUT).min(target.time_limit);
+        let body_timeout = caller.patience.unwrap_or(DEFAULT_BODY_TIMEOUT).min(target.time_limit);
         if let Err(refusal) = self.shard(&target.service).admit(&target.queue_customer()) {
-            let _ = timeout(patience, drain_body(body)).await;
+            let _ = timeout(body_timeout, drain_body(body)).await;
             return Err(refusal);
         }
-        let read = timeout(patience, read_body(body, limit)).await;
+        let read = timeout(body_timeout, read_body(body, limit)).await;
         let body = read.unwrap_or_else(|_| Err(Refusal::not_run(RefusalKind::SlowRequest)))?;
         Ok(Attempts::new(AcceptedCall { head, caller, arrived_at, body }, target))
     }
--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -62,17 +62,17 @@
 #[derive(Debug)]
 pub(crate) struct EventMeter {
     prompt: u64,
-    event: u64,
+    event_cost: u64,
     events: u64,
     after_newline: bool,
 }
 
 impl EventMeter {
     pub fn new(prompt: Option<&PromptOutline>, engine: Option<EngineProfile>) -> EventMeter {
-        let event = engine.map_or(1, |engine| u64::from(engine.event_tokens.max(1)));
+        let event_cost = engine.map_or(1, |engine| u64::from(engine.event_tokens.max(1)));
         EventMeter {
             prompt: prompt.map_or(0, |prompt| prompt.prompt_tokens),
-            event: event * OUTPUT_TOKEN_COST,
+            event_cost: event_cost * OUTPUT_TOKEN_COST,
             events: 0,
             after_newline: false,
         }
@@ -87,7 +87,7 @@
         match (self.prompt, self.events) {
             (0, _) => Cost(1),
             (_, 0) => Cost(0),
-            (prompt, events) => Cost(prompt + events * self.event),
+            (prompt, events) => Cost(prompt + events * self.event_cost),
         }
     }
 }
@@ -104,7 +104,7 @@
     splitter: Option<EventSplitter>,
     log: RequestLog,
     expiry: BoxFuture<'static, ()>,
-    ended: bool,
+    is_ended: bool,
 }
 
 impl AnswerRelay {
@@ -126,13 +126,13 @@
             meter,
             log,
             expiry: Box::pin(tokio::time::sleep(left + DEADLINE_GRACE)),
-            ended: false,
+            is_ended: false,
         }
     }
 
     /// Returns the next bytes for the caller; `None` after the end.
     async fn next_chunk(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
-        while !self.ended {
+        while !self.is_ended {
             match self.read_chunk().await {
                 Ok(Some(chunk)) => {
                     if let Some(bytes) = self.process_chunk(chunk) {
@@ -186,7 +186,7 @@
     }
 
     fn finish(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
-        self.ended = true;
+        self.is_ended = true;
         self.settle(GrantFate::Done);
         self.log.finish();
         let rest = self.splitter.as_mut().map(EventSplitter::take_partial).unwrap_or_default();
@@ -194,7 +194,7 @@
     }
 
     fn abort_answer(&mut self, error: RelayError) -> BodyError {
-        self.ended = true;
+        self.is_ended = true;
         self.settle(error.fate());
         self.log.finish_broken(&error.to_string());
         Box::new(error)
--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -17,7 +17,7 @@
     metrics: GatewayMetrics,
     id: Arc<str>,
     arrived_at: BootInstant,
-    ended: bool,
+    is_ended: bool,
     /// The name of the route; empty until it is resolved.
     pub route: Arc<str>,
     /// The number of the plan that the target was resolved from.
@@ -46,7 +46,7 @@
             metrics,
             id,
             arrived_at,
-            ended: false,
+            is_ended: false,
             route: Arc::from(""),
             plan: 0,
             customer: Arc::from(""),
@@ -197,10 +197,10 @@
 
     /// Marks the request as ended and records its total time. Returns false if it had already ended.
     fn mark_ended(&mut self) -> bool {
-        if self.ended {
+        if self.is_ended {
             return false;
         }
-        self.ended = true;
+        self.is_ended = true;
         self.metrics.total_seconds.observe(self.arrived_at.elapsed().as_secs_f64());
         true
     }
@@ -233,7 +233,7 @@
 
 impl Drop for RequestLog {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_ended {
             self.metrics.callers_left.inc();
             self.log_end(&events::CALLER_LEFT, &[]);
         }
--- a/crates/micaspool-router/src/call/mod.rs
+++ b/crates/micaspool-router/src/call/mod.rs
@@ -48,7 +48,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// True if the request may be sent again after it may have run.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
     /// The idempotency key, if the caller sent one.
     pub idempotency: Option<IdempotencyKey>,
     /// True if the caller asked for a streamed answer.
@@ -121,7 +121,7 @@
             customer,
             service: service.name.clone(),
             kind: service.kind,
-            repeatable: customer_policy.repeatable && !is_listed && idempotency.is_none(),
+            is_repeatable: customer_policy.repeatable && !is_listed && idempotency.is_none(),
             policy: customer_policy,
             method: parts.method,
             target: parts.target,
--- a/crates/micaspool-router/src/endpoint.rs
+++ b/crates/micaspool-router/src/endpoint.rs
@@ -165,7 +165,7 @@
     let has_header =
         |name: &str, value: &str| response.header(name).is_some_and(|values| values.last().as_str() == value);
     let is_proved_not_run = has_header(RUN_HEADER, "not-run");
-    let draining = has_header(DRAINING_HEADER, "true");
+    let is_draining = has_header(DRAINING_HEADER, "true");
     let retry_after_values = response.header("retry-after").into_iter().flatten();
     let parsed = HeardAdvice::read(true, retry_after_values.map(|value| value.as_str()), false);
     if let Some(fault) = &parsed.fault {
@@ -176,7 +176,7 @@
     let rest = parsed.advice.rest;
     let mut discarded = Vec::new();
     let _ = response.take_body().take(MAX_REFUSAL_BYTES).read_to_end(&mut discarded).await;
-    Err(if draining {
+    Err(if is_draining {
         EndpointError::Draining { is_proved_not_run }
     } else {
         EndpointError::Refused { is_proved_not_run, rest }
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -39,6 +39,7 @@
     pub attempt: u32,
     pub avoid: Option<EndpointName>,
     pub deadline: BootInstant,
+    /// The token of the claim, while one is open.
     pub claim: Option<u64>,
     /// True once an attempt may have had an effect. Later refusals must not claim that the request did not run.
     pub may_have_run: bool,
@@ -190,7 +191,7 @@
             EndpointError::NoAnswer | EndpointError::WrongRequest => GrantFate::Broken,
         };
         grant.lease.settle(Cost(0), fate);
-        if error.is_not_run() || plan.repeatable {
+        if error.is_not_run() || plan.is_repeatable {
             AttemptEnd::Retry(endpoint)
         } else {
             AttemptEnd::Refused(Refusal::unknown(RefusalKind::EndpointFailed))
--- a/crates/micaspool-router/src/router/handler.rs
+++ b/crates/micaspool-router/src/router/handler.rs
@@ -55,7 +55,7 @@
 impl RequestRouter {
     /// Checks the head of a request and returns the maximum size of its body, in bytes.
     fn admit_head(&self, head: &RequestHead) -> Result<u64, Refusal> {
-        if self.draining.load(Ordering::SeqCst) {
+        if self.is_draining.load(Ordering::SeqCst) {
             return Err(Refusal::not_run(RefusalKind::Draining).after(RETRY_AFTER));
         }
         let policy = self.parts.mirror.policy();
--- a/crates/micaspool-router/src/router/mod.rs
+++ b/crates/micaspool-router/src/router/mod.rs
@@ -49,7 +49,7 @@
     shards: Arc<Mutex<BTreeMap<ServiceName, Arc<ShardClient>>>>,
     budget: BodyBudget,
     metrics: RouterMetrics,
-    draining: Arc<AtomicBool>,
+    is_draining: Arc<AtomicBool>,
 }
 
 impl std::fmt::Debug for RequestRouter {
@@ -65,13 +65,13 @@
             shards: Arc::default(),
             budget: BodyBudget::default(),
             metrics,
-            draining: Arc::default(),
+            is_draining: Arc::default(),
         }
     }
 
     /// Refuses new requests from now on.
     pub fn drain(&self) {
-        self.draining.store(true, Ordering::SeqCst);
+        self.is_draining.store(true, Ordering::SeqCst);
     }
 
     /// Returns the clients of all shards opened so far.
--- a/crates/micaspool-router/src/shard_client/lease.rs
+++ b/crates/micaspool-router/src/shard_client/lease.rs
@@ -30,8 +30,8 @@
     delivered: Cost,
     reported: Cost,
     reported_at: BootInstant,
-    sent: bool,
-    ended: bool,
+    is_sent: bool,
+    is_ended: bool,
 }
 
 impl GrantLease {
@@ -43,8 +43,8 @@
             delivered: Cost(0),
             reported: Cost(0),
             reported_at: BootInstant::now(),
-            sent: false,
-            ended: false,
+            is_sent: false,
+            is_ended: false,
         }
     }
 
@@ -68,7 +68,7 @@
 
     /// Records that the request is being sent.
     pub fn mark_sent(&mut self) {
-        self.sent = true;
+        self.is_sent = true;
     }
 
     /// Records the cost delivered so far and reports it to the dispatcher, at the first delivery and then at intervals.
@@ -92,8 +92,8 @@
     }
 
     fn end_once(&mut self, cost: Cost, fate: GrantFate) {
-        if !self.ended {
-            self.ended = true;
+        if !self.is_ended {
+            self.is_ended = true;
             self.client.lock_state().settle(self.request, cost, fate);
         }
     }
@@ -101,7 +101,7 @@
 
 impl Drop for GrantLease {
     fn drop(&mut self) {
-        let fate = if self.sent { GrantFate::Abandoned } else { GrantFate::Unsent };
+        let fate = if self.is_sent { GrantFate::Abandoned } else { GrantFate::Unsent };
         self.end_once(self.delivered, fate);
     }
 }
--- a/crates/micaspool-router/src/shard_client/link.rs
+++ b/crates/micaspool-router/src/shard_client/link.rs
@@ -105,8 +105,8 @@
         let now = self.now();
         self.choice.update(now, &places);
         self.candidates = candidates;
-        let kept = self.choice.current().is_some() && !self.choice.has_lost_current(now);
-        kept || !had_current
+        let is_kept = self.choice.current().is_some() && !self.choice.has_lost_current(now);
+        is_kept || !had_current
     }
 
     fn rank_of(&self, address: &DispatcherAddress) -> Option<usize> {
@@ -187,7 +187,7 @@
 /// Queues the hello. Messages sent from now on follow it.
 fn queue_hello(client: &ShardClient, sender: Sender<v1::RouterMessage>) {
     let mut state = client.lock_state();
-    let hello = client.hello(&mut state);
+    let hello = client.build_hello_message(&mut state);
     sender.try_send(hello).expect("a new unbounded channel accepts a message");
     state.attach_link(sender);
 }
@@ -207,15 +207,15 @@
     link: &mut LinkChoice,
 ) -> LinkEnd {
     let (probes, probe_results) = bounded(1);
-    let mut probing = false;
+    let mut is_probing = false;
     let mut next_heartbeat = BootInstant::now() + HEARTBEAT_INTERVAL;
     let mut next_check = BootInstant::now() + CHECK_INTERVAL;
     loop {
-        if !probing {
+        if !is_probing {
             match link.choice.next(link.now()) {
                 ChoiceStep::Connect(_) => return LinkEnd::HigherRanked,
                 ChoiceStep::Probe(rank) => {
-                    probing = true;
+                    is_probing = true;
                     start_probe(client, link.candidates[rank].address.clone(), probes.clone());
                 }
                 ChoiceStep::Wait(_) => {}
@@ -229,10 +229,10 @@
                 }
             }
             StreamEvent::End => return LinkEnd::Lost(LossReason::Ended),
-            StreamEvent::Probed(address, answered) => {
-                probing = false;
+            StreamEvent::Probed(address, is_answered) => {
+                is_probing = false;
                 if let Some(rank) = link.rank_of(&address) {
-                    link.choice.probed(link.now(), rank, answered);
+                    link.choice.probed(link.now(), rank, is_answered);
                 }
             }
             StreamEvent::CheckDue => {
@@ -285,7 +285,7 @@
         Err(_) => StreamEvent::CheckDue,
         Ok(Either::Left((Some(Ok(message)), _))) => StreamEvent::Message(message),
         Ok(Either::Left(_)) => StreamEvent::End,
-        Ok(Either::Right((Ok((address, answered)), _))) => StreamEvent::Probed(address, answered),
+        Ok(Either::Right((Ok((address, is_answered)), _))) => StreamEvent::Probed(address, is_answered),
         Ok(Either::Right((Err(_), _))) => StreamEvent::CheckDue,
     }
 }
@@ -294,12 +294,12 @@
 fn start_probe(client: &ShardClient, address: DispatcherAddress, results: Sender<(DispatcherAddress, bool)>) {
     let counter = client.options.counter.clone();
     tokio::spawn(async move {
-        let answered = match &address {
+        let is_answered = match &address {
             DispatcherAddress::Remote(remote) => is_answering(*remote, counter).await,
             DispatcherAddress::Local(_) => true,
         };
         // The stream that started the probe may have ended.
-        let _ = results.send((address, answered)).await;
+        let _ = results.send((address, is_answered)).await;
     });
 }
 
--- a/crates/micaspool-router/src/shard_client/mod.rs
+++ b/crates/micaspool-router/src/shard_client/mod.rs
@@ -159,7 +159,7 @@
     }
 
     /// Builds the first message of a session, which carries everything that this router holds.
-    fn hello(&self, state: &mut ShardState) -> v1::RouterMessage {
+    fn build_hello_message(&self, state: &mut ShardState) -> v1::RouterMessage {
         let advice = self.options.advice.records(&self.service);
         let hello = state.build_hello(&self.options, advice);
         let mut message = micaspool_wire::convert::hello_message(&self.service, &self.options.hall, &hello);
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -327,8 +327,9 @@
 
     /// Updates a customer's service level, unless a newer and higher one is known.
     fn update_total(&mut self, customer: &CustomerName, level: ServiceLevel, order: OrderNumber) {
-        let known = self.totals.get(customer).is_some_and(|total| total.order > order && total.level > level);
-        if !known {
+        let is_known =
+            self.totals.get(customer).is_some_and(|total| total.order > order && total.level > level);
+        if !is_known {
             self.totals.insert(customer.clone(), KnownTotal { level, order, updated_at: BootInstant::now() });
         }
     }
