--- a/crates/micaspool-router/src/shard_client/mod.rs
+++ b/crates/micaspool-router/src/shard_client/mod.rs
@@ -24,7 +24,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long new requests may wait for a reachable dispatcher; after that they are refused at once.
+/// Once no dispatcher has been reachable for this long, new requests are refused immediately.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// `Retry-After` of requests refused for lack of a dispatcher.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
