--- a/crates/micaspool-gateway/src/metrics.rs
+++ b/crates/micaspool-gateway/src/metrics.rs
@@ -101,7 +101,7 @@
     }
 
     fn register_histograms_and_gauges(&self, registry: &mut Registry) {
-        let wait_help = "Seconds from ticket to grant";
+        let wait_help = "Seconds from ticket to grant or refusal";
         registry.register("micaspool_gateway_wait_seconds", wait_help, self.wait_seconds.clone());
         let first_byte_help = "Seconds from arrival to the first byte of the answer";
         registry.register(
