--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -17,7 +17,7 @@
     metrics: GatewayMetrics,
     id: Arc<str>,
     arrived_at: BootInstant,
-    ended: bool,
+    is_ended: bool,
     /// The name of the route; empty until it is resolved.
     pub route: Arc<str>,
     /// The number of the plan that the target was resolved from.
@@ -46,7 +46,7 @@
             metrics,
             id,
             arrived_at,
-            ended: false,
+            is_ended: false,
             route: Arc::from(""),
             plan: 0,
             customer: Arc::from(""),
@@ -100,14 +100,14 @@
 
     /// Logs a grant that is not used because the endpoint asked this process to back off or announced that it is
     /// leaving.
-    pub fn log_withheld_grant(&self, advice: &AdviceRecord) {
-        let held_as = if advice.advice.leaving { "said-leaving" } else { "resting" };
+    pub fn log_withheld_grant(&self, advice_record: &AdviceRecord) {
+        let held_as = if advice_record.advice.leaving { "said-leaving" } else { "resting" };
         self.metrics.count_failure(held_as);
         let fields = [
             field("request", &self.id),
-            field("endpoint", &advice.endpoint),
+            field("endpoint", &advice_record.endpoint),
             field("held_as", held_as),
-            field("rest_ms", advice.advice.rest.as_millis()),
+            field("rest_ms", advice_record.advice.rest.as_millis()),
         ];
         record(&events::GRANT_UNUSABLE, &fields);
     }
@@ -197,10 +197,10 @@
 
     /// Marks the request as ended and records its total time. Returns false if it had already ended.
     fn mark_ended(&mut self) -> bool {
-        if self.ended {
+        if self.is_ended {
             return false;
         }
-        self.ended = true;
+        self.is_ended = true;
         self.metrics.total_seconds.observe(self.arrived_at.elapsed().as_secs_f64());
         true
     }
@@ -233,7 +233,7 @@
 
 impl Drop for RequestLog {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_ended {
             self.metrics.callers_left.inc();
             self.log_end(&events::CALLER_LEFT, &[]);
         }
