--- a/crates/micaspool-dispatch/tests/shard/harness.rs
+++ b/crates/micaspool-dispatch/tests/shard/harness.rs
@@ -1,8 +1,9 @@
 //! Drives a [`ShardCore`] directly with constructed routers, endpoints and customers.
 
 use micaspool_dispatch::{
-    ColdStartLimits, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, LoadReport, RefusalReason, RequestTicket,
-    RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
+    ColdStartLimits, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, LoadReport, RefusalReason,
+    RequestTicket, RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions,
+    ShardPolicy,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_types::{
--- a/crates/micaspool-dispatch/tests/shard/suspects.rs
+++ b/crates/micaspool-dispatch/tests/shard/suspects.rs
@@ -2,8 +2,8 @@
 
 use crate::harness::{customer, endpoint, hello, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{
-    CrashRecord, EndpointCrash, GrantOutcome, LoadReport, RefusalReason, RequestTicket, RouterHello, SessionId,
-    ShardAction, ShardEvent,
+    CrashRecord, EndpointCrash, GrantOutcome, LoadReport, RefusalReason, RequestTicket, RouterHello,
+    SessionId, ShardAction, ShardEvent,
 };
 use micaspool_types::{Cost, EndpointName, RequestDigest};
 use std::time::Duration;
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -7,7 +7,7 @@
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    RequestThrottle, GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RequestTicket, RouterHello,
+    GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RequestThrottle, RequestTicket, RouterHello,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_quarantine::{CrashTable, QuarantineOptions};
--- a/crates/micaspool-router/tests/link.rs
+++ b/crates/micaspool-router/tests/link.rs
@@ -3,7 +3,7 @@
 use async_std::channel::{unbounded, Sender};
 use async_std::task;
 use futures::Stream;
-use micaspool_backpressure::{SharedAdvice, AdviceSource};
+use micaspool_backpressure::{AdviceSource, SharedAdvice};
 use micaspool_dispatch::{rank_candidates, GrantOutcome, RequestTicket};
 use micaspool_router::{ListedDispatchers, ShardClient, ShardClientOptions};
 use micaspool_settings::process::PeerAddress;
