--- a/crates/micaspool-keeper/tests/exchange.rs
+++ b/crates/micaspool-keeper/tests/exchange.rs
@@ -1,9 +1,9 @@
-//! A group of keepers whose processes are at work on everything else.
+//! The exchange between keepers while the executors of their processes are overloaded.
 //!
-//! Symptom: after all keepers had been away for two seconds, leaders lasted 0.5 to 1.3 s for the rest of the
-//! day, and plans waited. Sequence: 295 gateways and 325 endpoints came back at once; the executor worked
-//! through what they sent in the order of arrival; the leader's messages waited there for longer than the
-//! 500 ms after which it steps down. Cause: the exchange between keepers shared that executor.
+//! Guards against leaders that step down every 0.5 to 1.3 s and so delay plans. This happened while the
+//! exchange shared the executor of the process: after all keepers had been down for two seconds, 295
+//! gateways and 325 endpoints reconnected at once, and the leader's messages queued behind their
+//! requests for longer than the election timeout of 500 ms. It went on for the rest of the day.
 
 use async_std::task;
 use micaspool_client::{AddressNamed, PeerDirectory};
@@ -17,12 +17,12 @@
 
 const PORT: u16 = 17_640;
 const EXCHANGE_PORT: u16 = 17_641;
-/// How long a piece of other work takes. At 0.3 of a core 50 ms of work take 170 ms.
-const WORK: Duration = Duration::from_millis(170);
-/// How much other work waits at any time.
-const WAITING_WORK: usize = 8;
+/// How long a busy task runs before it yields: 50 ms of work at 0.3 of a core.
+const BUSY_PERIOD: Duration = Duration::from_millis(170);
+/// The number of busy tasks on each executor.
+const BUSY_TASKS: usize = 8;
 
-/// A data folder that is removed at the end.
+/// A data folder that is removed on drop.
 struct TemporaryFolder(PathBuf);
 
 impl Drop for TemporaryFolder {
@@ -36,7 +36,7 @@
 }
 
 fn name(number: u8) -> InstanceName {
-    AddressNamed::name(address(number)).expect("addresses are names")
+    AddressNamed::name(address(number)).expect("an address is a valid name")
 }
 
 fn directory(port: u16) -> Arc<dyn PeerDirectory> {
@@ -55,30 +55,30 @@
         .data_folder(folder.clone())
         .open_group(OpenGroupOptions::tolerating(1))
         .build();
-    (start_keeper(options).await.expect("it starts"), TemporaryFolder(folder))
+    (start_keeper(options).await.expect("the keeper starts"), TemporaryFolder(folder))
 }
 
 fn state(keeper: &KeeperDaemon) -> serde_json::Value {
     serde_json::from_str(&keeper.status_source().state()).expect("the state is JSON")
 }
 
-/// The term, once all keepers confirm it.
+/// Waits until all keepers are confirmed by a majority and returns the term of the first.
 async fn confirmed_term(keepers: &[KeeperDaemon]) -> u64 {
     let end = Instant::now() + Duration::from_secs(15);
     loop {
         let states: Vec<_> = keepers.iter().map(state).collect();
         if states.iter().all(|state| state["confirmed"] == true) {
-            return states[0]["term"].as_u64().expect("a number");
+            return states[0]["term"].as_u64().expect("the term is a number");
         }
-        assert!(Instant::now() < end, "no group within 15 s: {states:?}");
+        assert!(Instant::now() < end, "no confirmed group within 15 s: {states:?}");
         task::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Work that never ends, in pieces.
-async fn work() {
+/// Keeps a thread of the executor busy forever, yielding after each [`BUSY_PERIOD`].
+async fn busy_loop() {
     loop {
-        let end = Instant::now() + WORK;
+        let end = Instant::now() + BUSY_PERIOD;
         while Instant::now() < end {
             std::hint::spin_loop();
         }
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_leader_stays_while_its_process_has_more_other_work_than_it_can_do() {
+fn leader_is_stable_while_its_executor_is_overloaded() {
     for variable in ["ASYNC_STD_THREAD_COUNT", "TOKIO_WORKER_THREADS"] {
         std::env::set_var(variable, "1");
     }
@@ -95,14 +95,14 @@
     let (keepers, _folders): (Vec<_>, Vec<_>) = started.into_iter().unzip();
     let before = task::block_on(confirmed_term(&keepers));
     task::block_on(async {
-        for _ in 0..WAITING_WORK {
-            task::spawn(work());
-            tokio::spawn(work());
+        for _ in 0..BUSY_TASKS {
+            task::spawn(busy_loop());
+            tokio::spawn(busy_loop());
         }
     });
     std::thread::sleep(Duration::from_secs(4));
     let after: Vec<u64> =
-        keepers.iter().map(|keeper| state(keeper)["term"].as_u64().expect("a number")).collect();
-    assert_eq!(after, [before; 3], "no other election");
+        keepers.iter().map(|keeper| state(keeper)["term"].as_u64().expect("the term is a number")).collect();
+    assert_eq!(after, [before; 3], "another election took place");
     assert!(keepers.iter().all(|keeper| state(keeper)["confirmed"] == true));
 }
