--- a/crates/micaspool-store/src/record.rs
+++ b/crates/micaspool-store/src/record.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The size of a record header: payload length and checksum, four bytes each, little-endian.
-pub(crate) const RECORD_HEADER_LEN: usize = 8;
+pub(crate) const HEADER_LEN: usize = 8;
 /// The maximum payload size in bytes. A longer length field marks an invalid record.
 pub(crate) const MAX_PAYLOAD_LEN: usize = 64 * 1024 * 1024;
 
@@ -22,12 +22,12 @@
 /// Appends an encoded record to `buffer`.
 pub(crate) fn encode_record(record: &LogRecord, buffer: &mut Vec<u8>) {
     let start = buffer.len();
-    buffer.extend_from_slice(&[0; RECORD_HEADER_LEN]);
+    buffer.extend_from_slice(&[0; HEADER_LEN]);
     let payload = postcard::to_stdvec(record).expect("records can be encoded");
     buffer.extend_from_slice(&payload);
     let length = u32::try_from(payload.len()).expect("a record is smaller than 4 GiB");
     buffer[start..start + 4].copy_from_slice(&length.to_le_bytes());
-    buffer[start + 4..start + RECORD_HEADER_LEN].copy_from_slice(&checksum(&payload).to_le_bytes());
+    buffer[start + 4..start + HEADER_LEN].copy_from_slice(&checksum(&payload).to_le_bytes());
 }
 
 /// The result of decoding a record.
@@ -46,20 +46,18 @@
     if rest.is_empty() {
         return DecodedRecord::End;
     }
-    let Some(header) = rest.get(..RECORD_HEADER_LEN) else { return DecodedRecord::Invalid };
+    let Some(header) = rest.get(..HEADER_LEN) else { return DecodedRecord::Invalid };
     let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
     let expected = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
     if length == 0 || length > MAX_PAYLOAD_LEN {
         return DecodedRecord::Invalid;
     }
-    let Some(payload) = rest.get(RECORD_HEADER_LEN..RECORD_HEADER_LEN + length) else {
-        return DecodedRecord::Invalid;
-    };
+    let Some(payload) = rest.get(HEADER_LEN..HEADER_LEN + length) else { return DecodedRecord::Invalid };
     if checksum(payload) != expected {
         return DecodedRecord::Invalid;
     }
     match postcard::from_bytes(payload) {
-        Ok(record) => DecodedRecord::Valid(Box::new(record), start + RECORD_HEADER_LEN + length),
+        Ok(record) => DecodedRecord::Valid(Box::new(record), start + HEADER_LEN + length),
         Err(_) => DecodedRecord::Invalid,
     }
 }
--- a/crates/micaspool-store/src/scan.rs
+++ b/crates/micaspool-store/src/scan.rs
@@ -1,7 +1,7 @@
 //! Reads the records of a log file.
 
 use crate::error::Error;
-use crate::record::{decode_record, DecodedRecord, LogRecord, RECORD_HEADER_LEN};
+use crate::record::{decode_record, DecodedRecord, LogRecord, HEADER_LEN};
 use micaspool_quorum::{HardState, LogEntry, LogIndex};
 use std::path::Path;
 
@@ -34,7 +34,7 @@
 }
 
 fn has_valid_record_after(bytes: &[u8], from: usize) -> bool {
-    let last = bytes.len().saturating_sub(RECORD_HEADER_LEN);
+    let last = bytes.len().saturating_sub(HEADER_LEN);
     (from..last).any(|start| matches!(decode_record(bytes, start), DecodedRecord::Valid(..)))
 }
 
