--- a/crates/micaspool-keeper/tests/exchange.rs
+++ b/crates/micaspool-keeper/tests/exchange.rs
@@ -17,7 +17,7 @@
 
 const PORT: u16 = 17_640;
 const EXCHANGE_PORT: u16 = 17_641;
-/// How long a busy task runs before it yields: 50 ms of work at 0.3 of a core.
+/// How long a busy task runs before it yields. 50 ms of work take 170 ms at 0.3 of a core.
 const BUSY_PERIOD: Duration = Duration::from_millis(170);
 /// The number of busy tasks on each executor.
 const BUSY_TASKS: usize = 8;
