--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// How long an order may take. Its caller turns to another instance after a second.
-const ORDER_LIMIT: Duration = Duration::from_millis(900);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Why an order was not carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -88,14 +88,14 @@
         // ordered after it.
         let known = self.mirror.hall_orders().newest();
         let hall = self.known_hall(hall)?;
-        self.list_keepers();
+        self.refresh_keepers();
         let request = v1::OrderHallRequest {
             hall: hall.to_string(),
             evacuate: wanted == HallUse::Evacuated,
             known,
             ordered_by: ordered_by.to_owned(),
         };
-        let reply = self.client.order_hall(request, ORDER_LIMIT).await;
+        let reply = self.client.order_hall(request, ORDER_TIMEOUT).await;
         match reply.as_ref().ok().and_then(order_verdict) {
             Some(OrderVerdict::InForce(number)) => Ok(number),
             Some(OrderVerdict::Overtaken(_)) => Err(OrderError::Overtaken),
@@ -138,9 +138,9 @@
             record(&events::PLAN_REFUSED, &[field("error", &error)]);
             OrderError::InvalidPlan(error)
         })?;
-        self.list_keepers();
+        self.refresh_keepers();
         let request = v1::PublishRequest { number: offered.number, document: text.to_owned() };
-        match self.client.publish(request, ORDER_LIMIT).await {
+        match self.client.publish(request, ORDER_TIMEOUT).await {
             Ok(reply) => {
                 let fields = [field("number", offered.number), field("in_force", reply.in_force)];
                 record(&events::PLAN_ACCEPTED, &fields);
@@ -155,8 +155,8 @@
 
     /// The newest plan as its operator sent it, confirmed by a majority.
     pub async fn read(&self) -> Result<String, OrderError> {
-        self.list_keepers();
-        let reply = self.client.plan_confirmed(ORDER_LIMIT).await.map_err(|error| {
+        self.refresh_keepers();
+        let reply = self.client.plan_confirmed(ORDER_TIMEOUT).await.map_err(|error| {
             record(&events::PLAN_UNCERTAIN, &[field("order", "read"), field("error", error)]);
             OrderError::NoMajority
         })?;
@@ -187,7 +187,7 @@
     }
 
     /// Tells the client which keepers there are, those first that are reached.
-    fn list_keepers(&self) {
+    fn refresh_keepers(&self) {
         let sights = self.mirror.keepers();
         let others = |reached: bool| {
             let matching = sights.iter().filter(move |sight| sight.is_reached() == reached);
--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// How long routers get to go to another dispatcher.
-const STOP_GRACE: Duration = Duration::from_millis(400);
+const HANDOVER_DELAY: Duration = Duration::from_millis(400);
 
 /// What a core daemon runs with; made by [`CoreOptions::builder`].
 #[derive(Debug, Clone)]
@@ -53,16 +53,16 @@
         keepers: Arc<dyn PeerDirectory>,
         format: Arc<dyn PlanFormat>,
     ) -> CoreOptionsBuilder {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let options = CoreOptions {
             instance,
             region,
             seeds: Vec::new(),
             keepers,
             format,
-            keeper_address: any,
+            keeper_address: any_port,
             exchange: None,
-            dispatcher_address: any,
+            dispatcher_address: any_port,
             status: Vec::new(),
             data_folder: PathBuf::from("."),
             may_form: true,
@@ -159,7 +159,7 @@
     /// Sends routers elsewhere, saves what is under way, and stops.
     pub async fn stop(self) {
         self.dispatcher.stop();
-        async_std::task::sleep(STOP_GRACE).await;
+        async_std::task::sleep(HANDOVER_DELAY).await;
         self.keeper.stop().await;
     }
 }
@@ -169,7 +169,7 @@
     let keeper = start_keeper(keeper_options(&options)).await?;
     let mirror = FleetMirror::start(FleetMirrorOptions {
         follower: format!("core-{}", options.instance),
-        seeds: with_own(&options),
+        seeds: followed_keepers(&options),
         directory: options.keepers.clone(),
         format: options.format.clone(),
         counter: TrafficCounter::default(),
@@ -188,8 +188,8 @@
     let source =
         Arc::new(CoreStatusSource { keeper: keeper.status_source(), dispatcher: dispatcher.status_source() });
     for address in &options.status {
-        let failed = |error| micaspool_keeper::Error::Start(StartError::bind(*address)(error));
-        serve_status(*address, source.clone()).await.map_err(failed)?;
+        let bind_error = |error| micaspool_keeper::Error::Start(StartError::bind(*address)(error));
+        serve_status(*address, source.clone()).await.map_err(bind_error)?;
     }
     let own = PeerAddress { name: options.instance.clone(), address: keeper.wire };
     let client = Arc::new(KeeperClient::new(vec![own.clone()], TrafficCounter::default()));
@@ -217,8 +217,9 @@
         let keeper = self.keeper.metrics();
         let dispatcher = self.dispatcher.metrics();
         // Both know a revision under the same name; the keeper's is that of the settings tree.
-        let named = "micaspool_settings_revision";
-        let own = dispatcher.lines().filter(|line| !line.contains(named)).map(|line| format!("{line}\n"));
+        let shared_name = "micaspool_settings_revision";
+        let own =
+            dispatcher.lines().filter(|line| !line.contains(shared_name)).map(|line| format!("{line}\n"));
         keeper.trim_end_matches(METRICS_END).chars().chain(own.collect::<String>().chars()).collect()
     }
 
@@ -239,7 +240,7 @@
 }
 
 /// The keepers that this process follows: the seeds and its own.
-fn with_own(options: &CoreOptions) -> Vec<InstanceName> {
+fn followed_keepers(options: &CoreOptions) -> Vec<InstanceName> {
     let mut names = options.seeds.clone();
     if !names.contains(&options.instance) {
         names.push(options.instance.clone());
