--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -1,4 +1,4 @@
-//! What operators and endpoints ask of the core.
+//! The control service of the core for operators and endpoints.
 
 use micaspool_client::{FleetMirror, KeeperClient};
 use micaspool_halls::{HallUse, OrderVerdict};
@@ -14,21 +14,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an order may take. Its caller turns to another instance after a second.
+/// The maximum time for an order. Its caller tries another instance after one second.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Why an order was not carried out.
+/// The reason why an order failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderError {
-    /// The plan cannot be used.
+    /// The plan is invalid.
     InvalidPlan(FormatError),
-    /// No majority of keepers answered in time. An offered plan may come into force all the same.
+    /// No majority of keepers answered in time. The order may still come into force.
     NoMajority,
-    /// There is no plan yet.
+    /// No plan has been published yet.
     NoPlan,
-    /// Neither settings nor endpoints name this data hall; the known ones.
+    /// The data hall is unknown, or there are too many halls with orders. Contains the known halls.
     UnknownHall(Vec<HallName>),
-    /// The contrary was ordered in the meantime.
+    /// A contrary order was given in the meantime.
     Overtaken,
 }
 
@@ -37,15 +37,15 @@
         match self {
             OrderError::InvalidPlan(error) => error.fmt(f),
             OrderError::NoMajority => f.write_str(
-                "no majority of keepers answered in time; send the order again, here or elsewhere",
+                "no majority of keepers answered in time; send the order again, to this or another instance",
             ),
-            OrderError::NoPlan => f.write_str("there is no plan yet; send one"),
+            OrderError::NoPlan => f.write_str("no plan has been published yet; send one"),
             OrderError::UnknownHall(known) => {
                 let known = known.iter().map(HallName::as_str).collect::<Vec<_>>().join(", ");
-                write!(f, "no data hall has this name; send one of {known}")
+                write!(f, "unknown data hall; use one of {known}")
             }
             OrderError::Overtaken => f.write_str(
-                "the contrary was ordered while this order was under way; send it again if it still holds",
+                "a contrary order was given while this order was being processed; send it again if it still applies",
             ),
         }
     }
@@ -53,7 +53,8 @@
 
 impl std::error::Error for OrderError {}
 
-/// Serves operators and endpoints; whichever core instance they ask, the leading keeper decides.
+/// Serves operators and endpoints on any core instance. Orders are passed on to the leading keeper;
+/// endpoints register at the keeper of this instance.
 #[derive(Debug, Clone)]
 pub struct ControlService {
     client: Arc<KeeperClient>,
@@ -61,12 +62,12 @@
     hub: Arc<RegistryHub>,
     mirror: Arc<FleetMirror>,
     format: Arc<dyn PlanFormat>,
-    /// The halls that settings name.
+    /// The data halls named in the settings.
     halls: Vec<HallName>,
 }
 
 impl ControlService {
-    /// A desk of the instance whose keeper is `own`.
+    /// Creates the control service of the instance whose keeper is `own`.
     pub fn new(
         client: Arc<KeeperClient>,
         own: PeerAddress,
@@ -77,15 +78,15 @@
         ControlService { client, own, hub, mirror, format, halls: Vec::new() }
     }
 
-    /// The same with the data halls that settings name.
+    /// Sets the data halls that are named in the settings.
     pub fn with_halls(self, halls: Vec<HallName>) -> ControlService {
         ControlService { halls, ..self }
     }
 
-    /// Evacuates a data hall or takes it back; gives the number of the order that holds.
+    /// Evacuates a data hall or returns it to service. Returns the number of the order in force.
     pub async fn order_hall(&self, hall: &str, wanted: HallUse, ordered_by: &str) -> Result<u64, OrderError> {
-        // What was known when the order came in: whatever delays it from here on, it takes nothing back that was
-        // ordered after it.
+        // The latest order known on arrival of this one. However long this order is delayed, it then
+        // cannot revert an order that was given after it.
         let known = self.mirror.hall_orders().newest();
         let hall = self.known_hall(hall)?;
         self.refresh_keepers();
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The halls that settings name, those of endpoints that were heard, and those that an order was given about.
+    /// Returns the data halls named in the settings, those of known endpoints, and those with orders.
     fn known_halls(&self) -> Vec<HallName> {
         let mut halls = self.halls.clone();
         halls.extend(self.mirror.halls());
@@ -132,7 +133,7 @@
         halls
     }
 
-    /// Offers a plan; gives the number in force afterwards, at least its own.
+    /// Publishes a plan. Returns the number of the plan in force afterwards, which is at least its own.
     pub async fn publish(&self, text: &str) -> Result<u64, OrderError> {
         let offered = self.format.decode(text).map_err(|error| {
             record(&events::PLAN_REFUSED, &[field("error", &error)]);
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The newest plan as its operator sent it, confirmed by a majority.
+    /// Returns the text of the latest plan, confirmed by a majority.
     pub async fn read(&self) -> Result<String, OrderError> {
         self.refresh_keepers();
         let reply = self.client.plan_confirmed(ORDER_TIMEOUT).await.map_err(|error| {
@@ -166,12 +167,13 @@
         }
     }
 
-    /// Takes a record of an endpoint.
+    /// Registers a record of an endpoint at the keeper of this instance.
     pub fn register(&self, endpoint: EndpointRecord) -> MergeOutcome {
         self.hub.register(endpoint)
     }
 
-    /// Notes that an endpoint has left, by the name that its starts share, also when it registered elsewhere.
+    /// Marks an endpoint as left, by the identity that all its starts share. If it registered at another
+    /// instance, its record is taken from the mirror.
     pub fn leave(&self, identity: &EndpointName) {
         if self.hub.leave(identity) {
             return;
@@ -186,12 +188,13 @@
         }
     }
 
-    /// Tells the client which keepers there are, those first that are reached.
+    /// Passes the current keepers to the client: this instance's own first, then those with a live
+    /// stream, then the others.
     fn refresh_keepers(&self) {
-        let sights = self.mirror.keepers();
+        let peers = self.mirror.keepers();
         let others = |reached: bool| {
-            let matching = sights.iter().filter(move |sight| sight.is_reached() == reached);
-            matching.map(|sight| sight.peer.clone()).filter(|peer| peer.name != self.own.name)
+            let matching = peers.iter().filter(move |keeper| keeper.is_reached() == reached);
+            matching.map(|keeper| keeper.peer.clone()).filter(|peer| peer.name != self.own.name)
         };
         let own = std::iter::once(self.own.clone());
         self.client.set_keepers(own.chain(others(true)).chain(others(false)).collect());
--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a core daemon together.
+//! Options and startup of the core daemon.
 
 use crate::control::ControlService;
 use micaspool_client::{FleetMirror, FleetMirrorOptions, KeeperClient, PeerDirectory, ENDPOINT_LIFE};
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long routers get to go to another dispatcher.
+/// The time that routers get to switch to another dispatcher before the keeper stops.
 const HANDOVER_DELAY: Duration = Duration::from_millis(400);
 
-/// What a core daemon runs with; made by [`CoreOptions::builder`].
+/// Options of a core daemon, created with [`CoreOptions::builder`].
 #[derive(Debug, Clone)]
 pub struct CoreOptions {
     instance: InstanceName,
@@ -46,7 +46,7 @@
 }
 
 impl CoreOptions {
-    /// Options of the core on this instance.
+    /// Returns a builder for the core daemon of this instance.
     pub fn builder(
         instance: InstanceName,
         region: RegionName,
@@ -75,62 +75,63 @@
 }
 
 impl CoreOptionsBuilder {
-    /// The keepers to begin with.
+    /// Sets the keepers known at startup, which may form the first group.
     pub fn seeds(mut self, seeds: Vec<InstanceName>) -> Self {
         self.options.seeds = seeds;
         self
     }
 
-    /// Where keeper and dispatcher listen for other processes.
+    /// Sets the addresses at which keeper and dispatcher serve other processes.
     pub fn addresses(mut self, keeper: SocketAddr, dispatcher: SocketAddr) -> Self {
         self.options.keeper_address = keeper;
         self.options.dispatcher_address = dispatcher;
         self
     }
 
-    /// Where keepers speak among themselves alone: this one's address, and those of the others.
+    /// Sets separate addresses for messages between keepers: the address of this keeper, and the
+    /// directory of the others.
     pub fn exchange(mut self, own: SocketAddr, directory: Arc<dyn PeerDirectory>) -> Self {
         self.options.exchange = Some(ExchangeAddresses { own, directory });
         self
     }
 
-    /// Where it shows the status of keeper and dispatcher.
+    /// Sets the addresses of the status page, which shows both keeper and dispatcher.
     pub fn status(mut self, addresses: Vec<SocketAddr>) -> Self {
         self.options.status = addresses;
         self
     }
 
-    /// Where its files are.
+    /// Sets the data folder.
     pub fn data_folder(mut self, folder: PathBuf) -> Self {
         self.options.data_folder = folder;
         self
     }
 
-    /// True when the seeds may form the first group.
+    /// Sets whether the seeds may form the first group.
     pub fn may_form(mut self, allowed: bool) -> Self {
         self.options.may_form = allowed;
         self
     }
 
-    /// The number of keepers whose loss at once the fleet is to bear.
+    /// Sets the number of simultaneous keeper failures that the fleet tolerates.
     pub fn tolerated_failures(mut self, failures: usize) -> Self {
         self.options.tolerated_failures = failures;
         self
     }
 
-    /// The data halls that operators may order about, beside those of endpoints that were heard.
+    /// Sets data halls that operators may evacuate in addition to those of known endpoints.
     pub fn halls(mut self, halls: Vec<HallName>) -> Self {
         self.options.halls = halls;
         self
     }
 
-    /// How engines are asked for their load.
+    /// Sets the probe that asks endpoints for their load.
     pub fn probe(mut self, probe: Arc<dyn EndpointProbe>) -> Self {
         self.options.probe = probe;
         self
     }
 
-    /// The options.
+    /// Returns the options.
     pub fn build(self) -> CoreOptions {
         self.options
     }
@@ -146,17 +147,17 @@
 }
 
 impl CoreDaemon {
-    /// Where operators and endpoints are served.
+    /// Returns the control service for operators and endpoints.
     pub fn control(&self) -> &ControlService {
         &self.control
     }
 
-    /// The fleet as this process knows it.
+    /// Returns this process's view of the fleet.
     pub fn mirror(&self) -> &Arc<FleetMirror> {
         &self.mirror
     }
 
-    /// Sends routers elsewhere, saves what is under way, and stops.
+    /// Sends routers to other dispatchers, then persists pending input and stops.
     pub async fn stop(self) {
         self.dispatcher.stop();
         async_std::task::sleep(HANDOVER_DELAY).await;
@@ -164,7 +165,7 @@
     }
 }
 
-/// Starts a core daemon; it runs until it is stopped.
+/// Starts a core daemon. It runs until it is stopped.
 pub async fn start_core(options: CoreOptions) -> Result<CoreDaemon, micaspool_keeper::Error> {
     let keeper = start_keeper(keeper_options(&options)).await?;
     let mirror = FleetMirror::start(FleetMirrorOptions {
@@ -199,13 +200,13 @@
     Ok(CoreDaemon { keeper, dispatcher, mirror, control })
 }
 
-/// Keeper and dispatcher on one page.
+/// Combines the status of keeper and dispatcher on one page.
 struct CoreStatusSource {
     keeper: Arc<dyn StatusSource>,
     dispatcher: Arc<dyn StatusSource>,
 }
 
-/// The end of a text in the OpenMetrics format; it may stand once.
+/// The end marker of the OpenMetrics text format, which may occur only once.
 const METRICS_END: &str = "# EOF\n";
 
 impl StatusSource for CoreStatusSource {
@@ -216,7 +217,7 @@
     fn metrics(&self) -> String {
         let keeper = self.keeper.metrics();
         let dispatcher = self.dispatcher.metrics();
-        // Both know a revision under the same name; the keeper's is that of the settings tree.
+        // Both export a metric of this name. The keeper's is the revision of the settings tree.
         let shared_name = "micaspool_settings_revision";
         let own =
             dispatcher.lines().filter(|line| !line.contains(shared_name)).map(|line| format!("{line}\n"));
@@ -239,7 +240,7 @@
         .build()
 }
 
-/// The keepers that this process follows: the seeds and its own.
+/// Returns the keepers that this process follows: the seeds and its own.
 fn followed_keepers(options: &CoreOptions) -> Vec<InstanceName> {
     let mut names = options.seeds.clone();
     if !names.contains(&options.instance) {
--- a/crates/micaspool-core/src/lib.rs
+++ b/crates/micaspool-core/src/lib.rs
@@ -1,8 +1,9 @@
-//! The core of a fleet: a keeper and a dispatcher in one process, and the desk at which operators and
-//! endpoints are served.
+//! The core daemon of a fleet: a keeper and a dispatcher in one process, with a control service for
+//! operators and endpoints.
 //!
-//! * [`ControlService`] takes route plans, reads them back, and takes records of endpoints,
-//! * [`start_core`] puts a daemon together.
+//! * [`ControlService`] publishes and reads route plans, orders the evacuation of data halls, and
+//!   registers endpoints,
+//! * [`start_core`] starts a daemon.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
