--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -254,12 +254,12 @@
             if output.is_empty() {
                 break;
             }
-            let saving = !output.save.is_empty();
+            let needs_saving = !output.save.is_empty();
             if let Err(error) = self.execute_output(output) {
                 record(&events::STORE_FAILED, &[field("error", error)]);
                 return false;
             }
-            if saving {
+            if needs_saving {
                 self.core.step(self.clock.now(), QuorumEvent::Saved);
             }
         }
@@ -338,9 +338,9 @@
     fn publish(&mut self) {
         let status = self.core.status(self.clock.now());
         let mut view = self.view.lock().expect("no holder of the view panics");
-        let leads = status.role == QuorumRole::Leader;
-        if leads != (view.status.role == QuorumRole::Leader) {
-            let kind = if leads { &events::LEADER_ELECTED } else { &events::LEADER_STEPPED_DOWN };
+        let is_leading = status.role == QuorumRole::Leader;
+        if is_leading != (view.status.role == QuorumRole::Leader) {
+            let kind = if is_leading { &events::LEADER_ELECTED } else { &events::LEADER_STEPPED_DOWN };
             record(kind, &[field("term", status.term.0)]);
         }
         let settings_changed = view.settings.revision() != self.state.settings.revision();
--- a/crates/micaspool-keeper/src/follow.rs
+++ b/crates/micaspool-keeper/src/follow.rs
@@ -54,12 +54,12 @@
         FollowerState { number, hall_order: 0, cursor, refresh_due: BootInstant::now(), keepers: Vec::new() };
     loop {
         let (news, stopped) = state.next_news(&view, &hub);
-        let names_endpoints = !news.endpoints.is_empty();
+        let has_endpoints = !news.endpoints.is_empty();
         if sender.send(Ok(news)).await.is_err() || stopped {
             return;
         }
-        let interrupted = names_endpoints && timeout(BATCH_INTERVAL, changes.recv()).await.is_ok();
-        if !interrupted {
+        let was_interrupted = has_endpoints && timeout(BATCH_INTERVAL, changes.recv()).await.is_ok();
+        if !was_interrupted {
             wait_for_news(&changes, &records).await;
         }
     }
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -121,11 +121,11 @@
             HubScope::Changed => (&content.changed, cursor.changed),
             HubScope::Received => (&content.received, cursor.received),
         };
-        let newer =
+        let is_newer =
             |endpoint: &&EndpointRecord| versions.get(&endpoint.name).is_some_and(|version| *version > seen);
         let now = self.clock.now();
         let outgoing = |record: &EndpointRecord| content.registry.told(now, record);
-        let records = content.registry.iter().filter(newer).map(outgoing).collect();
+        let records = content.registry.iter().filter(is_newer).map(outgoing).collect();
         let received = match scope {
             HubScope::Changed => cursor.received,
             HubScope::Received => content.version,
--- a/crates/micaspool-quorum/src/core/election.rs
+++ b/crates/micaspool-quorum/src/core/election.rs
@@ -17,7 +17,7 @@
 impl QuorumCore {
     /// Asks the other voters whether they would vote for this keeper.
     pub(super) fn begin_pre_vote(&mut self, now: Moment) {
-        self.reset_election(now);
+        self.reset_election_deadline(now);
         self.leader = None;
         let own = HashSet::from([self.identity.clone()]);
         self.role = RoleState::Candidate(ElectionState { is_pre_vote: true, granted: own });
@@ -31,7 +31,7 @@
         self.hard.term = Term(self.hard.term.0 + 1);
         self.hard.vote = Some(self.identity.clone());
         self.hard_dirty = true;
-        self.reset_election(now);
+        self.reset_election_deadline(now);
         let own = HashSet::from([self.identity.clone()]);
         self.role = RoleState::Candidate(ElectionState { is_pre_vote: false, granted: own });
         let (last_term, last) = self.last_entry();
@@ -103,7 +103,7 @@
         if granted {
             self.hard.vote = Some(from.clone());
             self.hard_dirty = true;
-            self.reset_election(now);
+            self.reset_election_deadline(now);
         }
         self.send(&from.name, PeerBody::VoteReply { granted });
     }
@@ -122,8 +122,8 @@
     fn check_majority(&mut self, now: Moment) {
         let RoleState::Candidate(state) = &self.role else { return };
         let membership = self.log.membership();
-        let agreed = membership.voters().filter(|voter| state.granted.contains(*voter)).count();
-        if agreed < membership.majority() {
+        let agreed_count = membership.voters().filter(|voter| state.granted.contains(*voter)).count();
+        if agreed_count < membership.majority() {
             return;
         }
         if state.is_pre_vote {
--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -108,8 +108,8 @@
     }
 
     fn form_if_possible(&mut self, now: Moment) {
-        let lowest = self.options.configured.iter().min();
-        if self.is_formed() || !self.options.may_form || lowest != Some(&self.identity.name) {
+        let lowest_name = self.options.configured.iter().min();
+        if self.is_formed() || !self.options.may_form || lowest_name != Some(&self.identity.name) {
             return;
         }
         let limit = self.options.announce_interval * MAX_MISSED_ANNOUNCEMENTS;
--- a/crates/micaspool-quorum/src/core/group.rs
+++ b/crates/micaspool-quorum/src/core/group.rs
@@ -13,8 +13,8 @@
     /// Returns whether the leader may change the membership: both the last change and an entry of the
     /// current term are committed.
     fn may_change_membership(&self) -> bool {
-        let changed = self.log.membership_index();
-        self.is_leader() && changed <= self.commit && self.log.term_at(self.commit) == Some(self.hard.term)
+        let changed_at = self.log.membership_index();
+        self.is_leader() && changed_at <= self.commit && self.log.term_at(self.commit) == Some(self.hard.term)
     }
 
     /// Adds a keeper as a learner, if the options allow it and no change is under way. An earlier
@@ -31,8 +31,8 @@
                 return;
             }
         }
-        let changed = membership.with_member(GroupMember { identity: learner, voter: false });
-        self.append_entry(EntryPayload::Members(changed));
+        let changed_membership = membership.with_member(GroupMember { identity: learner, voter: false });
+        self.append_entry(EntryPayload::Members(changed_membership));
         self.replicate_idle(now);
     }
 
@@ -50,14 +50,14 @@
             return;
         }
         let learner = self.caught_up_learner();
-        let changed = match (self.removable_voter(now, learner.is_some()), learner) {
+        let changed_membership = match (self.removable_voter(now, learner.is_some()), learner) {
             (Some(unreachable), _) => self.log.membership().without_member(&unreachable),
             (None, Some(identity)) if self.reaches_every_voter(now) => {
                 self.log.membership().with_member(GroupMember { identity, voter: true })
             }
             _ => return,
         };
-        self.append_entry(EntryPayload::Members(changed));
+        self.append_entry(EntryPayload::Members(changed_membership));
         self.replicate_idle(now);
     }
 
--- a/crates/micaspool-quorum/src/core/mod.rs
+++ b/crates/micaspool-quorum/src/core/mod.rs
@@ -130,7 +130,7 @@
             log,
             options,
         };
-        core.reset_election(now);
+        core.reset_election_deadline(now);
         core
     }
 
@@ -287,10 +287,10 @@
     fn become_follower(&mut self, now: Moment, leader: Option<KeeperIdentity>) {
         self.role = RoleState::Follower;
         self.leader = leader;
-        self.reset_election(now);
+        self.reset_election_deadline(now);
     }
 
-    fn reset_election(&mut self, now: Moment) {
+    fn reset_election_deadline(&mut self, now: Moment) {
         let min_timeout = self.options.election_timeout;
         let max_jitter = u64::try_from(min_timeout.as_micros()).unwrap_or(u64::MAX);
         let jitter = self.rng.random_range(0..=max_jitter);
--- a/crates/micaspool-quorum/src/core/replication.rs
+++ b/crates/micaspool-quorum/src/core/replication.rs
@@ -266,16 +266,16 @@
     pub(super) fn advance_commit(&mut self, now: Moment) {
         let RoleState::Leader(state) = &self.role else { return };
         let membership = self.log.membership();
-        let durable = |voter: &KeeperIdentity| match state.progress.get(voter) {
+        let durable_index = |voter: &KeeperIdentity| match state.progress.get(voter) {
             _ if *voter == self.identity => self.saved,
             Some(progress) => progress.matched,
             None => LogIndex(0),
         };
-        let mut indices: Vec<LogIndex> = membership.voters().map(durable).collect();
+        let mut indices: Vec<LogIndex> = membership.voters().map(durable_index).collect();
         indices.sort_by(|a, b| b.cmp(a));
-        let Some(agreed) = indices.get(membership.majority() - 1).copied() else { return };
-        if agreed > self.commit && self.log.term_at(agreed) == Some(self.hard.term) {
-            self.commit = agreed;
+        let Some(agreed_index) = indices.get(membership.majority() - 1).copied() else { return };
+        if agreed_index > self.commit && self.log.term_at(agreed_index) == Some(self.hard.term) {
+            self.commit = agreed_index;
             self.emit_committed();
             self.replicate_idle(now);
         }
--- a/crates/micaspool-quorum/tests/faults.rs
+++ b/crates/micaspool-quorum/tests/faults.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn wiped_keeper_votes_only_after_catching_up() {
+fn wiped_keeper_becomes_a_voter_only_after_catching_up() {
     let mut harness = formed_group(11);
     let leader = harness.leader().expect("a leader exists");
     let wiped = (leader + 1) % 3;
--- a/crates/micaspool-quorum/tests/harness/mod.rs
+++ b/crates/micaspool-quorum/tests/harness/mod.rs
@@ -255,9 +255,9 @@
             if output.is_empty() {
                 break;
             }
-            let saving = !output.save.is_empty();
+            let needs_saving = !output.save.is_empty();
             self.execute_output(node, output);
-            if saving {
+            if needs_saving {
                 let now = self.now;
                 self.nodes[node].core.as_mut().expect("the keeper runs").step(now, QuorumEvent::Saved);
             }
