--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -73,7 +73,7 @@
     Stop,
 }
 
-/// A copy of the engine's state for the other tasks of the process.
+/// A copy of the parts of the engine's state that other tasks of the process read.
 #[derive(Debug)]
 pub struct KeeperView {
     /// The latest applied settings.
@@ -390,8 +390,8 @@
     KeeperState::decode(data).expect("a snapshot with a valid checksum can be decoded")
 }
 
-/// Sets the leader's time in commands that carry a time. The log must hold the time so that all
-/// keepers apply the same value.
+/// Sets the wall-clock time in commands that carry one. Only the leader can propose, so it is the
+/// leader's time, and all keepers apply the same value from the log.
 fn with_timestamp(command: KeeperCommand, at: LedgerTime) -> KeeperCommand {
     match command {
         KeeperCommand::Claim(claim) => KeeperCommand::Claim(micaspool_ledger::ClaimCommand { at, ..claim }),
--- a/crates/micaspool-keeper/src/follow.rs
+++ b/crates/micaspool-keeper/src/follow.rs
@@ -20,7 +20,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The interval at which records of unchanged endpoints are sent again. A follower removes an
-/// endpoint that it has not received for ten seconds.
+/// endpoint for which it has received no record for ten seconds.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
 /// The minimum time between two messages with endpoint records, so that changes are batched when
@@ -30,6 +30,7 @@
 
 /// What has been sent to a follower.
 struct FollowerState {
+    /// The number of the latest route plan.
     number: u64,
     /// The number of the latest hall order.
     hall_order: u64,
@@ -102,7 +103,8 @@
         (news, stopped)
     }
 
-    /// Returns the records to send next: unchanged ones only once per [`REFRESH_INTERVAL`].
+    /// Returns which records to send next: all that were received once per [`REFRESH_INTERVAL`],
+    /// otherwise only changed ones.
     fn next_scope(&mut self) -> HubScope {
         let now = BootInstant::now();
         if now < self.refresh_due {
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -89,9 +89,9 @@
         outcome
     }
 
-    /// Marks an endpoint as left, by the identity that all its starts share. Returns false if it never
-    /// registered at this keeper: its identity alone does not make a record, so the caller must look for
-    /// its record elsewhere.
+    /// Marks an endpoint as left, by the identity that all its starts share. Returns false if this keeper
+    /// has no record of it: the identity alone does not make one, so the caller must look for the record
+    /// elsewhere.
     pub fn leave(&self, identity: &EndpointName) -> bool {
         let mut content = self.lock();
         let Some(name) = content.registry.leave(self.clock.now(), identity) else { return false };
--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -14,7 +14,7 @@
 /// unreachable.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
-/// What a keeper knows of others from their announcements.
+/// The announcements that this keeper has sent and received.
 #[derive(Debug, Default)]
 pub(super) struct FormingState {
     announcements: HashMap<InstanceName, ReceivedAnnouncement>,
@@ -142,8 +142,8 @@
         self.become_follower(now, None);
     }
 
-    /// Makes this keeper the only member of the group by an operator's order, with all entries of its
-    /// log, committed or not.
+    /// Makes this keeper the only member of the group, by an operator's order. All entries of its log are
+    /// kept, committed or not.
     pub(super) fn recover_alone(&mut self, now: Moment) {
         let alone = GroupMember { identity: self.identity.clone(), voter: true };
         let membership = GroupMembership { members: vec![alone] };
--- a/crates/micaspool-quorum/src/core/group.rs
+++ b/crates/micaspool-quorum/src/core/group.rs
@@ -36,8 +36,8 @@
         self.replicate_idle(now);
     }
 
-    /// Admits a former member again that asks for votes. A member that was removed while it was
-    /// unreachable does not know that and starts elections. Applies to open groups only.
+    /// Admits a former member again when it sends a pre-vote: a member that was removed while it was
+    /// unreachable does not know that and tries to start elections. Applies to open groups only.
     pub(super) fn readmit_removed(&mut self, now: Moment, from: &KeeperIdentity) {
         if self.options.open_group.is_some() && self.is_formed() {
             self.admit_learner(now, from.clone());
--- a/crates/micaspool-quorum/src/core/mod.rs
+++ b/crates/micaspool-quorum/src/core/mod.rs
@@ -147,8 +147,8 @@
 
     /// Appends an entry if this keeper leads, and returns its position and term.
     ///
-    /// The entry has taken effect once it appears in [`QuorumOutput::committed`] with the same term.
-    /// If another entry appears at that position, it was lost.
+    /// The entry is committed once it appears in [`QuorumOutput::committed`] with this term. An entry of
+    /// another term at that position means that the proposed one was lost.
     pub fn propose(&mut self, now: Moment, payload: EntryPayload) -> Result<(LogIndex, Term), ProposeError> {
         if !matches!(self.role, RoleState::Leader(_)) {
             let leader = self.leader.as_ref().map(|leader| leader.name.clone());
@@ -216,7 +216,7 @@
         }
     }
 
-    /// True when this keeper belongs to a group.
+    /// Returns whether this keeper belongs to a group.
     pub fn is_formed(&self) -> bool {
         !self.log.membership().members.is_empty()
     }
@@ -232,6 +232,8 @@
         }
     }
 
+    /// Handles a message by its kind. Announcements, `Form` and pre-votes do not affect the term; any
+    /// other message with a newer term makes this keeper adopt it.
     fn receive(&mut self, now: Moment, message: PeerMessage) {
         let PeerMessage { from, term, body } = message;
         self.remember_sender(&from);
@@ -290,6 +292,7 @@
         self.reset_election_deadline(now);
     }
 
+    /// Restarts the election timeout with a new random length.
     fn reset_election_deadline(&mut self, now: Moment) {
         let min_timeout = self.options.election_timeout;
         let max_jitter = u64::try_from(min_timeout.as_micros()).unwrap_or(u64::MAX);
--- a/crates/micaspool-quorum/src/options.rs
+++ b/crates/micaspool-quorum/src/options.rs
@@ -13,7 +13,7 @@
     /// drawn at random between this and twice as much. A leader that has had no contact with a
     /// majority for this long steps down.
     pub election_timeout: Duration,
-    /// The interval at which a leader sends to each member.
+    /// The interval of heartbeats from the leader to each member.
     pub heartbeat: Duration,
     /// The interval at which a keeper that is not a voter announces itself.
     pub announce_interval: Duration,
--- a/crates/micaspool-quorum/src/types.rs
+++ b/crates/micaspool-quorum/src/types.rs
@@ -23,7 +23,7 @@
     pub incarnation: Incarnation,
 }
 
-/// A voter or learner of the group. A learner receives the log but does not vote.
+/// A voter or learner of the group. A learner receives the log but does not count towards majorities.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub struct GroupMember {
     /// The keeper and its incarnation.
