--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -134,7 +134,7 @@
     }
 
     /// Publishes a plan. Returns the number of the plan in force afterwards, which is at least its own.
-    pub async fn publish(&self, text: &str) -> Result<u64, OrderError> {
+    pub async fn publish_plan(&self, text: &str) -> Result<u64, OrderError> {
         let offered = self.format.decode(text).map_err(|error| {
             record(&events::PLAN_REFUSED, &[field("error", &error)]);
             OrderError::InvalidPlan(error)
@@ -155,7 +155,7 @@
     }
 
     /// Returns the text of the latest plan, confirmed by a majority.
-    pub async fn read(&self) -> Result<String, OrderError> {
+    pub async fn read_plan(&self) -> Result<String, OrderError> {
         self.refresh_keepers();
         let reply = self.client.plan_confirmed(ORDER_TIMEOUT).await.map_err(|error| {
             record(&events::PLAN_UNCERTAIN, &[field("order", "read"), field("error", error)]);
