--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -148,6 +148,7 @@
     applied: LogIndex,
     /// The size of the commands applied since the last compaction, in bytes.
     command_bytes: usize,
+    /// Callers that wait for their entry to be committed, by its position and term.
     pending_replies: BTreeMap<(LogIndex, Term), Sender<EngineReply>>,
     /// Replies to send after the view has been updated, so that callers see their own writes.
     ready_replies: Vec<(Sender<EngineReply>, EngineReply)>,
--- a/crates/micaspool-quorum/tests/harness/mod.rs
+++ b/crates/micaspool-quorum/tests/harness/mod.rs
@@ -64,8 +64,10 @@
     leaders: HashMap<Term, KeeperIdentity>,
     /// Every command that any keeper has applied, by position.
     pub history: Vec<Vec<u8>>,
+    /// Commands that were committed on the keeper that proposed them.
     pub acknowledged: Vec<Vec<u8>>,
-    waiting: HashMap<(usize, LogIndex, Term), Vec<u8>>,
+    /// Proposed commands by proposing keeper, position and term.
+    pending_commands: HashMap<(usize, LogIndex, Term), Vec<u8>>,
 }
 
 impl Harness {
@@ -91,7 +93,7 @@
             leaders: HashMap::new(),
             history: Vec::new(),
             acknowledged: Vec::new(),
-            waiting: HashMap::new(),
+            pending_commands: HashMap::new(),
         };
         for number in 0..count {
             let name = InstanceName::parse(&format!("keeper-{number}")).expect("the name is well-formed");
@@ -146,7 +148,7 @@
     /// Stops a keeper without warning. Everything that is not on its disk is lost.
     pub fn crash(&mut self, node: usize) {
         self.nodes[node].core = None;
-        self.waiting.retain(|(owner, _, _), _| *owner != node);
+        self.pending_commands.retain(|(proposer, _, _), _| *proposer != node);
     }
 
     /// Stops a keeper, replaces its disk by an empty one, and starts it as a new incarnation.
@@ -218,7 +220,7 @@
         let Ok((index, term)) = core.propose(now, EntryPayload::Command(command.to_vec())) else {
             return false;
         };
-        self.waiting.insert((node, index, term), command.to_vec());
+        self.pending_commands.insert((node, index, term), command.to_vec());
         self.process_output(node);
         true
     }
@@ -279,7 +281,7 @@
     }
 
     fn apply(&mut self, node: usize, entry: LogEntry) {
-        if let Some(command) = self.waiting.remove(&(node, entry.index, entry.term)) {
+        if let Some(command) = self.pending_commands.remove(&(node, entry.index, entry.term)) {
             self.acknowledged.push(command);
         }
         let EntryPayload::Command(command) = entry.payload else { return };
--- a/crates/micaspool-quorum/tests/open_group.rs
+++ b/crates/micaspool-quorum/tests/open_group.rs
@@ -93,11 +93,11 @@
         harness.wipe(node);
     }
     harness.run_for(20_000);
-    let unformed = |node: &harness::Node| {
-        let core = node.core.as_ref().expect("it runs");
+    let is_unformed = |node: &harness::Node| {
+        let core = node.core.as_ref().expect("the keeper runs");
         core.status(harness.now).role == QuorumRole::Unformed
     };
-    assert!(harness.nodes.iter().all(unformed), "a new group would lose acknowledged commands");
+    assert!(harness.nodes.iter().all(is_unformed), "a new group would lose acknowledged commands");
 }
 
 /// Crashes, partitions, disk losses and replacements, one at a time and with time to catch up, lose
