--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -143,13 +143,13 @@
     keeper: KeeperDaemon,
     dispatcher: FleetDispatcher,
     mirror: Arc<FleetMirror>,
-    control: ControlService,
+    control_service: ControlService,
 }
 
 impl CoreDaemon {
     /// Returns the control service for operators and endpoints.
-    pub fn control(&self) -> &ControlService {
-        &self.control
+    pub fn control_service(&self) -> &ControlService {
+        &self.control_service
     }
 
     /// Returns this process's view of the fleet.
@@ -194,10 +194,10 @@
     }
     let own = PeerAddress { name: options.instance.clone(), address: keeper.wire };
     let client = Arc::new(KeeperClient::new(vec![own.clone()], TrafficCounter::default()));
-    let control =
+    let control_service =
         ControlService::new(client, own, keeper.hub().clone(), mirror.clone(), options.format.clone())
             .with_halls(options.halls.clone());
-    Ok(CoreDaemon { keeper, dispatcher, mirror, control })
+    Ok(CoreDaemon { keeper, dispatcher, mirror, control_service })
 }
 
 /// Combines the status of keeper and dispatcher on one page.
