--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -73,7 +73,7 @@
     Stop,
 }
 
-/// A copy of the engine's state for the other tasks of the process.
+/// A copy of the parts of the engine's state that other tasks of the process read.
 #[derive(Debug)]
 pub struct KeeperView {
     /// The latest applied settings.
@@ -148,6 +148,7 @@
     applied: LogIndex,
     /// The size of the commands applied since the last compaction, in bytes.
     command_bytes: usize,
+    /// Callers that wait for their entry to be committed, by its position and term.
     pending_replies: BTreeMap<(LogIndex, Term), Sender<EngineReply>>,
     /// Replies to send after the view has been updated, so that callers see their own writes.
     ready_replies: Vec<(Sender<EngineReply>, EngineReply)>,
@@ -254,12 +255,12 @@
             if output.is_empty() {
                 break;
             }
-            let saving = !output.save.is_empty();
+            let needs_saving = !output.save.is_empty();
             if let Err(error) = self.execute_output(output) {
                 record(&events::STORE_FAILED, &[field("error", error)]);
                 return false;
             }
-            if saving {
+            if needs_saving {
                 self.core.step(self.clock.now(), QuorumEvent::Saved);
             }
         }
@@ -338,9 +339,9 @@
     fn publish(&mut self) {
         let status = self.core.status(self.clock.now());
         let mut view = self.view.lock().expect("no holder of the view panics");
-        let leads = status.role == QuorumRole::Leader;
-        if leads != (view.status.role == QuorumRole::Leader) {
-            let kind = if leads { &events::LEADER_ELECTED } else { &events::LEADER_STEPPED_DOWN };
+        let is_leading = status.role == QuorumRole::Leader;
+        if is_leading != (view.status.role == QuorumRole::Leader) {
+            let kind = if is_leading { &events::LEADER_ELECTED } else { &events::LEADER_STEPPED_DOWN };
             record(kind, &[field("term", status.term.0)]);
         }
         let settings_changed = view.settings.revision() != self.state.settings.revision();
@@ -390,8 +391,8 @@
     KeeperState::decode(data).expect("a snapshot with a valid checksum can be decoded")
 }
 
-/// Sets the leader's time in commands that carry a time. The log must hold the time so that all
-/// keepers apply the same value.
+/// Sets the wall-clock time in commands that carry one. Only the leader can propose, so it is the
+/// leader's time, and all keepers apply the same value from the log.
 fn with_timestamp(command: KeeperCommand, at: LedgerTime) -> KeeperCommand {
     match command {
         KeeperCommand::Claim(claim) => KeeperCommand::Claim(micaspool_ledger::ClaimCommand { at, ..claim }),
--- a/crates/micaspool-keeper/src/follow.rs
+++ b/crates/micaspool-keeper/src/follow.rs
@@ -20,7 +20,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The interval at which records of unchanged endpoints are sent again. A follower removes an
-/// endpoint that it has not received for ten seconds.
+/// endpoint for which it has received no record for ten seconds.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
 /// The minimum time between two messages with endpoint records, so that changes are batched when
@@ -30,6 +30,7 @@
 
 /// What has been sent to a follower.
 struct FollowerState {
+    /// The number of the latest route plan.
     number: u64,
     /// The number of the latest hall order.
     hall_order: u64,
@@ -54,12 +55,12 @@
         FollowerState { number, hall_order: 0, cursor, refresh_due: BootInstant::now(), keepers: Vec::new() };
     loop {
         let (news, stopped) = state.next_news(&view, &hub);
-        let names_endpoints = !news.endpoints.is_empty();
+        let has_endpoints = !news.endpoints.is_empty();
         if sender.send(Ok(news)).await.is_err() || stopped {
             return;
         }
-        let interrupted = names_endpoints && timeout(BATCH_INTERVAL, changes.recv()).await.is_ok();
-        if !interrupted {
+        let was_interrupted = has_endpoints && timeout(BATCH_INTERVAL, changes.recv()).await.is_ok();
+        if !was_interrupted {
             wait_for_news(&changes, &records).await;
         }
     }
@@ -102,7 +103,8 @@
         (news, stopped)
     }
 
-    /// Returns the records to send next: unchanged ones only once per [`REFRESH_INTERVAL`].
+    /// Returns which records to send next: all that were received once per [`REFRESH_INTERVAL`],
+    /// otherwise only changed ones.
     fn next_scope(&mut self) -> HubScope {
         let now = BootInstant::now();
         if now < self.refresh_due {
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -89,9 +89,9 @@
         outcome
     }
 
-    /// Marks an endpoint as left, by the identity that all its starts share. Returns false if it never
-    /// registered at this keeper: its identity alone does not make a record, so the caller must look for
-    /// its record elsewhere.
+    /// Marks an endpoint as left, by the identity that all its starts share. Returns false if this keeper
+    /// has no record of it: the identity alone does not make one, so the caller must look for the record
+    /// elsewhere.
     pub fn leave(&self, identity: &EndpointName) -> bool {
         let mut content = self.lock();
         let Some(name) = content.registry.leave(self.clock.now(), identity) else { return false };
@@ -121,11 +121,11 @@
             HubScope::Changed => (&content.changed, cursor.changed),
             HubScope::Received => (&content.received, cursor.received),
         };
-        let newer =
+        let is_newer =
             |endpoint: &&EndpointRecord| versions.get(&endpoint.name).is_some_and(|version| *version > seen);
         let now = self.clock.now();
         let outgoing = |record: &EndpointRecord| content.registry.with_cold_left(now, record);
-        let records = content.registry.iter().filter(newer).map(outgoing).collect();
+        let records = content.registry.iter().filter(is_newer).map(outgoing).collect();
         let received = match scope {
             HubScope::Changed => cursor.received,
             HubScope::Received => content.version,
