--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -37,15 +37,15 @@
         match self {
             OrderError::InvalidPlan(error) => error.fmt(f),
             OrderError::NoMajority => f.write_str(
-                "no majority of keepers answered in time; send the order again, to this or another instance",
+                "no majority of keepers answered in time; send the order again, here or elsewhere",
             ),
-            OrderError::NoPlan => f.write_str("no plan has been published yet; send one"),
+            OrderError::NoPlan => f.write_str("there is no plan yet; send one"),
             OrderError::UnknownHall(known) => {
                 let known = known.iter().map(HallName::as_str).collect::<Vec<_>>().join(", ");
-                write!(f, "unknown data hall; use one of {known}")
+                write!(f, "no data hall has this name; send one of {known}")
             }
             OrderError::Overtaken => f.write_str(
-                "a contrary order was given while this order was being processed; send it again if it still applies",
+                "the contrary was ordered while this order was under way; send it again if it still holds",
             ),
         }
     }
--- a/crates/micaspool-gateway/src/metrics.rs
+++ b/crates/micaspool-gateway/src/metrics.rs
@@ -84,24 +84,16 @@
     }
 
     fn register_counters(&self, registry: &mut Registry) {
-        registry.register("micaspool_gateway_answers", "Complete answers passed on", self.answered.clone());
+        registry.register("micaspool_gateway_answers", "Whole answers passed on", self.answered.clone());
         registry.register("micaspool_gateway_refusals", "Refused requests by kind", self.refused.clone());
         registry.register("micaspool_gateway_failures", "Failed sends by kind", self.failures.clone());
-        registry.register(
-            "micaspool_gateway_left",
-            "Requests whose caller disconnected",
-            self.callers_left.clone(),
-        );
-        registry.register("micaspool_gateway_broken", "Answers that broke off", self.broken.clone());
-        registry.register(
-            "micaspool_gateway_resumed",
-            "Streams resumed at another endpoint",
-            self.resumed.clone(),
-        );
+        registry.register("micaspool_gateway_left", "Requests whose caller left", self.callers_left.clone());
+        registry.register("micaspool_gateway_broken", "Answers that broke", self.broken.clone());
+        registry.register("micaspool_gateway_resumed", "Streams resumed elsewhere", self.resumed.clone());
     }
 
     fn register_histograms_and_gauges(&self, registry: &mut Registry) {
-        let wait_help = "Seconds from ticket to grant or refusal";
+        let wait_help = "Seconds from ticket to grant";
         registry.register("micaspool_gateway_wait_seconds", wait_help, self.wait_seconds.clone());
         let first_byte_help = "Seconds from arrival to the first byte of the answer";
         registry.register(
@@ -113,25 +105,21 @@
         registry.register("micaspool_gateway_total_seconds", total_help, self.total_seconds.clone());
         let opened_help = "Connections to endpoints opened so far";
         registry.register("micaspool_gateway_opened", opened_help, self.connections_opened.clone());
-        registry.register(
-            "micaspool_gateway_callers",
-            "Open connections of callers",
-            self.callers_open.clone(),
-        );
-        registry.register("micaspool_gateway_plan", "Number of the plan in force", self.plan_number.clone());
-        let resting_help = "Endpoints that asked this gateway to back off";
+        registry.register("micaspool_gateway_callers", "Open connections", self.callers_open.clone());
+        registry.register("micaspool_gateway_plan", "Plan in force", self.plan_number.clone());
+        let resting_help = "Endpoints that asked this gateway for rest";
         registry.register(
             "micaspool_gateway_resting_endpoints",
             resting_help,
             self.endpoints_resting.clone(),
         );
-        let leaving_help = "Endpoints that announced in a response that they are leaving";
+        let leaving_help = "Endpoints that said in an answer that they leave";
         registry.register(
             "micaspool_gateway_leaving_endpoints",
             leaving_help,
             self.endpoints_leaving.clone(),
         );
-        let evacuated_help = "Data halls evacuated by order of an operator";
+        let evacuated_help = "Data halls that are evacuated by an operator's order";
         registry.register("micaspool_gateway_evacuated_halls", evacuated_help, self.halls_evacuated.clone());
     }
 
--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -49,7 +49,7 @@
                 write!(f, "this keeper is not the leader; send the command to {leader}")
             }
             EngineError::NotLeader(None) => f.write_str("no leader is known; retry shortly"),
-            EngineError::Stopped => f.write_str("the keeper has stopped; check its log, then restart it"),
+            EngineError::Stopped => f.write_str("the keeper has stopped; see its log, then restart it"),
         }
     }
 }
--- a/crates/micaspool-keeper/src/service.rs
+++ b/crates/micaspool-keeper/src/service.rs
@@ -65,7 +65,7 @@
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) => Err(stopped()),
             Err(_) => Err(Status::deadline_exceeded(
-                "no majority confirmed the command in time; send it again with the same id",
+                "no majority confirmed in time; send it again with the same id",
             )),
         }
     }
@@ -126,7 +126,7 @@
                 record(&events::CHANGE_REJECTED, &[field("change", id), field("operator", operator)]);
                 Outcome::Rejected(error.to_string())
             }
-            Ok(_) => return Err(Status::internal("the reply does not match the command; report a bug")),
+            Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
             Err(error) => Outcome::NotLeader(self.not_leader(error)?),
         };
         Ok(Response::new(v1::ApplyReply { outcome: Some(outcome) }))
@@ -157,9 +157,7 @@
         let traced = Some(request.traceparent.as_str()).filter(|parent| !parent.is_empty());
         let _span = traced.map(|parent| self.spans.start("keeper", Some(parent)));
         let body = <[u8; 32]>::try_from(request.body_hash.as_slice()).map_err(|_| {
-            Status::invalid_argument(
-                "the body hash must have 32 bytes; run the same version on all instances",
-            )
+            Status::invalid_argument("a body hash has 32 bytes; run the same version everywhere")
         })?;
         let command = ClaimCommand {
             key: claim_key(&request.customer, &request.key)?,
@@ -169,7 +167,7 @@
         };
         let reply = match self.submit_command(KeeperCommand::Claim(command)).await? {
             Ok(KeeperReply::Claimed(verdict)) => verdict_message(verdict),
-            Ok(_) => return Err(Status::internal("the reply does not match the command; report a bug")),
+            Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
             Err(error) => {
                 v1::ClaimReply { not_leader: Some(self.not_leader(error)?), ..v1::ClaimReply::default() }
             }
@@ -207,7 +205,7 @@
         let document = PlanDocument { number: request.number, text: request.document.into() };
         let reply = match self.submit_command(KeeperCommand::Publish(document)).await? {
             Ok(KeeperReply::Published(number)) => v1::PublishReply { in_force: number, not_leader: None },
-            Ok(_) => return Err(Status::internal("the reply does not match the command; report a bug")),
+            Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
             Err(error) => v1::PublishReply { in_force: 0, not_leader: Some(self.not_leader(error)?) },
         };
         Ok(Response::new(reply))
@@ -242,7 +240,7 @@
                 record_verdict(log_fields, verdict);
                 order_reply(verdict)
             }
-            Ok(_) => return Err(Status::internal("the reply does not match the command; report a bug")),
+            Ok(_) => return Err(Status::internal("the reply does not fit the command; report this")),
             Err(error) => v1::OrderHallReply {
                 not_leader: Some(self.not_leader(error)?),
                 ..v1::OrderHallReply::default()
@@ -303,7 +301,7 @@
         self.inputs.send(event).await.map_err(|_| Status::unavailable("the keeper has stopped"))?;
         record(&events::GROUP_FORMED, &[field("operator", operator)]);
         let text =
-            "this keeper now forms the group alone; start the others with empty data folders".to_owned();
+            "this keeper now leads a group of its own; start the others with empty data folders".to_owned();
         Ok(Response::new(v1::RecoverReply { text }))
     }
 
--- a/crates/micaspool-keeper/src/status.rs
+++ b/crates/micaspool-keeper/src/status.rs
@@ -50,18 +50,18 @@
         registry.register("micaspool_keeper_leads", "1 while this keeper leads", gauges.leads.clone());
         registry.register(
             "micaspool_keeper_confirmed",
-            "1 while this keeper is confirmed by a majority",
+            "1 while a majority is heard",
             gauges.confirmed.clone(),
         );
-        registry.register("micaspool_ledger_keys", "Idempotency keys in the ledger", gauges.keys.clone());
+        registry.register("micaspool_ledger_keys", "Remembered idempotency keys", gauges.keys.clone());
         registry.register(
             "micaspool_ledger_answer_bytes",
-            "Size of the answers in the ledger in bytes",
+            "Bytes of kept answers",
             gauges.answer_bytes.clone(),
         );
-        let help = "Data halls evacuated by an operator";
+        let help = "Data halls that are evacuated by an operator's order";
         registry.register("micaspool_keeper_evacuated_halls", help, gauges.evacuated.clone());
-        registry.register("micaspool_keeper_syncs", "Syncs of the keeper files", gauges.syncs.clone());
+        registry.register("micaspool_keeper_syncs", "Syncs of the log so far", gauges.syncs.clone());
         KeeperStatusSource { view, registry, traffic, gauges }
     }
 
--- a/crates/micaspool-router/src/metrics.rs
+++ b/crates/micaspool-router/src/metrics.rs
@@ -37,10 +37,10 @@
             running: Gauge::default(),
         };
         registry.register("micaspool_requests", "Requests by result", metrics.results.clone());
-        let wait_help = "Seconds from ticket to grant or refusal";
+        let wait_help = "Seconds from arrival to grant";
         registry.register("micaspool_wait_seconds", wait_help, metrics.wait_seconds.clone());
         registry.register("micaspool_cost", "Cost delivered: tokens, or calls", metrics.cost.clone());
-        registry.register("micaspool_retries", "Retries of requests", metrics.retries.clone());
+        registry.register("micaspool_retries", "Requests sent again", metrics.retries.clone());
         registry.register("micaspool_settings_revision", "Revision in force", metrics.revision.clone());
         registry.register("micaspool_waiting_requests", "Waiting requests", metrics.waiting.clone());
         registry.register("micaspool_running_requests", "Running requests", metrics.running.clone());
--- a/crates/micaspool-settings/src/apply/change.rs
+++ b/crates/micaspool-settings/src/apply/change.rs
@@ -120,9 +120,9 @@
                 f,
                 "conflict: {winner} used this change id with other content for revision {revision}; choose a new id"
             ),
-            Error::Malformed(reason) => write!(f, "the patch is not valid JSON ({reason}); correct it and send it again"),
+            Error::Malformed(reason) => write!(f, "the patch is not JSON ({reason}); mend it and send it again"),
             Error::Invalid(faults) => {
-                write!(f, "the change would make the tree invalid; correct it and send it again:\n{}", join_faults(faults))
+                write!(f, "the tree would have faults; mend them and send the change again:\n{}", join_faults(faults))
             }
         }
     }
