--- a/crates/micaspool-dispatch/src/candidates.rs
+++ b/crates/micaspool-dispatch/src/candidates.rs
@@ -1,106 +1,108 @@
-//! To which of its ranked dispatchers a router speaks.
+//! Chooses which of its ranked dispatchers a router connects to.
 //!
-//! A router uses the first that it can reach. While it uses a lower-ranked one it watches the higher-ranked
-//! ones, and moves once the best of those that answer has done so for the whole hold-down time.
+//! A router uses the first candidate that it can reach. While it uses a lower-ranked one, it watches
+//! the higher-ranked ones and switches once the best of those that answer has done so for the whole
+//! hold-down time.
 //!
-//! The load this is made for is a whole fleet that returns at once: all dispatchers were gone, each
-//! router serves with its last resort, and each reaches the returning dispatchers in an order of
-//! its own. Moving to the first that answers would start a shard on each of them, and all routers
-//! would move a second time. So a dispatcher that was lost has to answer for a while first, and the
-//! best of those that answer is waited for. What is known of a candidate from elsewhere is used
-//! instead of asking it: 295 routers that each ask four candidates for two services twice a second
-//! are 4,720 calls a second on new connections, more than five dispatchers with 0.3 of a core bear.
+//! The hold-down is designed for the return of all dispatchers at once. Until then each router uses its
+//! last resort, and each reaches the returning dispatchers in a different order. If routers connected
+//! to the first one that answers, each dispatcher would start a shard and all routers would have to
+//! switch again. A lost dispatcher therefore has to answer for some time before it is used, and routers
+//! wait for the best of those that answer. If the health of a candidate is known from another stream,
+//! it is not probed: 295 routers that each probe four candidates for two services twice a second make
+//! 4,720 calls per second on new connections, more than five dispatchers with 0.3 of a core can handle.
 
 use micaspool_types::{stable_hash, InstanceName, Moment};
 use std::time::Duration;
 
-/// Times of a [`CandidateChoice`].
+/// Timing of a [`CandidateChoice`].
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceOptions {
-    /// The first pause before an unreachable candidate is tried again; it doubles.
-    pub first_pause: Duration,
-    /// The longest pause.
-    pub longest_pause: Duration,
-    /// For how long a higher-ranked candidate must answer before the router moves to it.
+    /// The backoff after the first failure of a candidate; it doubles with each further one.
+    pub initial_backoff: Duration,
+    /// The longest backoff.
+    pub max_backoff: Duration,
+    /// How long a higher-ranked candidate must answer before the router switches to it.
     pub hold_down: Duration,
-    /// The same for a router that uses its last resort, which serves worse than any other.
-    pub return_hold_down: Duration,
-    /// For how long a router that has just started waits for better candidates that it has not
-    /// heard of yet.
-    pub patience: Duration,
-    /// For how long a followed candidate is lost before its stream is given up as well.
-    pub loss_confirmation: Duration,
-    /// How often higher-ranked candidates are asked.
+    /// The same time for a router on its last resort, which serves worse than any other candidate.
+    pub last_resort_hold_down: Duration,
+    /// How long a router that has just started waits for higher-ranked candidates that are still
+    /// pending.
+    pub startup_wait: Duration,
+    /// How long an observed candidate must be lost before the stream to it is given up.
+    pub loss_timeout: Duration,
+    /// The interval between probes of higher-ranked candidates.
     pub probe_interval: Duration,
 }
 
 impl Default for ChoiceOptions {
     fn default() -> Self {
         ChoiceOptions {
-            first_pause: Duration::from_millis(50),
-            longest_pause: Duration::from_secs(1),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(1),
             hold_down: Duration::from_secs(2),
-            return_hold_down: Duration::from_millis(600),
-            patience: Duration::from_millis(300),
-            loss_confirmation: Duration::from_millis(500),
+            last_resort_hold_down: Duration::from_millis(600),
+            startup_wait: Duration::from_millis(300),
+            loss_timeout: Duration::from_millis(500),
             probe_interval: Duration::from_millis(500),
         }
     }
 }
 
-/// Over how long the moves of all routers are spread, so that a dispatcher does not take in a whole
-/// fleet within one of its time slices.
-const MOVE_SPREAD: Duration = Duration::from_millis(500);
+/// The period over which routers spread their switches, so that a dispatcher does not accept a whole
+/// fleet within one scheduler time slice.
+const SWITCH_SPREAD: Duration = Duration::from_millis(500);
 
 impl ChoiceOptions {
-    /// The defaults with hold-down times that differ from router to router.
+    /// The default options with hold-down times that vary by router.
     pub fn spread_for(router: &InstanceName) -> ChoiceOptions {
         const PARTS: u64 = 64;
         let part = stable_hash(router.as_str().bytes()) % PARTS;
-        let extra = MOVE_SPREAD * u32::try_from(part).unwrap_or(0) / u32::try_from(PARTS).unwrap_or(1);
+        let extra = SWITCH_SPREAD * u32::try_from(part).unwrap_or(0) / u32::try_from(PARTS).unwrap_or(1);
         let options = ChoiceOptions::default();
         ChoiceOptions {
             hold_down: options.hold_down + extra,
-            return_hold_down: options.return_hold_down + extra,
+            last_resort_hold_down: options.last_resort_hold_down + extra,
             ..options
         }
     }
 }
 
-/// What another stream to the same process tells of a candidate.
+/// The health of a candidate, observed on another stream to the same process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum CandidateReach {
-    /// No try has come to an end yet.
+pub enum CandidateHealth {
+    /// No attempt to reach it has completed yet.
     Pending,
-    /// The process speaks to this router.
-    Answers,
-    /// It should have spoken and has not; it is used on, and no router moves to it. When all dispatchers lose
-    /// power, a router finds out that its own is gone before the others count as lost; tried one after the
-    /// other until they were back, they took in 182, 66, 30 and 14 of 295 routers.
-    Quiet,
-    /// The process is not reached, or no more.
+    /// The process sends messages to this router.
+    Answering,
+    /// A message from it is overdue. A router that uses it stays, and no router switches to it. When
+    /// all dispatchers lose power, a router notices the loss of its own before the others count as
+    /// lost. When routers then tried the others one after the other until they were back, these took in
+    /// 182, 66, 30 and 14 of 295 routers.
+    Unresponsive,
+    /// The process can't be reached, or no longer.
     Lost,
 }
 
-/// How a router knows whether a candidate answers.
+/// How a router learns whether a candidate answers.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CandidateKind {
-    /// It asks.
-    Asked,
-    /// Another stream to the same process tells.
-    Followed(CandidateReach),
-    /// It is inside the router's own process and always answers; it comes last.
+    /// The router probes it.
+    Probed,
+    /// The router observes another stream to the same process.
+    Observed(CandidateHealth),
+    /// It runs inside the router's own process and always answers; it is ranked last.
     LastResort,
 }
 
-/// What a router should do about its dispatcher.
+/// The next step of a router in the choice of its dispatcher.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ChoiceStep {
     /// Open a stream to the candidate of this rank.
     Connect(usize),
-    /// See whether the candidate of this rank answers, and keep the present stream.
+    /// Probe the candidate of this rank and keep the current stream.
     Probe(usize),
-    /// Nothing before this moment.
+    /// Do nothing before this moment.
     Wait(Moment),
 }
 
@@ -108,154 +110,155 @@
 struct CandidateState {
     kind: CandidateKind,
     failures: u32,
-    not_before: Moment,
+    retry_at: Moment,
     answering_since: Option<Moment>,
     lost_since: Option<Moment>,
-    /// True once it was lost: what returns has to answer for a while before it is used.
-    returned: bool,
+    /// True once it was lost; it then has to answer for some time before it is used.
+    was_lost: bool,
     probe_at: Moment,
 }
 
 impl CandidateState {
     fn new(now: Moment, kind: CandidateKind) -> CandidateState {
         let mut state = CandidateState {
-            kind: CandidateKind::Asked,
+            kind: CandidateKind::Probed,
             failures: 0,
-            not_before: Moment(0),
+            retry_at: Moment(0),
             answering_since: None,
             lost_since: None,
-            returned: false,
+            was_lost: false,
             probe_at: Moment(0),
         };
-        state.hear(now, kind);
+        state.update_kind(now, kind);
         state
     }
 
-    /// Takes in what is known from elsewhere.
-    fn hear(&mut self, now: Moment, kind: CandidateKind) {
+    /// Updates the kind and what follows from an observed health.
+    fn update_kind(&mut self, now: Moment, kind: CandidateKind) {
         self.kind = kind;
         match kind {
-            CandidateKind::Followed(CandidateReach::Answers) => {
+            CandidateKind::Observed(CandidateHealth::Answering) => {
                 self.answering_since.get_or_insert(now);
                 self.lost_since = None;
             }
-            CandidateKind::Followed(CandidateReach::Lost) => {
+            CandidateKind::Observed(CandidateHealth::Lost) => {
                 self.answering_since = None;
                 self.lost_since.get_or_insert(now);
-                self.returned = true;
+                self.was_lost = true;
             }
             _ => {}
         }
     }
 
-    /// True when it answers as far as is known at this moment.
+    /// True if it answers according to the latest information.
     fn is_answering(&self) -> bool {
-        self.answering_since.is_some() && self.kind != CandidateKind::Followed(CandidateReach::Quiet)
+        self.answering_since.is_some() && self.kind != CandidateKind::Observed(CandidateHealth::Unresponsive)
     }
 
     fn has_answered_for(&self, now: Moment, time: Duration) -> bool {
         self.is_answering() && self.answering_since.is_some_and(|since| now.since(since) >= time)
     }
 
-    /// When a router without a stream may use it; `None` while that can't be said.
+    /// When a router without a stream may use it; `None` if that is not known yet.
     fn usable_at(&self, options: &ChoiceOptions) -> Option<Moment> {
         match self.kind {
-            CandidateKind::Followed(CandidateReach::Answers) if self.returned => {
-                let settled = self.answering_since? + options.return_hold_down;
-                Some(settled.max(self.not_before))
+            CandidateKind::Observed(CandidateHealth::Answering) if self.was_lost => {
+                let settled = self.answering_since? + options.last_resort_hold_down;
+                Some(settled.max(self.retry_at))
             }
-            CandidateKind::Followed(
-                CandidateReach::Pending | CandidateReach::Quiet | CandidateReach::Lost,
+            CandidateKind::Observed(
+                CandidateHealth::Pending | CandidateHealth::Unresponsive | CandidateHealth::Lost,
             ) => None,
-            _ => Some(self.not_before),
+            _ => Some(self.retry_at),
         }
     }
 }
 
-/// Chooses among ranked candidates; the caller reports what came of each step.
+/// Chooses among ranked candidates; the caller reports the result of each step.
 #[derive(Clone, Debug)]
 pub struct CandidateChoice {
     options: ChoiceOptions,
-    began: Moment,
+    started_at: Moment,
     candidates: Vec<CandidateState>,
     current: Option<usize>,
 }
 
 impl CandidateChoice {
-    /// A choice among this many candidates, all of which have to be asked.
+    /// Creates a choice among `count` candidates, all of which are probed.
     pub fn new(count: usize, options: ChoiceOptions) -> CandidateChoice {
-        CandidateChoice::of(Moment(0), vec![CandidateKind::Asked; count], options)
+        CandidateChoice::of(Moment(0), vec![CandidateKind::Probed; count], options)
     }
 
-    /// A choice among candidates of these kinds, in the order of their rank.
+    /// Creates a choice among candidates of these kinds, in order of rank.
     pub fn of(now: Moment, kinds: Vec<CandidateKind>, options: ChoiceOptions) -> CandidateChoice {
         let candidates = kinds.into_iter().map(|kind| CandidateState::new(now, kind)).collect();
-        CandidateChoice { options, began: now, candidates, current: None }
+        CandidateChoice { options, started_at: now, candidates, current: None }
     }
 
-    /// Takes a changed list over: each candidate's rank before, and what is known of it now. What was
-    /// seen of a candidate stays with it; the present one is dropped when it is no longer listed.
-    pub fn update(&mut self, now: Moment, places: &[(Option<usize>, CandidateKind)]) {
+    /// Replaces the list of candidates. Each entry has the candidate's previous rank, if any, and its
+    /// kind. The state of known candidates is kept; the current one is dropped if it is no longer
+    /// listed.
+    pub fn update(&mut self, now: Moment, changes: &[(Option<usize>, CandidateKind)]) {
         let state = |(before, kind): &(Option<usize>, CandidateKind)| match before {
             Some(rank) => {
                 let mut state = self.candidates[*rank];
-                state.hear(now, *kind);
+                state.update_kind(now, *kind);
                 state
             }
             None => CandidateState::new(now, *kind),
         };
-        let candidates = places.iter().map(state).collect();
+        let candidates = changes.iter().map(state).collect();
         let current = self.current;
-        self.current = current.and_then(|rank| places.iter().position(|(before, _)| *before == Some(rank)));
+        self.current = current.and_then(|rank| changes.iter().position(|(before, _)| *before == Some(rank)));
         self.candidates = candidates;
     }
 
-    /// The rank of the candidate that is used now.
+    /// The rank of the candidate in use.
     pub fn current(&self) -> Option<usize> {
         self.current
     }
 
-    /// True when the process of the present candidate has been lost for long enough to leave it.
+    /// True if the process of the current candidate has been lost for long enough to leave it.
     pub fn has_lost_current(&self, now: Moment) -> bool {
         let lost = self.current.and_then(|rank| self.candidates[rank].lost_since);
-        lost.is_some_and(|since| now.since(since) >= self.options.loss_confirmation)
+        lost.is_some_and(|since| now.since(since) >= self.options.loss_timeout)
     }
 
-    /// What to do next.
+    /// The next step.
     pub fn next(&self, now: Moment) -> ChoiceStep {
         match self.current {
             None => self.next_connect(now),
-            Some(rank) => self.next_move(now, rank),
+            Some(rank) => self.next_switch(now, rank),
         }
     }
 
-    /// The stream to this candidate is open.
+    /// Records that the stream to this candidate is open.
     pub fn connected(&mut self, rank: usize) {
         self.candidates[rank].failures = 0;
         self.candidates[rank].answering_since = None;
         self.current = Some(rank);
     }
 
-    /// The candidate could not be reached, or its stream ended.
+    /// Records that the candidate could not be reached, or that its stream ended.
     pub fn failed(&mut self, now: Moment, rank: usize) {
         let state = &mut self.candidates[rank];
-        let pause = self.options.first_pause * (1 << state.failures.min(8));
+        let backoff = self.options.initial_backoff * (1 << state.failures.min(8));
         state.failures += 1;
-        state.not_before = now + pause.min(self.options.longest_pause);
+        state.retry_at = now + backoff.min(self.options.max_backoff);
         state.answering_since = None;
         if self.current == Some(rank) {
             self.current = None;
         }
     }
 
-    /// The candidate asked to be connected to again; it has not failed.
+    /// Records that the candidate asked the router to reconnect, which is not a failure.
     pub fn left(&mut self, rank: usize) {
         if self.current == Some(rank) {
             self.current = None;
         }
     }
 
-    /// A probe of this candidate has ended.
+    /// Records the result of a probe.
     pub fn probed(&mut self, now: Moment, rank: usize, answered: bool) {
         let state = &mut self.candidates[rank];
         state.probe_at = now + self.options.probe_interval;
@@ -266,12 +269,12 @@
     }
 
     fn next_connect(&self, now: Moment) -> ChoiceStep {
-        let patient_until = self.began + self.options.patience;
+        let startup_deadline = self.started_at + self.options.startup_wait;
         let mut next = None;
         for (rank, state) in self.candidates.iter().enumerate() {
-            let pending = state.kind == CandidateKind::Followed(CandidateReach::Pending);
-            if pending && now < patient_until {
-                return ChoiceStep::Wait(patient_until);
+            let pending = state.kind == CandidateKind::Observed(CandidateHealth::Pending);
+            if pending && now < startup_deadline {
+                return ChoiceStep::Wait(startup_deadline);
             }
             match state.usable_at(&self.options) {
                 Some(at) if at <= now => return ChoiceStep::Connect(rank),
@@ -282,25 +285,26 @@
         ChoiceStep::Wait(next.unwrap_or(now + self.options.probe_interval))
     }
 
-    fn next_move(&self, now: Moment, rank: usize) -> ChoiceStep {
+    fn next_switch(&self, now: Moment, rank: usize) -> ChoiceStep {
         let better = &self.candidates[..rank];
         if let Some(target) = self.better_candidate(now, rank) {
             return ChoiceStep::Connect(target);
         }
-        let asked = |state: &&CandidateState| state.kind == CandidateKind::Asked;
-        let due = |state: &CandidateState| asked(&state) && state.probe_at <= now;
-        if let Some(target) = better.iter().position(due) {
+        let is_probed = |state: &&CandidateState| state.kind == CandidateKind::Probed;
+        let probe_due = |state: &CandidateState| is_probed(&state) && state.probe_at <= now;
+        if let Some(target) = better.iter().position(probe_due) {
             return ChoiceStep::Probe(target);
         }
-        let next = better.iter().filter(asked).map(|state| state.probe_at).min();
+        let next = better.iter().filter(is_probed).map(|state| state.probe_at).min();
         ChoiceStep::Wait(next.unwrap_or(now + self.options.probe_interval))
     }
 
-    /// The better candidate to move to now. The best of those that answer is waited for, unless it
-    /// keeps coming and going while another one has answered for twice the time.
+    /// The higher-ranked candidate to switch to now. This is the best one that answers; another one is
+    /// chosen only if it has answered for twice the hold-down time while the best one has not answered
+    /// without interruption.
     fn better_candidate(&self, now: Moment, rank: usize) -> Option<usize> {
         let hold_down = match self.candidates[rank].kind {
-            CandidateKind::LastResort => self.options.return_hold_down,
+            CandidateKind::LastResort => self.options.last_resort_hold_down,
             _ => self.options.hold_down,
         };
         let better = &self.candidates[..rank];
--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -1,10 +1,10 @@
-//! The shard core: which endpoint serves which waiting request of one service, and when.
+//! The shard core: decides which endpoint serves which waiting request of a service, and when.
 //!
 //! * [`ShardCore`] is a state machine: [`ShardCore::step`] takes a moment and a [`ShardEvent`] and
-//!   adds [`ShardAction`]s to the caller's buffer,
-//! * [`ShardOptions`] has its limits and times,
-//! * [`CandidateChoice`] decides to which dispatcher a router speaks,
-//!   and [`AskThrottle`] which requests it keeps from it.
+//!   appends [`ShardAction`]s to the caller's buffer,
+//! * [`ShardOptions`] holds its limits and timing,
+//! * [`CandidateChoice`] decides which dispatcher a router connects to, and [`RequestThrottle`] which
+//!   requests are sent to it.
 //!
 //! Everything here is free of I/O, clocks and randomness.
 #![deny(missing_docs, rust_2018_idioms)]
@@ -18,17 +18,18 @@
 mod shard;
 mod throttle;
 
-pub use action::{ReleaseReason, ShardAction, StandingCause};
-pub use candidates::{CandidateChoice, CandidateKind, CandidateReach, ChoiceOptions, ChoiceStep};
+pub use action::{RefusalReason, ShardAction, StandingCause};
+pub use candidates::{CandidateChoice, CandidateHealth, CandidateKind, ChoiceOptions, ChoiceStep};
 pub use event::{
-    CacheNews, ColdTerms, CustomerTotal, EndpointSpec, GrantFate, HeldGrant, HeldTotal, KeptPart, LoadReport,
-    RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent, ShardPolicy,
+    CacheUpdate, CachedPart, ColdStartLimits, CustomerTotal, EndpointSpec, GrantOutcome, HeldGrant,
+    HeldTotal, LoadReport, RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent,
+    ShardPolicy,
 };
 pub use micaspool_quarantine::{CrashRecord, EndpointCrash, QuarantineOptions, RequestStanding};
 pub use options::{ShardOptions, ShardOptionsBuilder};
-pub use ranking::{rank_apart, rank_candidates};
+pub use ranking::{rank_candidates, rank_distinct};
 pub use shard::{
-    CustomerFlow, CustomerStatus, EndpointClosure, EndpointStatus, PaceStatus, ShardCore, ShardStatus,
+    CustomerCounters, CustomerStatus, EndpointClosure, EndpointStatus, PrefillStatus, ShardCore, ShardStatus,
     SuspectStatus,
 };
-pub use throttle::AskThrottle;
+pub use throttle::RequestThrottle;
--- a/crates/micaspool-dispatch/src/shard/evacuation.rs
+++ b/crates/micaspool-dispatch/src/shard/evacuation.rs
@@ -1,22 +1,22 @@
-//! What becomes of tickets while data halls are evacuated.
+//! Tickets during the evacuation of data halls.
 //!
-//! The closed endpoints count for nothing where waits are estimated, so most that can't be served is refused on arrival
-//! as at any other loss of capacity. A ticket that only closed endpoints could run would wait for an operator's word:
-//! it is refused at once.
+//! Closed endpoints don't count when waits are estimated, so most tickets that can't be served are
+//! refused on arrival, as after any other loss of capacity. A ticket that can only run in evacuated
+//! halls is refused at once, since it would otherwise wait until an operator reopens one.
 
 use super::endpoints::EndpointTable;
 use super::overdue::RefusalCause;
 use super::ShardCore;
-use crate::action::{ReleaseReason, ShardAction};
+use crate::action::{RefusalReason, ShardAction};
 use micaspool_types::{HallMask, Moment, RequestId};
 
 impl EndpointTable {
-    /// True when there are endpoints in these halls, and all of them stand in evacuated ones.
+    /// True if there are endpoints in these halls and all of them are in evacuated ones.
     pub fn all_evacuated(&self, halls: HallMask) -> bool {
         let mut some = false;
         for state in self.iter() {
-            let in_use = state.slots > 0 && halls.contains(state.hall) && !state.doors.is_leaving();
-            if in_use && !state.doors.evacuated {
+            let in_use = state.slots > 0 && halls.contains(state.hall) && !state.availability.is_leaving();
+            if in_use && !state.availability.evacuated {
                 return false;
             }
             some |= in_use;
@@ -26,9 +26,9 @@
 }
 
 impl ShardCore {
-    /// Refuses the waiting tickets that only endpoints in evacuated halls could run.
+    /// Refuses the waiting tickets that can only run in evacuated halls.
     pub(super) fn refuse_evacuated(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
-        if !self.endpoints.iter().any(|state| state.doors.evacuated) {
+        if !self.endpoints.iter().any(|state| state.availability.evacuated) {
             return;
         }
         let closed = |request: &RequestId| {
@@ -38,7 +38,7 @@
         let mut requests: Vec<RequestId> = self.waiting.keys().copied().filter(closed).collect();
         requests.sort();
         for request in requests {
-            self.refuse_for(now, request, RefusalCause::of(ReleaseReason::HallsEvacuated), actions);
+            self.refuse_for(now, request, RefusalCause::of(RefusalReason::HallsEvacuated), actions);
         }
     }
 }
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -1,42 +1,43 @@
-//! What tells for and against a request: how its runs end, and what is heard of its endpoints afterwards.
+//! Evidence for and against a suspected request: the outcomes of its runs, and signs of life from its
+//! endpoints.
 
 use super::endpoints::EndpointIndex;
 use super::routers::RouterIndex;
 use super::suspects::{EndedRun, RecordHolders};
 use super::ShardCore;
 use crate::action::{ShardAction, StandingCause};
-use crate::event::{GrantFate, LoadReport};
+use crate::event::{GrantOutcome, LoadReport};
 use micaspool_quarantine::{CrashRecord, RequestStanding, TableChange};
 use micaspool_types::{Moment, RequestDigest};
 use std::time::Duration;
 
-/// How long after the end of an endpoint news of its runs may still come: routers told of breaks up to 0.7 s after the
-/// first. What comes later shows that it is alive.
-const STRAGGLING: Duration = Duration::from_secs(1);
-/// For how long a load report tells whether an endpoint ended before it was asked for. Its address may be another's
-/// some two seconds after its end.
+/// How long after a crash events of the endpoint's other runs may still arrive. Routers reported broken
+/// runs up to 0.7 s after the first. Later events show that the endpoint is alive.
+const STRAGGLER_WINDOW: Duration = Duration::from_secs(1);
+/// A load report refutes crashes recorded up to this long before it was requested. The endpoint's
+/// address may belong to another one some two seconds after its end.
 pub(super) const REPORT_WINDOW: Duration = Duration::from_millis(1_500);
-/// How often old records are looked for.
+/// The interval between checks for expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl ShardCore {
-    /// Learns from how a run ended, as its router says.
-    pub(super) fn judge(
+    /// Updates the records with the outcome of a run, as reported by its router.
+    pub(super) fn record_outcome(
         &mut self,
         now: Moment,
         ended: &EndedRun,
-        fate: GrantFate,
+        fate: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
         if self.suspects.standing(now, ended.digest).is_in_doubt() {
-            // A copy that waits may run now, though no endpoint was full.
-            self.fill_due = now;
+            // A waiting copy may be allowed to run now, though no endpoint has become free.
+            self.next_pass_due = now;
         }
         match fate {
-            GrantFate::Severed => self.note_severed(now, ended, actions),
-            GrantFate::Done => {
-                self.hear_endpoint(now, ended.endpoint, actions);
-                self.acquit(now, ended.digest, StandingCause::Answered, actions);
+            GrantOutcome::Severed => self.note_severed(now, ended, actions),
+            GrantOutcome::Done => {
+                self.note_endpoint_response(now, ended.endpoint, actions);
+                self.clear_suspicion(now, ended.digest, StandingCause::Answered, actions);
             }
             _ => {}
         }
@@ -47,22 +48,22 @@
         let endpoint = self.endpoints.name(ended.endpoint).clone();
         let customer = self.customers.get(ended.customer).name.clone();
         if self.endpoints.is_leaving(ended.endpoint) {
-            // It ends since it was told to. The router that saw it is told that nothing is held against the request.
+            // The endpoint ended because it was told to. Clears the record of the router that saw it.
             let record = self.record_of(now, digest, &customer);
             let session = self.routers.session(ended.router);
-            actions.extend(session.map(|session| ShardAction::TellRecord { session, record }));
+            actions.extend(session.map(|session| ShardAction::SendRecord { session, record }));
             return;
         }
         if !self.suspects.table.has_endpoint(&endpoint) {
-            actions.push(ShardAction::AskEndpoint { endpoint: endpoint.clone() });
+            actions.push(ShardAction::ProbeEndpoint { endpoint: endpoint.clone() });
         }
         let change = self.suspects.table.note_crash(now, digest, &customer, &endpoint);
         self.suspects.note_witness(digest, ended.router);
-        self.note_worse(now, change, StandingCause::EndpointEnded, actions);
+        self.worsen_standing(now, change, StandingCause::EndpointEnded, actions);
     }
 
-    /// A router joins with what it knows of requests under which endpoints ended.
-    pub(super) fn join_suspects(
+    /// Merges the crash records of a router that joins.
+    pub(super) fn merge_suspects(
         &mut self,
         now: Moment,
         router: RouterIndex,
@@ -73,58 +74,58 @@
             let change = self.suspects.table.merge(now, record);
             self.suspects.note_witness(record.digest, router);
             if change.before != change.after {
-                self.note_worse(now, change, StandingCause::RouterJoined, actions);
+                self.worsen_standing(now, change, StandingCause::RouterJoined, actions);
             }
         }
-        self.tell_shut_out(now, router, actions);
+        self.send_quarantined(now, router, actions);
     }
 
-    /// A router that joins hears of all that is shut out.
-    fn tell_shut_out(&self, now: Moment, router: RouterIndex, actions: &mut Vec<ShardAction>) {
+    /// Sends the records of all quarantined requests to a router that joins.
+    fn send_quarantined(&self, now: Moment, router: RouterIndex, actions: &mut Vec<ShardAction>) {
         if self.suspects.table.is_empty() {
             return;
         }
         let Some(session) = self.routers.session(router) else { return };
         for (standing, record) in self.suspects.table.suspects(now) {
             if matches!(standing, RequestStanding::Quarantined { .. }) {
-                actions.push(ShardAction::TellRecord { session, record });
+                actions.push(ShardAction::SendRecord { session, record });
             }
         }
     }
 
-    /// More is held against a request than before.
-    fn note_worse(
+    /// Handles a standing that has become worse.
+    fn worsen_standing(
         &mut self,
         now: Moment,
         change: TableChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.note_standing(now, &change, cause, actions);
+        self.report_standing(now, &change, cause, actions);
         if matches!(change.after, RequestStanding::Quarantined { .. }) {
             self.suspects.holders.insert(change.digest, RecordHolders::All);
-            self.tell_holders(now, &change, actions);
+            self.notify_holders(now, &change, actions);
         }
         self.refuse_copies(now, &change, actions);
     }
 
-    /// Less is held against a request than before.
-    fn note_better(
+    /// Handles a standing that has become better.
+    fn improve_standing(
         &mut self,
         now: Moment,
         change: TableChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.note_standing(now, &change, cause, actions);
-        self.tell_holders(now, &change, actions);
+        self.report_standing(now, &change, cause, actions);
+        self.notify_holders(now, &change, actions);
         if change.after == RequestStanding::Clear {
             self.suspects.holders.remove(&change.digest);
         }
-        self.fill_due = now;
+        self.next_pass_due = now;
     }
 
-    fn note_standing(
+    fn report_standing(
         &self,
         now: Moment,
         change: &TableChange,
@@ -133,10 +134,10 @@
     ) {
         let record = self.record_of(now, change.digest, &change.customer);
         let (before, after) = (change.before, change.after);
-        actions.push(ShardAction::NoteStanding { record, before, after, cause });
+        actions.push(ShardAction::ReportStanding { record, before, after, cause });
     }
 
-    fn acquit(
+    fn clear_suspicion(
         &mut self,
         now: Moment,
         digest: Option<RequestDigest>,
@@ -145,22 +146,23 @@
     ) {
         let Some(digest) = digest.filter(|_| !self.suspects.table.is_empty()) else { return };
         if let Some(change) = self.suspects.table.clear(now, digest) {
-            self.note_better(now, change, cause, actions);
+            self.improve_standing(now, change, cause, actions);
         }
     }
 
-    /// An operator holds nothing against a request any more.
+    /// Clears a request's record on behalf of an operator.
     pub(super) fn lift_suspicion(
         &mut self,
         now: Moment,
         digest: RequestDigest,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.acquit(now, Some(digest), StandingCause::Lifted, actions);
+        self.clear_suspicion(now, Some(digest), StandingCause::Lifted, actions);
     }
 
-    /// News of a run come from an endpoint: it is alive, if they come too late to be stragglers.
-    pub(super) fn hear_endpoint(
+    /// Handles an event of a run on an endpoint. The endpoint is alive if the event arrives later than
+    /// `STRAGGLER_WINDOW` after a crash.
+    pub(super) fn note_endpoint_response(
         &mut self,
         now: Moment,
         endpoint: EndpointIndex,
@@ -169,18 +171,23 @@
         if self.suspects.table.is_empty() {
             return;
         }
-        let until = Moment(now.0.saturating_sub(micros(STRAGGLING)));
+        let until = Moment(now.0.saturating_sub(micros(STRAGGLER_WINDOW)));
         self.note_alive(now, endpoint, Moment(0), until, actions);
     }
 
-    /// An endpoint answered when it was asked for its load.
-    pub(super) fn hear_report(&mut self, now: Moment, report: &LoadReport, actions: &mut Vec<ShardAction>) {
+    /// Handles a load report, which shows that the endpoint is alive.
+    pub(super) fn note_load_response(
+        &mut self,
+        now: Moment,
+        report: &LoadReport,
+        actions: &mut Vec<ShardAction>,
+    ) {
         if self.suspects.table.is_empty() {
             return;
         }
         let Some(endpoint) = self.endpoints.by_name(&report.endpoint) else { return };
-        let from = Moment(report.asked_at.0.saturating_sub(micros(REPORT_WINDOW)));
-        self.note_alive(now, endpoint, from, report.asked_at, actions);
+        let from = Moment(report.requested_at.0.saturating_sub(micros(REPORT_WINDOW)));
+        self.note_alive(now, endpoint, from, report.requested_at, actions);
     }
 
     fn note_alive(
@@ -193,18 +200,18 @@
     ) {
         let name = self.endpoints.name(endpoint).clone();
         for change in self.suspects.table.note_alive(now, &name, &(from..=until)) {
-            self.note_better(now, change, StandingCause::EndpointAlive, actions);
+            self.improve_standing(now, change, StandingCause::EndpointAlive, actions);
         }
     }
 
-    /// Forgets what is long ago.
+    /// Removes expired crash records.
     pub(super) fn expire_suspects(&mut self, now: Moment, actions: &mut Vec<ShardAction>) {
         if now < self.suspects.next_expiry || self.suspects.table.is_empty() {
             return;
         }
         self.suspects.next_expiry = now + EXPIRY_INTERVAL;
         for change in self.suspects.table.expire(now) {
-            self.note_better(now, change, StandingCause::Expired, actions);
+            self.improve_standing(now, change, StandingCause::Expired, actions);
         }
         self.suspects.forget_holders();
     }
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -1,10 +1,10 @@
-//! A router joins: what it holds and what the shard knows are brought together.
+//! Reconciles the state of a router that joins with that of the shard.
 //!
-//! A shard that starts empty is rebuilt from its routers: they keep their own tickets with the
-//! order numbers that the earlier dispatcher returned, their running grants, and the newest level
-//! that they heard of each customer. This follows sender-based message logging (Johnson and
-//! Zwaenepoel), where messages and the order of their receipt are logged in the volatile memory
-//! of the senders; `docs/design/002-recovery.md` has the measurement.
+//! A shard that starts empty is rebuilt from its routers. They keep their own tickets with the order
+//! numbers from the previous dispatcher, their running grants, and the latest level of each customer
+//! that they received. This follows sender-based message logging (Johnson and Zwaenepoel), where the
+//! senders log messages and the order of their receipt in volatile memory;
+//! `docs/design/002-recovery.md` has the measurement.
 
 use super::engine::PromptShape;
 use super::grants::RunningGrant;
@@ -12,7 +12,7 @@
 use super::tickets::WaitingTicket;
 use super::ShardCore;
 use crate::action::ShardAction;
-use crate::event::{GrantFate, HeldGrant, HeldTotal, RequestTicket, RouterHello, SessionId};
+use crate::event::{GrantOutcome, HeldGrant, HeldTotal, RequestTicket, RouterHello, SessionId};
 use crate::shard::customers::QueuePlace;
 use micaspool_fair::{CustomerIndex, Rank, ServiceLevel};
 use micaspool_types::{Cost, Moment, RequestId};
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 impl ShardCore {
-    /// Takes a router in, with everything it holds.
+    /// Adds a router with everything it holds.
     pub(super) fn join(
         &mut self,
         now: Moment,
@@ -30,8 +30,8 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let router = self.routers.attach(now, session, &hello);
-        self.join_suspects(now, router, &hello.crashes, actions);
-        self.take_advice(now, router, &hello.advice);
+        self.merge_suspects(now, router, &hello.crashes, actions);
+        self.record_advice(now, router, &hello.advice);
         if self.options.use_held_state {
             for total in &hello.totals {
                 self.recover_level(total);
@@ -45,19 +45,19 @@
         let mut tickets: Vec<RequestTicket> = waiting.into_values().collect();
         tickets.sort_by_key(|ticket| ticket.order);
         for ticket in tickets {
-            self.take_ticket(now, session, router, ticket, actions);
+            self.adopt_ticket(now, session, router, ticket, actions);
         }
-        self.refuse_unwanted(now, router, actions);
+        self.refuse_resting(now, router, actions);
         if self.options.use_held_state {
             let mut grants: Vec<HeldGrant> = running.into_values().collect();
             grants.sort_by_key(|grant| grant.order);
             for grant in grants {
-                self.take_running(router, grant);
+                self.adopt_running(router, grant);
             }
         }
     }
 
-    /// Settles one request that the shard knows of this router against what the router holds.
+    /// Reconciles one request of this router that the shard knows with what the router holds.
     fn reconcile(
         &mut self,
         now: Moment,
@@ -74,15 +74,15 @@
         }
         match running.remove(&request) {
             Some(held) => self.update_delivered(request, held.delivered),
-            None if held_waiting => self.take_grant_back(now, request),
-            None => self.end_grant(now, request, None, GrantFate::Abandoned),
+            None if held_waiting => self.revert_grant(now, request),
+            None => self.end_grant(now, request, None, GrantOutcome::Abandoned),
         }
     }
 
-    /// The grant did not reach the router: the ticket waits again at its old place.
-    fn take_grant_back(&mut self, now: Moment, request: RequestId) {
+    /// Reverts a grant that did not reach the router: the ticket waits again at its previous place.
+    fn revert_grant(&mut self, now: Moment, request: RequestId) {
         let Some(grant) = self.running.get(&request).cloned() else { return };
-        self.end_grant(now, request, None, GrantFate::Unsent);
+        self.end_grant(now, request, None, GrantOutcome::Unsent);
         let ticket = WaitingTicket {
             customer: grant.customer,
             router: grant.router,
@@ -95,8 +95,8 @@
             objective: None,
             expected_wait: Duration::ZERO,
             wanted_by: None,
-            ends: None,
-            leaves: None,
+            refuse_at: None,
+            caller_leaves_at: None,
             waits_for: Cell::new(None),
         };
         self.insert_waiting(now, request, ticket);
@@ -112,7 +112,7 @@
         }
     }
 
-    fn take_ticket(
+    fn adopt_ticket(
         &mut self,
         now: Moment,
         session: SessionId,
@@ -124,21 +124,21 @@
         if self.waiting.contains_key(&request) || self.running.contains_key(&request) {
             return;
         }
-        if let Some(refusal) = self.reason_to_keep_out(now, &ticket) {
+        if let Some(refusal) = self.quarantine_refusal(now, &ticket) {
             actions.push(refusal.action(session, &ticket));
             return;
         }
         let customer = self.customers.ensure(&ticket.customer);
-        let numbered = ticket.order.is_some();
+        let had_order = ticket.order.is_some();
         let wait = self.wait_estimate(now, customer, &ticket, false);
         self.enqueue(now, router, customer, ticket, wait);
         let order = self.waiting[&request].place.order;
-        if !numbered {
+        if !had_order {
             actions.push(ShardAction::Accepted { session, request, order });
         }
     }
 
-    fn take_running(&mut self, router: RouterIndex, held: HeldGrant) {
+    fn adopt_running(&mut self, router: RouterIndex, held: HeldGrant) {
         if self.running.contains_key(&held.request) {
             return;
         }
@@ -147,7 +147,7 @@
         let endpoint = self.endpoints.ensure(&held.endpoint);
         self.note_order(held.order);
         let state = self.customers.get_mut(customer);
-        state.account.charge_found(held.estimate, held.delivered);
+        state.account.charge_recovered(held.estimate, held.delivered);
         state.running += 1;
         self.reindex(customer);
         self.endpoints.occupy(endpoint);
@@ -164,34 +164,35 @@
             order: held.order,
             priority: 0,
             prompt: PromptShape::default(),
-            unread: false,
+            awaits_first_event: false,
             since: None,
         };
         self.running.insert(held.request, grant);
     }
 
-    /// Brings recovered levels within an idle credit of each other. Routers bring what they heard from
-    /// different dispatchers, their own among them, whose levels began at different times; without this
-    /// a customer with a level from a longer count would be served nothing until all others reached it.
-    pub(super) fn narrow_levels(&mut self) {
+    /// Limits recovered levels to one idle credit above the lowest. Routers report levels from
+    /// different dispatchers, including their own, which began counting at different times. Otherwise a
+    /// customer whose level was counted for longer would be served nothing until all others had reached
+    /// it.
+    pub(super) fn bring_levels_together(&mut self) {
         let levels = self.customers.iter().map(|state| state.level(self.options.policy.as_ref()));
         let Some(lowest) = levels.filter(|level| level.0 > 0).min() else { return };
         if self.idle_credit == Cost(0) {
             return;
         }
         for customer in self.customers.indices() {
-            self.lower_to(customer, lowest);
+            self.cap_level(customer, lowest);
         }
         for floor in &mut self.floors {
             *floor = (*floor).max(Rank(lowest.0));
         }
     }
 
-    /// Lowers a level to at most an idle credit above another.
-    fn lower_to(&mut self, customer: CustomerIndex, lowest: ServiceLevel) {
+    /// Lowers a level to at most one idle credit above `lowest`.
+    fn cap_level(&mut self, customer: CustomerIndex, lowest: ServiceLevel) {
         let state = self.customers.get(customer);
         let weight = state.account.weight();
-        let highest = lowest.plus(ServiceLevel::of(self.idle_credit, weight));
+        let highest = lowest.plus(ServiceLevel::from_cost(self.idle_credit, weight));
         let running = self.options.policy.level(&state.account);
         if state.level(self.options.policy.as_ref()) > highest {
             let base = ServiceLevel(highest.0.saturating_sub(running.0));
@@ -200,15 +201,16 @@
         }
     }
 
-    /// Takes a level over when the shard has none of its own for the customer, or an older one
-    /// of the same recovery.
+    /// Adopts a customer's level if the shard has none, or, during recovery, if it is newer than the
+    /// known one. After recovery, levels of other dispatchers are only comparable without an idle
+    /// credit.
     fn recover_level(&mut self, total: &HeldTotal) {
         let customer = self.customers.ensure(&total.customer);
         let recovering = self.recovering_until.is_some();
         let state = self.customers.get_mut(customer);
-        let fresh = state.level_order.0 == 0;
+        let has_no_level = state.level_order.0 == 0;
         let comparable = recovering || self.idle_credit == Cost(0);
-        if total.order <= state.level_order || !(recovering || fresh) || !comparable {
+        if total.order <= state.level_order || !(recovering || has_no_level) || !comparable {
             return;
         }
         let weight = state.account.weight();
--- a/crates/micaspool-dispatch/tests/shard/regions.rs
+++ b/crates/micaspool-dispatch/tests/shard/regions.rs
@@ -1,95 +1,98 @@
-//! Shards of two regions that tell each other what they have delivered.
+//! Shards of two regions that exchange the totals that they have delivered.
 
-use crate::bench::{customer, hello, ticket, Bench};
-use micaspool_dispatch::{CustomerTotal, GrantFate, RegionTotals, ShardEvent};
+use crate::harness::{customer, hello, ticket, ShardHarness};
+use micaspool_dispatch::{CustomerTotal, GrantOutcome, RegionTotals, ShardEvent};
 use micaspool_types::{Cost, Incarnation, RegionName};
 use std::collections::VecDeque;
 use test_case::test_case;
 
 const COST: u64 = 100;
 
-struct Region {
-    bench: Bench,
+struct RegionModel {
+    harness: ShardHarness,
     running: VecDeque<u128>,
     served: [u64; 2],
     next: u128,
 }
 
-impl Region {
-    /// Customer `a` has work in every region, `b` only where it is said so.
-    fn new(with_b: bool) -> Region {
-        let mut bench = Bench::new(1, 2, &["a", "b"]);
-        bench.join(1, hello("r1", 1));
-        let mut region = Region { bench, running: VecDeque::new(), served: [0, 0], next: 2 };
+impl RegionModel {
+    /// Creates a region in which customer `a` always has waiting requests, and customer `b` if `has_b`.
+    fn new(has_b: bool) -> RegionModel {
+        let mut harness = ShardHarness::new(1, 2, &["a", "b"]);
+        harness.join(1, hello("r1", 1));
+        let mut region = RegionModel { harness, running: VecDeque::new(), served: [0, 0], next: 2 };
         for _ in 0..4 {
             region.submit(0);
-            if with_b {
+            if has_b {
                 region.submit(1);
             }
         }
         region
     }
 
-    fn submit(&mut self, who: usize) {
-        let number = self.next * 2 + who as u128;
+    fn submit(&mut self, index: usize) {
+        let number = self.next * 2 + index as u128;
         self.next += 1;
-        self.bench.submit(1, ticket(number, ["a", "b"][who], COST));
-        self.running.extend(self.bench.granted_requests());
+        self.harness.submit(1, ticket(number, ["a", "b"][index], COST));
+        self.running.extend(self.harness.take_granted_requests());
     }
 
     fn finish_one(&mut self) {
         let number = self.running.pop_front().expect("every slot is busy");
-        let who = (number % 2) as usize;
-        self.served[who] += COST;
-        self.bench.settle(1, number, COST, GrantFate::Done);
-        self.running.extend(self.bench.granted_requests());
-        self.submit(who);
+        let index = (number % 2) as usize;
+        self.served[index] += COST;
+        self.harness.settle(1, number, COST, GrantOutcome::Done);
+        self.running.extend(self.harness.take_granted_requests());
+        self.submit(index);
     }
 
-    fn totals(&self, name: &str) -> ShardEvent {
-        let region = RegionName::parse(name).expect("a name");
+    fn shared_totals(&self, name: &str) -> ShardEvent {
+        let region = RegionName::parse(name).expect("valid name");
         ShardEvent::Shared(RegionTotals {
             region,
             incarnation: Incarnation(1),
-            totals: self.bench.core.totals(),
+            totals: self.harness.core.totals(),
         })
     }
 }
 
 #[test_case(true; "with exchange")]
 #[test_case(false; "without exchange")]
-fn what_a_customer_receives_elsewhere_counts_here(exchange: bool) {
-    let (mut here, mut there) = (Region::new(true), Region::new(false));
+fn service_received_in_another_region_counts(is_exchanging: bool) {
+    let (mut here, mut there) = (RegionModel::new(true), RegionModel::new(false));
     for round in 0..400 {
         here.finish_one();
         there.finish_one();
-        if exchange && round % 4 == 0 {
-            let (from_here, from_there) = (here.totals("here"), there.totals("there"));
-            here.bench.step(from_there.clone());
-            here.bench.step(from_there);
-            there.bench.step(from_here);
+        if is_exchanging && round % 4 == 0 {
+            let (from_here, from_there) = (here.shared_totals("here"), there.shared_totals("there"));
+            here.harness.step(from_there.clone());
+            here.harness.step(from_there);
+            there.harness.step(from_here);
         }
     }
     let a = here.served[0] + there.served[0];
     let b = here.served[1] + there.served[1];
     let gap = a.abs_diff(b) / COST;
-    if exchange {
-        assert!(gap <= 12, "a {a}, b {b}, also with doubled messages");
+    if is_exchanging {
+        assert!(gap <= 12, "a {a}, b {b}, with duplicated messages");
     } else {
-        assert!(gap > 300, "the baseline favours the customer with work in both: a {a}, b {b}");
+        assert!(
+            gap > 300,
+            "without exchange the customer with work in both regions is favoured: a {a}, b {b}"
+        );
     }
 }
 
 #[test]
-fn after_a_long_cut_the_correction_is_clamped() {
-    let mut here = Region::new(true);
+fn the_correction_after_a_long_disconnection_is_clamped() {
+    let mut here = RegionModel::new(true);
     let total = |served: u64| {
         let totals = vec![CustomerTotal { customer: customer("a"), served: Cost(served) }];
-        let region = RegionName::parse("there").expect("a name");
+        let region = RegionName::parse("there").expect("valid name");
         ShardEvent::Shared(RegionTotals { region, incarnation: Incarnation(1), totals })
     };
-    here.bench.step(total(1_000));
-    here.bench.step(total(1_000_000_000));
+    here.harness.step(total(1_000));
+    here.harness.step(total(1_000_000_000));
     let before = here.served[0];
     let mut rounds = 0;
     while here.served[0] < before + 3 * COST {
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -1,9 +1,9 @@
-//! The dispatchers of a fleet: those of the keepers' instances, and one inside this process.
+//! The dispatchers of a fleet: one on each keeper instance, and one inside this process.
 
 use async_std::channel::Receiver;
 use async_trait::async_trait;
 use micaspool_client::{FleetMirror, KeeperReach, KeeperSight, PeerDirectory};
-use micaspool_dispatch::{rank_apart, CandidateKind, CandidateReach};
+use micaspool_dispatch::{rank_distinct, CandidateHealth, CandidateKind};
 use micaspool_dispatcher::FleetDispatcher;
 use micaspool_router::{
     DispatcherAddress, DispatcherCandidate, DispatcherList, LocalDispatcher, MessageStream,
@@ -14,54 +14,57 @@
 
 /// The dispatcher inside this process.
 #[derive(Debug)]
-struct OwnDispatcher(FleetDispatcher);
+struct InProcessDispatcher(FleetDispatcher);
 
 #[async_trait]
-impl LocalDispatcher for OwnDispatcher {
+impl LocalDispatcher for InProcessDispatcher {
     async fn open(&self, messages: Receiver<RouterMessage>) -> Option<MessageStream> {
         let stream = self.0.open(messages).await.ok()?;
         Some(Box::pin(stream))
     }
 }
 
-/// Ranks the instances that run a keeper, those that hear a majority first: the others may know an
-/// older plan and fewer endpoints. Routers that reach the same ones choose the same one, and go on
-/// doing so while the keepers elect a leader. The dispatcher inside this process comes last.
+/// Ranks the dispatchers on keeper instances.
+///
+/// Reachable keepers without contact to a majority come after the others, because they may have an older plan and know
+/// fewer endpoints. Routers that reach the same keepers choose the same dispatcher, even while the keepers elect a
+/// leader. The dispatcher inside this process comes last.
 #[derive(Debug)]
 pub(crate) struct FleetDispatchers {
     mirror: Arc<FleetMirror>,
     directory: Arc<dyn PeerDirectory>,
-    own: Arc<dyn LocalDispatcher>,
+    local: Arc<dyn LocalDispatcher>,
 }
 
 impl FleetDispatchers {
     pub fn new(
         mirror: Arc<FleetMirror>,
         directory: Arc<dyn PeerDirectory>,
-        own: FleetDispatcher,
+        local: FleetDispatcher,
     ) -> FleetDispatchers {
-        FleetDispatchers { mirror, directory, own: Arc::new(OwnDispatcher(own)) }
+        FleetDispatchers { mirror, directory, local: Arc::new(InProcessDispatcher(local)) }
     }
 
-    /// The candidate on a keeper's instance. Its process is the keeper's, so the stream from the keeper
-    /// tells whether it answers.
+    /// Returns the dispatcher on a keeper's instance. It runs in the keeper's process, so the stream from the keeper
+    /// shows whether it responds.
     fn candidate(&self, sight: &KeeperSight) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
         let reach = match sight.reach {
-            KeeperReach::Pending => CandidateReach::Pending,
-            KeeperReach::Reached if sight.quiet => CandidateReach::Quiet,
-            KeeperReach::Reached => CandidateReach::Answers,
-            KeeperReach::Lost => CandidateReach::Lost,
+            KeeperReach::Pending => CandidateHealth::Pending,
+            KeeperReach::Reached if sight.quiet => CandidateHealth::Unresponsive,
+            KeeperReach::Reached => CandidateHealth::Answering,
+            KeeperReach::Lost => CandidateHealth::Lost,
         };
         Some(DispatcherCandidate {
             address: DispatcherAddress::Remote(address),
-            kind: CandidateKind::Followed(reach),
+            kind: CandidateKind::Observed(reach),
         })
     }
 }
 
-/// The instances of keepers that are members, ranked for a service.
-fn ranked_sights<'a>(
+/// Ranks the keepers that are group members or listed in the settings, for a service. Reachable keepers without a
+/// recent majority come last.
+fn rank_keepers<'a>(
     service: &ServiceName,
     services: &[ServiceName],
     sights: &'a [KeeperSight],
@@ -70,7 +73,7 @@
         let is_cut_off = |sight: &KeeperSight| sight.is_reached() && !sight.confirmed_lately;
         let chosen = sights.iter().filter(|sight| sight.wanted && is_cut_off(sight) == lacks_majority);
         let names: Vec<InstanceName> = chosen.map(|sight| sight.peer.name.clone()).collect();
-        rank_apart(service, services, &names)
+        rank_distinct(service, services, &names)
     };
     let names = ranked(false).into_iter().chain(ranked(true));
     names.filter_map(|name| sights.iter().find(|sight| sight.peer.name == name)).collect()
@@ -81,11 +84,11 @@
         let sights = self.mirror.keepers();
         let plan = self.mirror.plan().plan;
         let services: Vec<ServiceName> = plan.parts().services.iter().map(|rule| rule.name.clone()).collect();
-        let ranked = ranked_sights(service, &services, &sights);
-        let own = DispatcherCandidate {
-            address: DispatcherAddress::Local(self.own.clone()),
+        let ranked = rank_keepers(service, &services, &sights);
+        let local = DispatcherCandidate {
+            address: DispatcherAddress::Local(self.local.clone()),
             kind: CandidateKind::LastResort,
         };
-        ranked.into_iter().filter_map(|sight| self.candidate(sight)).chain([own]).collect()
+        ranked.into_iter().filter_map(|sight| self.candidate(sight)).chain([local]).collect()
     }
 }
--- /dev/null
+++ b/crates/micaspool-gateway/src/proxy/failure.rs
@@ -0,0 +1,61 @@
+//! Failed sends.
+
+use crate::dialect::{AnswerVerdict, NotRunReason};
+use http::StatusCode;
+use micaspool_dispatch::GrantOutcome;
+use micaspool_http::pool::SendError;
+
+/// A send without an answer that may be passed on.
+pub(super) struct SendFailure {
+    /// The outcome reported for the grant.
+    pub fate: GrantOutcome,
+    /// The kind of failure in logs and metrics.
+    pub kind: &'static str,
+    /// The error message for the log.
+    pub cause: String,
+    /// True if the request provably did not run.
+    pub not_run: bool,
+    /// True if the endpoint may have received the request.
+    pub reached_endpoint: bool,
+}
+
+impl SendFailure {
+    /// No answer arrived before the deadline.
+    pub fn deadline() -> SendFailure {
+        SendFailure {
+            fate: GrantOutcome::Broken,
+            kind: "deadline",
+            cause: "no answer before the deadline".to_owned(),
+            not_run: false,
+            reached_endpoint: true,
+        }
+    }
+
+    /// The send failed without a response.
+    pub fn from_error(error: &SendError) -> SendFailure {
+        let (kind, fate) = match error {
+            SendError::Unreachable(_) => ("unreachable", GrantOutcome::Unreachable),
+            SendError::NotSent => ("not-sent", GrantOutcome::Unreachable),
+            SendError::Withheld => ("withheld", GrantOutcome::NotHeld),
+            SendError::Broken(_) => ("broken", GrantOutcome::Severed),
+        };
+        let not_sent = error.is_not_sent();
+        SendFailure { fate, kind, cause: error.to_string(), not_run: not_sent, reached_endpoint: !not_sent }
+    }
+
+    /// A response arrived that can't be passed on.
+    pub fn from_answer(verdict: AnswerVerdict, status: StatusCode) -> SendFailure {
+        let (kind, fate, not_run) = match verdict {
+            AnswerVerdict::NotRun(NotRunReason::Full) => ("full", GrantOutcome::Refused, true),
+            AnswerVerdict::NotRun(NotRunReason::WrongEndpoint) => {
+                ("other-endpoint", GrantOutcome::Draining, true)
+            }
+            AnswerVerdict::NotRun(NotRunReason::Malformed) => ("malformed", GrantOutcome::Unsent, true),
+            AnswerVerdict::WrongRequest => ("foreign-answer", GrantOutcome::Broken, false),
+            AnswerVerdict::Unverified | AnswerVerdict::Answer => {
+                ("unproven-answer", GrantOutcome::Broken, false)
+            }
+        };
+        SendFailure { fate, kind, cause: format!("status {status}"), not_run, reached_endpoint: true }
+    }
+}
--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -1,16 +1,16 @@
-//! An answer on its way from an endpoint to a caller.
+//! Relays answers from endpoints to callers.
 
 use crate::dialect::PromptOutline;
-use crate::events::{count_ends, EventSplitter};
-use crate::path::{Attempts, Gateway};
-use crate::trail::RequestTrail;
+use crate::events::{count_event_ends, EventSplitter};
+use crate::proxy::{Attempts, Gateway};
+use crate::request_log::RequestLog;
 use bytes::Bytes;
 use futures::future::{select, BoxFuture, Either};
 use futures::stream::unfold;
 use http_body::{Body, Frame};
 use http_body_util::{BodyExt, StreamBody};
 use micaspool_clock::BootInstant;
-use micaspool_dispatch::GrantFate;
+use micaspool_dispatch::GrantOutcome;
 use micaspool_http::edge::{BodyError, EdgeBody};
 use micaspool_http::pool::PooledBody;
 use micaspool_router::GrantLease;
@@ -19,27 +19,29 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How long after the deadline an answer may still flow: the endpoint stops at the deadline by
-/// itself, and its end is better than ours.
-const LATE_LIMIT: Duration = Duration::from_millis(150);
+/// How long an answer may continue after the deadline. The endpoint stops by itself at the deadline, and its own end of
+/// the answer is preferable to cutting the connection here.
+const DEADLINE_GRACE: Duration = Duration::from_millis(150);
 
-/// What a token made costs, in tokens read.
-const MADE_COST: u64 = 2;
+/// The cost of a generated token, in prompt tokens.
+const OUTPUT_TOKEN_COST: u64 = 2;
 
 /// Why an answer broke.
 #[derive(Debug)]
 enum RelayError {
-    /// The endpoint's body broke.
+    /// The body of the endpoint's response ended with an error.
     Endpoint(hyper::Error),
-    /// Nobody waits any more.
+    /// The deadline and its grace period have passed.
     Deadline,
 }
 
 impl fmt::Display for RelayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RelayError::Endpoint(error) => write!(f, "the endpoint broke off ({error}); check it"),
-            RelayError::Deadline => f.write_str("the answer took longer than the route allows"),
+            RelayError::Endpoint(error) => {
+                write!(f, "endpoint connection failed before the answer was complete: {error}")
+            }
+            RelayError::Deadline => f.write_str("answer incomplete at the request deadline"),
         }
     }
 }
@@ -47,52 +49,52 @@
 impl std::error::Error for RelayError {}
 
 impl RelayError {
-    /// How the grant of such an answer ended.
-    fn fate(&self) -> GrantFate {
+    /// The outcome reported for the grant of such an answer.
+    fn fate(&self) -> GrantOutcome {
         match self {
-            RelayError::Endpoint(_) => GrantFate::Severed,
-            RelayError::Deadline => GrantFate::Broken,
+            RelayError::Endpoint(_) => GrantOutcome::Severed,
+            RelayError::Deadline => GrantOutcome::Broken,
         }
     }
 }
 
-/// Counts what an answer delivers, in tokens: the prompt with the first event, then each event.
+/// Meters the cost of an answer in tokens: the prompt, charged with the first event, plus a fixed cost per event.
 #[derive(Debug)]
 pub(crate) struct EventMeter {
     prompt: u64,
-    event: u64,
+    event_cost: u64,
     events: u64,
-    after_line: bool,
+    after_newline: bool,
 }
 
 impl EventMeter {
     pub fn new(prompt: Option<&PromptOutline>, engine: Option<EngineProfile>) -> EventMeter {
-        let event = engine.map_or(1, |engine| u64::from(engine.event_tokens.max(1)));
+        let event_cost = engine.map_or(1, |engine| u64::from(engine.event_tokens.max(1)));
         EventMeter {
             prompt: prompt.map_or(0, |prompt| prompt.prompt_tokens),
-            event: event * MADE_COST,
+            event_cost: event_cost * OUTPUT_TOKEN_COST,
             events: 0,
-            after_line: false,
+            after_newline: false,
         }
     }
 
     fn observe(&mut self, chunk: &[u8]) {
-        self.events += u64::from(count_ends(&mut self.after_line, chunk));
+        self.events += u64::from(count_event_ends(&mut self.after_newline, chunk));
     }
 
-    /// What was delivered so far; a call of a plain service costs one unit.
+    /// Returns the cost delivered so far. A request without a prompt, such as to a plain service, costs one unit.
     fn cost(&self) -> Cost {
         match (self.prompt, self.events) {
             (0, _) => Cost(1),
             (_, 0) => Cost(0),
-            (prompt, events) => Cost(prompt + events * self.event),
+            (prompt, events) => Cost(prompt + events * self.event_cost),
         }
     }
 }
 
-/// Reads an endpoint's answer, charges it, and goes on elsewhere when it breaks and may be resumed.
+/// Reads an endpoint's answer, meters its cost, and resumes it at another endpoint if it breaks and may be resumed.
 ///
-/// When the caller leaves, the relay is dropped and the endpoint's connection with it.
+/// If the caller disconnects, the relay is dropped, which closes the connection to the endpoint.
 pub(crate) struct AnswerRelay {
     gateway: Gateway,
     attempts: Attempts,
@@ -100,9 +102,9 @@
     lease: Option<GrantLease>,
     meter: EventMeter,
     splitter: Option<EventSplitter>,
-    trail: RequestTrail,
+    log: RequestLog,
     expiry: BoxFuture<'static, ()>,
-    ended: bool,
+    is_ended: bool,
 }
 
 impl AnswerRelay {
@@ -112,7 +114,7 @@
         body: PooledBody,
         lease: GrantLease,
         meter: EventMeter,
-        trail: RequestTrail,
+        log: RequestLog,
     ) -> AnswerRelay {
         let left = attempts.deadline().saturating_duration_since(BootInstant::now());
         AnswerRelay {
@@ -122,25 +124,25 @@
             body,
             lease: Some(lease),
             meter,
-            trail,
-            expiry: Box::pin(tokio::time::sleep(left + LATE_LIMIT)),
-            ended: false,
+            log,
+            expiry: Box::pin(tokio::time::sleep(left + DEADLINE_GRACE)),
+            is_ended: false,
         }
     }
 
-    /// The next bytes for the caller; `None` after the end.
+    /// Returns the next bytes for the caller; `None` after the end.
     async fn next_chunk(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
-        while !self.ended {
-            match self.read().await {
+        while !self.is_ended {
+            match self.read_chunk().await {
                 Ok(Some(chunk)) => {
-                    if let Some(bytes) = self.take(chunk) {
+                    if let Some(bytes) = self.process_chunk(chunk) {
                         return Some(Ok(Frame::data(bytes)));
                     }
                 }
                 Ok(None) => return self.finish(),
                 Err(error) => {
                     if !self.resume(&error).await {
-                        return Some(Err(self.break_off(error)));
+                        return Some(Err(self.abort_answer(error)));
                     }
                 }
             }
@@ -148,11 +150,12 @@
         None
     }
 
-    async fn read(&mut self) -> Result<Option<Bytes>, RelayError> {
+    /// Reads the next data frame; `None` at the end of the body.
+    async fn read_chunk(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
             match select(self.body.frame(), &mut self.expiry).await {
                 Either::Left((Some(Ok(frame)), _)) => {
-                    // Trailers carry nothing that callers of this fleet know.
+                    // Trailers are dropped: no caller of this fleet uses them.
                     if let Ok(data) = frame.into_data() {
                         return Ok(Some(data));
                     }
@@ -164,74 +167,74 @@
         }
     }
 
-    /// Charges a chunk and gives what of it may be passed on now.
-    fn take(&mut self, chunk: Bytes) -> Option<Bytes> {
+    /// Meters a chunk and returns the bytes that may be passed on now.
+    fn process_chunk(&mut self, chunk: Bytes) -> Option<Bytes> {
         self.meter.observe(&chunk);
         let delivered = self.meter.cost();
         if let Some(lease) = &mut self.lease {
             lease.progress(delivered);
         }
         let bytes = match &mut self.splitter {
-            Some(splitter) => splitter.push(&chunk).whole,
+            Some(splitter) => splitter.push(&chunk).complete,
             None => chunk,
         };
         if bytes.is_empty() {
             return None;
         }
-        self.trail.note_first_byte();
+        self.log.record_first_byte();
         Some(bytes)
     }
 
     fn finish(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
-        self.ended = true;
-        self.settle(GrantFate::Done);
-        self.trail.finish();
+        self.is_ended = true;
+        self.settle(GrantOutcome::Done);
+        self.log.finish();
         let rest = self.splitter.as_mut().map(EventSplitter::take_partial).unwrap_or_default();
         (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
     }
 
-    fn break_off(&mut self, error: RelayError) -> BodyError {
-        self.ended = true;
+    fn abort_answer(&mut self, error: RelayError) -> BodyError {
+        self.is_ended = true;
         self.settle(error.fate());
-        self.trail.break_off(&error.to_string());
+        self.log.finish_broken(&error.to_string());
         Box::new(error)
     }
 
-    fn settle(&mut self, fate: GrantFate) {
+    fn settle(&mut self, fate: GrantOutcome) {
         if let Some(lease) = self.lease.take() {
             lease.settle(self.meter.cost(), fate);
         }
     }
 
-    /// Goes on with a stream at another endpoint after its last whole event; false when that may not
-    /// be or failed.
+    /// Resumes a stream at another endpoint after its last complete event. Returns false if resuming is not allowed or
+    /// failed.
     async fn resume(&mut self, error: &RelayError) -> bool {
         let RelayError::Endpoint(cause) = error else { return false };
         let Some(last) = self.splitter.as_ref().and_then(EventSplitter::last_id) else { return false };
         if !self.attempts.may_run_again() {
             return false;
         }
-        self.trail.note_failure("stream-broken", &cause.to_string(), false);
+        self.log.log_failure("stream-broken", &cause.to_string(), false);
         self.settle(error.fate());
         let last_event = last.to_string();
-        let next = self.attempts.next_answer(&self.gateway, &mut self.trail, Some(&last_event)).await;
+        let next = self.attempts.next_answer(&self.gateway, &mut self.log, Some(&last_event)).await;
         match next {
             Ok(answer) if answer.response.status().is_success() => {
-                self.trail.note_resume(last);
+                self.log.log_resume(last);
                 if let Some(splitter) = &mut self.splitter {
-                    splitter.drop_partial();
+                    splitter.discard_partial();
                 }
                 self.lease = Some(answer.lease);
                 self.body = answer.response.into_body();
                 true
             }
-            // The failure is in the log; the caller sees its stream break.
+            // The failure has been logged; the caller's stream is aborted.
             _ => false,
         }
     }
 }
 
-/// The relay as a body. Its length is that of the endpoint's answer where it has one.
+/// Turns a relay into a body. An answer without a body is finished at once.
 pub(crate) fn relay_body(relay: AnswerRelay) -> EdgeBody {
     if relay.body.is_end_stream() {
         let mut relay = relay;
--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -1,8 +1,8 @@
-//! The first group, and an operator's order to form one alone.
+//! Formation of the first group, and recovery as a single member by an operator's order.
 //!
-//! A first group forms only when every configured keeper is reachable and has an empty data
-//! folder; the one with the lowest name then names the members. Anything else is left to the
-//! leader of an existing group or to an operator.
+//! The first group is formed only when every configured keeper is reachable and has an empty data
+//! folder; the keeper with the lowest name then sends the membership to the others. All other
+//! cases are left to the leader of an existing group or to an operator.
 
 use super::{QuorumCore, RoleState};
 use crate::message::PeerBody;
@@ -10,34 +10,36 @@
 use micaspool_types::{InstanceName, Moment, Term};
 use std::collections::{BTreeSet, HashMap};
 
-/// How many announcements may be missed before a keeper no longer counts as reachable.
-const MISSED_ANNOUNCEMENTS: u32 = 3;
+/// The number of announcement intervals without an announcement after which a keeper is considered
+/// unreachable.
+const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
-/// What a keeper without a group has heard.
+/// The announcements that this keeper has sent and received.
 #[derive(Debug, Default)]
 pub(super) struct FormingState {
-    heard: HashMap<InstanceName, HeardAnnouncement>,
-    announced: Option<Moment>,
-    /// Keepers that others named, besides the configured ones.
-    named: BTreeSet<InstanceName>,
+    announcements: HashMap<InstanceName, ReceivedAnnouncement>,
+    last_announced: Option<Moment>,
+    /// Keepers learnt of from messages, besides the configured ones.
+    discovered: BTreeSet<InstanceName>,
 }
 
 #[derive(Debug, Clone)]
-struct HeardAnnouncement {
+struct ReceivedAnnouncement {
     identity: KeeperIdentity,
     empty: bool,
     at: Moment,
 }
 
 impl QuorumCore {
-    /// Tells the others that this life of the keeper is in no group, or is no voter as far as it
-    /// knows: an operator may have formed a new group without it.
+    /// Announces this keeper to all known keepers, at most once per interval. Called while this
+    /// incarnation is not a voter as far as it knows: it belongs to no group, or an operator may have
+    /// formed a new group without it.
     pub(super) fn announce(&mut self, now: Moment) {
         let interval = self.options.announce_interval;
-        if self.forming.announced.is_some_and(|at| now.since(at) < interval) {
+        if self.forming.last_announced.is_some_and(|at| now.since(at) < interval) {
             return;
         }
-        self.forming.announced = Some(now);
+        self.forming.last_announced = Some(now);
         let empty = !self.is_formed();
         for name in self.known_keepers() {
             self.send(&name, PeerBody::Announce { empty, members: self.member_names() });
@@ -45,18 +47,19 @@
         self.form_if_possible(now);
     }
 
-    /// A keeper without a group remembers whoever speaks to it: the leader still speaks to the earlier
-    /// life of one that lost its disk, also when all its seeds are gone.
-    pub(super) fn note_sender(&mut self, from: &KeeperIdentity) {
+    /// Remembers the sender of a message while this keeper has no group. After a disk loss the leader
+    /// still sends to the earlier incarnation of this keeper, so that it finds the group even when all
+    /// seeds are gone. Applies to open groups only.
+    pub(super) fn remember_sender(&mut self, from: &KeeperIdentity) {
         if self.options.open_group.is_some() && !self.is_formed() {
-            self.forming.named.insert(from.name.clone());
+            self.forming.discovered.insert(from.name.clone());
         }
     }
 
-    /// Every other keeper that may lead or know who does.
+    /// Returns every other known keeper: one of them may be the leader or know it.
     fn known_keepers(&self) -> BTreeSet<InstanceName> {
         let mut known: BTreeSet<InstanceName> = self.other_keepers().into_iter().collect();
-        known.extend(self.forming.named.iter().cloned());
+        known.extend(self.forming.discovered.iter().cloned());
         known.extend(self.member_names());
         known.remove(&self.identity.name);
         known
@@ -70,7 +73,7 @@
         self.options.configured.iter().filter(|name| **name != self.identity.name).cloned().collect()
     }
 
-    pub(super) fn hear_announce(
+    pub(super) fn handle_announce(
         &mut self,
         now: Moment,
         from: KeeperIdentity,
@@ -78,42 +81,43 @@
         members: Vec<InstanceName>,
     ) {
         if self.is_formed() && empty {
-            self.answer_newcomer(now, from);
+            self.answer_unformed(now, from);
             return;
         }
         if self.is_formed() {
-            self.admit_newcomer(now, from);
+            self.admit_learner(now, from);
             return;
         }
         let name = from.name.clone();
-        self.forming.named.extend(members);
-        self.forming.heard.insert(name, HeardAnnouncement { identity: from, empty, at: now });
+        self.forming.discovered.extend(members);
+        self.forming.announcements.insert(name, ReceivedAnnouncement { identity: from, empty, at: now });
     }
 
-    /// A member of a group hears a keeper that is in none.
-    fn answer_newcomer(&mut self, now: Moment, from: KeeperIdentity) {
-        let base = self.log.snapshot();
-        if base.index == LogIndex(0) && base.membership.has(&from) {
-            let membership = base.membership.clone();
+    /// Answers a keeper that belongs to no group. An initial member that missed the `Form` message gets
+    /// it again; any other keeper gets the names of the members and may be admitted.
+    fn answer_unformed(&mut self, now: Moment, from: KeeperIdentity) {
+        let log_snapshot = self.log.snapshot();
+        if log_snapshot.index == LogIndex(0) && log_snapshot.membership.has_member(&from) {
+            let membership = log_snapshot.membership.clone();
             self.send(&from.name, PeerBody::Form { membership });
             return;
         }
         let members = self.member_names();
         self.send(&from.name, PeerBody::Announce { empty: false, members });
-        self.admit_newcomer(now, from);
+        self.admit_learner(now, from);
     }
 
     fn form_if_possible(&mut self, now: Moment) {
-        let lowest = self.options.configured.iter().min();
-        if self.is_formed() || !self.options.may_form || lowest != Some(&self.identity.name) {
+        let lowest_name = self.options.configured.iter().min();
+        if self.is_formed() || !self.options.may_form || lowest_name != Some(&self.identity.name) {
             return;
         }
-        let limit = self.options.announce_interval * MISSED_ANNOUNCEMENTS;
+        let limit = self.options.announce_interval * MAX_MISSED_ANNOUNCEMENTS;
         let mut identities = vec![self.identity.clone()];
         for name in self.other_keepers() {
-            match self.forming.heard.get(&name) {
-                Some(heard) if heard.empty && now.since(heard.at) < limit => {
-                    identities.push(heard.identity.clone())
+            match self.forming.announcements.get(&name) {
+                Some(announcement) if announcement.empty && now.since(announcement.at) < limit => {
+                    identities.push(announcement.identity.clone())
                 }
                 _ => return,
             }
@@ -127,18 +131,19 @@
         }
     }
 
-    /// Takes the first group over, when it has exactly this life of the keeper and there is none.
+    /// Adopts the first group if this keeper has none and its own incarnation is a member.
     pub(super) fn adopt_group(&mut self, now: Moment, membership: GroupMembership) {
-        if self.is_formed() || !membership.has(&self.identity) {
+        if self.is_formed() || !membership.has_member(&self.identity) {
             return;
         }
         let snapshot = LogSnapshot { membership, ..LogSnapshot::default() };
         self.log.replace(snapshot.clone());
         self.output.save.snapshot = Some(snapshot);
-        self.follow(now, None);
+        self.become_follower(now, None);
     }
 
-    /// An operator's order: this keeper alone becomes the group, with everything in its log.
+    /// Makes this keeper the only member of the group, by an operator's order. All entries of its log are
+    /// kept, committed or not.
     pub(super) fn recover_alone(&mut self, now: Moment) {
         let alone = GroupMember { identity: self.identity.clone(), voter: true };
         let membership = GroupMembership { members: vec![alone] };
@@ -146,7 +151,7 @@
         self.hard.vote = Some(self.identity.clone());
         self.hard_dirty = true;
         self.role = RoleState::Follower;
-        self.append_own(EntryPayload::Members(membership));
+        self.append_entry(EntryPayload::Members(membership));
         self.become_leader(now);
     }
 }
--- a/crates/micaspool-router/src/claims.rs
+++ b/crates/micaspool-router/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of calls that may not be repeated.
+//! Claims of calls with idempotency keys.
 
 use crate::call::CallPlan;
 use async_std::task;
@@ -11,45 +11,45 @@
 use std::time::Duration;
 
 /// How long a claim may take.
-const CLAIM_LIMIT: Duration = Duration::from_secs(3);
-/// For how long the outcome of a call is offered to the keepers.
-const FINISH_LIMIT: Duration = Duration::from_secs(120);
-/// When a caller may ask again about a running call, or about one that found no ledger.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long recording the outcome of a call is retried.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(120);
+/// `Retry-After` for calls that are still running, and for those that can't be claimed now.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a claim gave.
+/// The outcome of a claim.
 #[derive(Debug)]
 pub enum ClaimOutcome {
-    /// Run the call; the token ends the claim.
+    /// The call may run. The token is needed to end the claim.
     Granted(u64),
-    /// The call ran before; this was its answer.
+    /// The call has already run, with this answer.
     Answered(Box<Response>),
 }
 
-/// Where calls that may not be repeated are claimed.
+/// The ledger in which calls with idempotency keys are claimed.
 #[async_trait]
 pub trait ClaimLedger: Send + Sync + 'static {
-    /// Claims a call that has a key, before any byte of it is sent.
+    /// Claims a call, before any byte of it is sent.
     async fn claim(&self, plan: &CallPlan, traceparent: &str) -> Result<ClaimOutcome, Refusal>;
 
-    /// Provably nothing was sent: the key is free again.
+    /// Releases the key of a call that provably did not run.
     async fn release(&self, plan: &CallPlan, token: u64);
 
-    /// The call ran and gave this answer.
-    async fn answered(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]);
+    /// Records that the call ran, with its answer.
+    async fn record_answer(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]);
 
-    /// The call may have run.
-    async fn unknown(&self, plan: &CallPlan, token: u64);
+    /// Records that the call may have run.
+    async fn record_unknown(&self, plan: &CallPlan, token: u64);
 }
 
-/// The ledger of the keepers.
+/// The ledger that the keepers replicate.
 #[derive(Debug, Clone)]
 pub struct KeeperLedger {
     client: Arc<KeeperClient>,
 }
 
 impl KeeperLedger {
-    /// The ledger behind this client.
+    /// Creates a ledger that uses this client.
     pub fn new(client: Arc<KeeperClient>) -> KeeperLedger {
         KeeperLedger { client }
     }
@@ -61,32 +61,32 @@
         kind: v1::FinishKind,
         answer: Option<v1::StoredAnswer>,
     ) {
-        let Some(once) = &plan.once else { return };
+        let Some(keyed) = &plan.idempotency else { return };
         let request = v1::FinishRequest {
             customer: plan.customer.to_string(),
-            key: once.key.clone(),
+            key: keyed.key.clone(),
             token,
             kind: kind.into(),
             answer,
         };
-        let _ = self.client.finish(request, FINISH_LIMIT).await;
+        let _ = self.client.finish(request, FINISH_TIMEOUT).await;
     }
 }
 
 #[async_trait]
 impl ClaimLedger for KeeperLedger {
     async fn claim(&self, plan: &CallPlan, traceparent: &str) -> Result<ClaimOutcome, Refusal> {
-        let Some(once) = &plan.once else { return Err(Refusal::not_run(RefusalKind::NoLedger)) };
+        let Some(keyed) = &plan.idempotency else { return Err(Refusal::not_run(RefusalKind::NoLedger)) };
         let token = rand::random();
         let request = v1::ClaimRequest {
             customer: plan.customer.to_string(),
-            key: once.key.clone(),
-            body_hash: once.digest.to_vec(),
+            key: keyed.key.clone(),
+            body_hash: keyed.digest.to_vec(),
             token,
             traceparent: traceparent.to_owned(),
         };
-        match self.client.claim(request, CLAIM_LIMIT).await {
-            Ok(reply) => verdict(reply, token),
+        match self.client.claim(request, CLAIM_TIMEOUT).await {
+            Ok(reply) => claim_outcome(reply, token),
             Err(CallError::NoLeader { sent }) => {
                 if sent {
                     let (ledger, plan) = (self.clone(), plan.clone());
@@ -101,7 +101,7 @@
         self.finish(plan, token, v1::FinishKind::FinishReleased, None).await;
     }
 
-    async fn answered(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]) {
+    async fn record_answer(&self, plan: &CallPlan, token: u64, status: u16, content_type: &str, body: &[u8]) {
         let answer = v1::StoredAnswer {
             status: u32::from(status),
             content_type: content_type.to_owned(),
@@ -110,12 +110,13 @@
         self.finish(plan, token, v1::FinishKind::FinishAnswered, Some(answer)).await;
     }
 
-    async fn unknown(&self, plan: &CallPlan, token: u64) {
+    async fn record_unknown(&self, plan: &CallPlan, token: u64) {
         self.finish(plan, token, v1::FinishKind::FinishUnknown, None).await;
     }
 }
 
-fn verdict(reply: v1::ClaimReply, token: u64) -> Result<ClaimOutcome, Refusal> {
+/// Maps the keepers' verdict to an outcome or a refusal.
+fn claim_outcome(reply: v1::ClaimReply, token: u64) -> Result<ClaimOutcome, Refusal> {
     use v1::ClaimVerdict::*;
     match reply.verdict() {
         ClaimGranted => Ok(ClaimOutcome::Granted(token)),
@@ -128,6 +129,7 @@
     }
 }
 
+/// Builds the response that replays a stored answer.
 fn stored_response(answer: v1::StoredAnswer) -> Response {
     let status = u16::try_from(answer.status).ok().and_then(|status| StatusCode::try_from(status).ok());
     let mut response = Response::new(status.unwrap_or(StatusCode::Ok));
--- a/crates/micaspool-router/src/endpoint.rs
+++ b/crates/micaspool-router/src/endpoint.rs
@@ -1,10 +1,10 @@
-//! Sending requests to endpoints.
+//! The client for endpoints.
 
 use crate::call::CallPlan;
 use async_std::io::ReadExt;
 use async_trait::async_trait;
 use http_types::{Body, Method, Request, Response, Url};
-use micaspool_backpressure::{HeardAdvice, DRAINING_REST};
+use micaspool_backpressure::{HeaderAdvice, DRAINING_REST};
 use micaspool_http::client::{call, CallLimits, Error};
 use micaspool_http::refusal::{REQUEST_HEADER, RUN_HEADER};
 use micaspool_telemetry::events::{self, field, record};
@@ -13,69 +13,71 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The header by which an endpoint says that it is leaving.
+/// The header in which an endpoint announces that it is draining.
 const DRAINING_HEADER: &str = "micaspool-draining";
 /// How long connecting to an endpoint may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// The most bytes of a refusal that are read.
-const MAX_REFUSAL: u64 = 64 * 1024;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The maximum number of bytes read from the body of a refusal.
+const MAX_REFUSAL_BYTES: u64 = 64 * 1024;
 
-/// One request on its way to an endpoint.
+/// A request to an endpoint.
 #[derive(Debug)]
 pub struct EndpointCall<'a> {
-    /// Where it goes.
+    /// The address of the endpoint.
     pub address: SocketAddr,
     /// The request.
     pub plan: &'a CallPlan,
-    /// The trace that it belongs to.
+    /// The trace context of the request.
     pub traceparent: &'a str,
 }
 
-/// The head of an endpoint's answer; the body is read from it.
+/// An endpoint's answer, whose body has not been read yet.
 #[derive(Debug)]
 pub struct EndpointAnswer {
-    /// The answer.
+    /// The response.
     pub response: Response,
 }
 
 /// Why an endpoint gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointError {
-    /// No connection could be made; nothing ran.
+    /// No connection could be established, so nothing ran.
     Unreachable,
-    /// The endpoint is full; `proved` when it said itself that nothing ran.
+    /// The endpoint is at capacity.
     Refused {
-        /// True when the endpoint said that nothing ran.
-        proved: bool,
-        /// How long it wants nothing; zero when it does not say.
+        /// True if the endpoint stated that nothing ran.
+        is_proved_not_run: bool,
+        /// The back-off time that the endpoint asked for; zero if none.
         rest: Duration,
     },
-    /// The endpoint takes no new work; `proved` when it said itself that nothing ran.
+    /// The endpoint is draining and accepts no new requests.
     Draining {
-        /// True when the endpoint said that nothing ran.
-        proved: bool,
+        /// True if the endpoint stated that nothing ran.
+        is_proved_not_run: bool,
     },
-    /// The connection ended after the request may have been sent.
-    Severed,
-    /// The endpoint gave no answer, or none that can be read, after the request may have been sent.
-    Silent,
-    /// The endpoint answered another request.
-    Mismatch,
+    /// The connection was lost after the request may have been sent.
+    ConnectionLost,
+    /// No readable answer arrived after the request may have been sent.
+    NoAnswer,
+    /// The response has the id of another request.
+    WrongRequest,
 }
 
 impl EndpointError {
-    /// True when the request provably did not run.
+    /// Returns true if the request provably did not run.
     pub fn is_not_run(self) -> bool {
         match self {
             EndpointError::Unreachable => true,
-            EndpointError::Refused { proved, .. } | EndpointError::Draining { proved } => proved,
-            EndpointError::Severed | EndpointError::Silent | EndpointError::Mismatch => false,
+            EndpointError::Refused { is_proved_not_run, .. }
+            | EndpointError::Draining { is_proved_not_run } => is_proved_not_run,
+            EndpointError::ConnectionLost | EndpointError::NoAnswer | EndpointError::WrongRequest => false,
         }
     }
 }
 
 impl EndpointError {
-    /// How long the endpoint is left alone by its own word; zero without one.
+    /// Returns how long the endpoint must not be sent requests, according to its response; zero if it asked for no
+    /// back-off.
     pub fn rest(self) -> Duration {
         match self {
             EndpointError::Refused { rest, .. } => rest,
@@ -88,12 +90,14 @@
 impl fmt::Display for EndpointError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            EndpointError::Unreachable => "no connection; check that the endpoint runs",
-            EndpointError::Refused { .. } => "the endpoint is full; check its slots in the settings",
-            EndpointError::Draining { .. } => "the endpoint is leaving",
-            EndpointError::Severed => "the endpoint broke off; check it",
-            EndpointError::Silent => "the endpoint was silent; check it",
-            EndpointError::Mismatch => "the endpoint answered another request; take it out of use",
+            EndpointError::Unreachable => "cannot connect; check that the endpoint is running",
+            EndpointError::Refused { .. } => "endpoint is at capacity; check its slots in the settings",
+            EndpointError::Draining { .. } => "endpoint is draining",
+            EndpointError::ConnectionLost => "connection lost before a response arrived; check the endpoint",
+            EndpointError::NoAnswer => "no valid response; check the endpoint",
+            EndpointError::WrongRequest => {
+                "response has the id of another request; take the endpoint out of service"
+            }
         })
     }
 }
@@ -103,11 +107,11 @@
 /// Sends requests to endpoints.
 #[async_trait]
 pub trait EndpointClient: Send + Sync + 'static {
-    /// Sends a request and gives the answer once its head is there.
+    /// Sends a request and returns the answer once its head has arrived.
     async fn send(&self, call: EndpointCall<'_>) -> Result<EndpointAnswer, EndpointError>;
 }
 
-/// Sends requests over HTTP/1.1, each on its own connection.
+/// Sends each request over its own HTTP/1.1 connection.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HttpEndpointClient;
 
@@ -116,20 +120,21 @@
     async fn send(&self, endpoint_call: EndpointCall<'_>) -> Result<EndpointAnswer, EndpointError> {
         let plan = endpoint_call.plan;
         let request = build_request(&endpoint_call).ok_or(EndpointError::Unreachable)?;
-        let limits = CallLimits { connect: CONNECT_LIMIT, silence: plan.policy.silence_limit };
+        let limits = CallLimits { connect: CONNECT_TIMEOUT, silence: plan.policy.silence_limit };
         let response = call(endpoint_call.address, request, limits).await.map_err(|error| match error {
             Error::Unreachable(_) => EndpointError::Unreachable,
-            Error::Broken => EndpointError::Severed,
-            Error::Silent | Error::Length | Error::Interim => EndpointError::Silent,
+            Error::Broken => EndpointError::ConnectionLost,
+            Error::Silent | Error::Length | Error::Interim => EndpointError::NoAnswer,
         })?;
-        let echo = response.header(REQUEST_HEADER).map(|values| values.last().as_str().to_owned());
-        if echo.is_some_and(|echo| echo != plan.request.to_string()) {
-            return Err(EndpointError::Mismatch);
+        let echoed_id = response.header(REQUEST_HEADER).map(|values| values.last().as_str().to_owned());
+        if echoed_id.is_some_and(|echoed_id| echoed_id != plan.request.to_string()) {
+            return Err(EndpointError::WrongRequest);
         }
         check_refusal(&endpoint_call, response).await
     }
 }
 
+/// Builds the request to the endpoint; `None` if its method or target is invalid.
 fn build_request(call: &EndpointCall<'_>) -> Option<Request> {
     let plan = call.plan;
     let method = Method::from_str(&plan.method).ok()?;
@@ -148,7 +153,7 @@
     Some(request)
 }
 
-/// Turns a full or leaving endpoint's answer into an error; others pass.
+/// Turns responses with status 429 or 503 into an error and passes on all others.
 async fn check_refusal(
     call: &EndpointCall<'_>,
     mut response: Response,
@@ -157,19 +162,23 @@
     if !matches!(status, 429 | 503) {
         return Ok(EndpointAnswer { response });
     }
-    let says =
+    let has_header =
         |name: &str, value: &str| response.header(name).is_some_and(|values| values.last().as_str() == value);
-    let proved = says(RUN_HEADER, "not-run");
-    let draining = says(DRAINING_HEADER, "true");
-    let times = response.header("retry-after").into_iter().flatten();
-    let heard = HeardAdvice::read(true, times.map(|value| value.as_str()), false);
-    if let Some(fault) = &heard.fault {
+    let is_proved_not_run = has_header(RUN_HEADER, "not-run");
+    let is_draining = has_header(DRAINING_HEADER, "true");
+    let retry_after_values = response.header("retry-after").into_iter().flatten();
+    let parsed = HeaderAdvice::parse(true, retry_after_values.map(|value| value.as_str()), false);
+    if let Some(fault) = &parsed.fault {
         let fields =
             [field("request", call.plan.request), field("address", call.address), field("error", fault)];
         record(&events::ADVICE_UNREADABLE, &fields);
     }
-    let rest = heard.advice.rest;
-    let mut unread = Vec::new();
-    let _ = response.take_body().take(MAX_REFUSAL).read_to_end(&mut unread).await;
-    Err(if draining { EndpointError::Draining { proved } } else { EndpointError::Refused { proved, rest } })
+    let rest = parsed.advice.rest;
+    let mut discarded = Vec::new();
+    let _ = response.take_body().take(MAX_REFUSAL_BYTES).read_to_end(&mut discarded).await;
+    Err(if is_draining {
+        EndpointError::Draining { is_proved_not_run }
+    } else {
+        EndpointError::Refused { is_proved_not_run, rest }
+    })
 }
--- a/crates/micaspool-router/src/metrics.rs
+++ b/crates/micaspool-router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The router's metrics.
+//! The metrics of the router.
 
 use micaspool_types::Refusal;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -13,7 +13,7 @@
     result: &'static str,
 }
 
-/// Counters and times of the path of a request.
+/// The metrics of request handling.
 #[derive(Clone, Debug)]
 pub(crate) struct RouterMetrics {
     results: Family<ResultLabels, Counter>,
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a grant, a claim where one is needed, the call, and its answer.
+//! A single attempt of a request: the grant, the claim if one is needed, the call and its answer.
 
 use super::{RequestRouter, RETRY_AFTER};
 use crate::call::CallPlan;
@@ -15,7 +15,7 @@
 use http_types::{Body, Response};
 use micaspool_backpressure::AdviceSource;
 use micaspool_clock::BootInstant;
-use micaspool_dispatch::GrantFate;
+use micaspool_dispatch::GrantOutcome;
 use micaspool_http::server::CallerWatch;
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_telemetry::spans::HopSpan;
@@ -23,12 +23,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often a grant that can't be used is exchanged for another.
+/// How many unusable grants are accepted before a request is refused.
 const MAX_UNUSABLE_GRANTS: u32 = 5;
-/// The largest answer of a call that may not be repeated.
-const MAX_ONCE_ANSWER: u64 = 32 * 1024 * 1024;
+/// The largest answer to a call with an idempotency key, in bytes. A longer one is truncated.
+const MAX_RECORDED_ANSWER: u64 = 32 * 1024 * 1024;
 
-/// A grant whose endpoint may be used by the newest settings.
+/// A grant whose endpoint is allowed by the newest settings.
 struct UsableGrant {
     lease: GrantLease,
     address: SocketAddr,
@@ -39,21 +39,22 @@
     pub attempt: u32,
     pub avoid: Option<EndpointName>,
     pub deadline: BootInstant,
+    /// The token of the claim, while one is open.
     pub claim: Option<u64>,
-    /// True once an attempt may have had an effect; no later refusal says "not run" then.
+    /// True once an attempt may have had an effect. Later refusals must not claim that the request did not run.
     pub may_have_run: bool,
 }
 
-/// Why a request did not get its answer yet.
+/// How an attempt without an answer ended.
 pub(super) enum AttemptEnd {
-    /// Try again, with the endpoint that failed left out.
-    Again(EndpointName),
-    /// This is the final answer.
+    /// Retry, avoiding the endpoint that failed.
+    Retry(EndpointName),
+    /// Refuse the request.
     Refused(Refusal),
 }
 
 impl RequestRouter {
-    /// Takes a request one attempt further.
+    /// Makes one attempt at a request.
     pub(super) async fn attempt(
         &self,
         plan: &CallPlan,
@@ -63,7 +64,7 @@
     ) -> Result<Response, AttemptEnd> {
         let mut grant =
             self.usable_grant(plan, watch, traceparent, state).await.map_err(AttemptEnd::Refused)?;
-        if plan.once.is_some() && state.claim.is_none() {
+        if plan.idempotency.is_some() && state.claim.is_none() {
             match self.claim(plan, traceparent).await.map_err(AttemptEnd::Refused)? {
                 ClaimOutcome::Granted(token) => state.claim = Some(token),
                 ClaimOutcome::Answered(response) => return Ok(*response),
@@ -82,7 +83,7 @@
             Ok(answer) => self.deliver(plan, grant, answer, span, state).await,
             Err(error) => {
                 state.may_have_run |= !error.is_not_run();
-                Err(self.note_failure(plan, grant, error))
+                Err(self.handle_failure(plan, grant, error))
             }
         }
     }
@@ -92,7 +93,7 @@
         self.parts.ledger.claim(plan, &span.traceparent()).await
     }
 
-    /// Waits for a grant whose endpoint the newest settings allow and whose lease still runs.
+    /// Waits for a grant whose lease is valid and whose endpoint is allowed by the newest settings and not resting.
     async fn usable_grant(
         &self,
         plan: &CallPlan,
@@ -106,7 +107,7 @@
             drop(span);
             if !lease.is_valid() {
                 record(&events::LEASE_OVER, &[field("request", plan.request)]);
-                lease.settle(Cost(0), GrantFate::Unsent);
+                lease.settle(Cost(0), GrantOutcome::Unsent);
                 continue;
             }
             if let Some(advice) = self.parts.shards.advice.record_of(lease.endpoint()) {
@@ -117,8 +118,8 @@
                     field("rest_ms", advice.advice.rest.as_millis()),
                 ];
                 record(&events::GRANT_UNUSABLE, &fields);
-                self.shard(&plan.service).advise(advice);
-                lease.settle(Cost(0), GrantFate::NotHeld);
+                self.shard(&plan.service).report_advice(advice);
+                lease.settle(Cost(0), GrantOutcome::NotHeld);
                 continue;
             }
             match self.allowed_address(plan, lease.endpoint()) {
@@ -126,7 +127,7 @@
                 None => {
                     let fields = [field("request", plan.request), field("endpoint", lease.endpoint())];
                     record(&events::PLACEMENT_CHANGED, &fields);
-                    lease.settle(Cost(0), GrantFate::Unsent);
+                    lease.settle(Cost(0), GrantOutcome::Unsent);
                     task::sleep(Duration::from_millis(50)).await;
                 }
             }
@@ -142,7 +143,7 @@
         state: &AttemptState,
     ) -> Result<GrantLease, Refusal> {
         let started = BootInstant::now();
-        let left = state.deadline.saturating_duration_since(started);
+        let time_left = state.deadline.saturating_duration_since(started);
         let shard = self.shard(&plan.service);
         let ticket = plan.ticket(state.attempt, state.avoid.clone());
         if ticket.attempt == 0 && ticket.order.is_none() {
@@ -151,7 +152,7 @@
         let grant = shard.acquire(ticket, Some(span.traceparent()));
         let hung_up = watch.hung_up();
         pin_mut!(grant, hung_up);
-        match timeout(left, select(grant, hung_up)).await {
+        match timeout(time_left, select(grant, hung_up)).await {
             Ok(Either::Left((result, _))) => {
                 self.metrics.wait_seconds.observe(started.elapsed().as_secs_f64());
                 result
@@ -161,7 +162,7 @@
         }
     }
 
-    /// The address of an endpoint, when the newest settings allow the customer to use its hall.
+    /// Returns the address of an endpoint if the newest settings allow the customer to use its data hall.
     fn allowed_address(&self, plan: &CallPlan, endpoint: &EndpointName) -> Option<SocketAddr> {
         let policy = self.parts.mirror.policy();
         let service = policy.service_index(plan.service.as_str())?;
@@ -172,41 +173,43 @@
         matching.next().map(|spec| spec.address)
     }
 
-    fn note_failure(&self, plan: &CallPlan, grant: UsableGrant, error: EndpointError) -> AttemptEnd {
+    /// Logs a failed call, ends its grant and decides whether to retry.
+    fn handle_failure(&self, plan: &CallPlan, grant: UsableGrant, error: EndpointError) -> AttemptEnd {
         let endpoint = grant.lease.endpoint().clone();
         let kind = match error {
-            EndpointError::Mismatch => &events::ANSWER_MISMATCH,
+            EndpointError::WrongRequest => &events::ANSWER_MISMATCH,
             _ => &events::ENDPOINT_FAILED,
         };
         let fields = [field("request", plan.request), field("endpoint", &endpoint), field("error", error)];
         record(kind, &fields);
-        self.heed(plan, &endpoint, error);
+        self.apply_advice(plan, &endpoint, error);
         let fate = match error {
-            EndpointError::Unreachable => GrantFate::Unreachable,
-            EndpointError::Refused { .. } => GrantFate::Refused,
-            EndpointError::Draining { .. } => GrantFate::Draining,
-            EndpointError::Severed => GrantFate::Severed,
-            EndpointError::Silent | EndpointError::Mismatch => GrantFate::Broken,
+            EndpointError::Unreachable => GrantOutcome::Unreachable,
+            EndpointError::Refused { .. } => GrantOutcome::Refused,
+            EndpointError::Draining { .. } => GrantOutcome::Draining,
+            EndpointError::ConnectionLost => GrantOutcome::Severed,
+            EndpointError::NoAnswer | EndpointError::WrongRequest => GrantOutcome::Broken,
         };
         grant.lease.settle(Cost(0), fate);
-        if error.is_not_run() || plan.repeatable {
-            AttemptEnd::Again(endpoint)
+        if error.is_not_run() || plan.is_repeatable {
+            AttemptEnd::Retry(endpoint)
         } else {
             AttemptEnd::Refused(Refusal::unknown(RefusalKind::EndpointFailed))
         }
     }
 
-    /// Takes in for how long an endpoint that turned a request away wants nothing. The dispatcher hears of it before the
+    /// Applies the back-off time of an endpoint that rejected a request and reports it to the dispatcher before the
     /// grant ends.
-    fn heed(&self, plan: &CallPlan, endpoint: &EndpointName, error: EndpointError) {
+    fn apply_advice(&self, plan: &CallPlan, endpoint: &EndpointName, error: EndpointError) {
         let request = plan.request.to_string();
         let source = AdviceSource { endpoint, service: &plan.service, request: &request };
         let advice = EndpointAdvice { rest: error.rest(), leaving: false };
-        if let Some(advice) = self.parts.shards.advice.hear(source, advice) {
-            self.shard(&plan.service).advise(advice);
+        if let Some(advice) = self.parts.shards.advice.apply(source, advice) {
+            self.shard(&plan.service).report_advice(advice);
         }
     }
 
+    /// Builds the caller's response from an endpoint's answer.
     async fn deliver(
         &self,
         plan: &CallPlan,
@@ -215,18 +218,19 @@
         span: HopSpan,
         state: &mut AttemptState,
     ) -> Result<Response, AttemptEnd> {
-        let mut from = answer.response;
-        let content_type = from.header("content-type").map(|values| values.last().as_str().to_owned());
+        let mut upstream = answer.response;
+        let content_type = upstream.header("content-type").map(|values| values.last().as_str().to_owned());
         let content_type = content_type.unwrap_or_else(|| "application/octet-stream".to_owned());
         let endpoint = grant.lease.endpoint().clone();
-        let length = from.len();
+        let length = upstream.len();
         let meter = meter_for(plan.kind, &content_type);
-        let relay = AnswerRelay::new(from.take_body(), meter, grant.lease, self.metrics.clone(), span);
-        let mut response = Response::new(from.status());
+        let relay = AnswerRelay::new(upstream.take_body(), meter, grant.lease, self.metrics.clone(), span);
+        let mut response = Response::new(upstream.status());
         match state.claim {
             Some(token) => {
-                let body =
-                    self.collect_once(plan, token, relay, u16::from(from.status()), &content_type).await?;
+                let body = self
+                    .collect_and_record(plan, token, relay, u16::from(upstream.status()), &content_type)
+                    .await?;
                 state.claim = None;
                 response.set_body(body);
             }
@@ -237,9 +241,8 @@
         Ok(response)
     }
 
-    /// Reads the whole answer of a call that may not be repeated and records it before anyone
-    /// sees it.
-    async fn collect_once(
+    /// Buffers the answer to a call with an idempotency key and records it in the ledger before it is returned.
+    async fn collect_and_record(
         &self,
         plan: &CallPlan,
         token: u64,
@@ -248,12 +251,12 @@
         content_type: &str,
     ) -> Result<Vec<u8>, AttemptEnd> {
         let mut body = Vec::new();
-        let mut reader = relay.take(MAX_ONCE_ANSWER);
+        let mut reader = relay.take(MAX_RECORDED_ANSWER);
         let read = reader.read_to_end(&mut body).await;
         if read.is_err() || status >= 500 {
             return Err(AttemptEnd::Refused(Refusal::unknown(RefusalKind::EndpointFailed)));
         }
-        self.parts.ledger.answered(plan, token, status, content_type, &body).await;
+        self.parts.ledger.record_answer(plan, token, status, content_type, &body).await;
         Ok(body)
     }
 }
--- a/crates/micaspool-router/src/router/mod.rs
+++ b/crates/micaspool-router/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The path of a request.
+//! Handling of requests.
 
 mod attempt;
 mod handler;
@@ -23,33 +23,33 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often one request is sent at most.
+/// The maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 3;
-/// When a request that failed for lack of endpoints may come back.
+/// `Retry-After` of requests refused here, such as for lack of a usable endpoint or while the router is draining.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a router is made of.
+/// The dependencies of a [`RequestRouter`].
 pub struct RouterParts {
-    /// The settings.
+    /// The local copy of the settings.
     pub mirror: Arc<SettingsMirror>,
-    /// How dispatchers are reached.
+    /// The options of the shard clients.
     pub shards: ShardClientOptions,
-    /// How endpoints are reached.
+    /// Sends requests to endpoints.
     pub endpoints: Arc<dyn EndpointClient>,
-    /// Where calls that may not be repeated are claimed.
+    /// Claims calls with idempotency keys.
     pub ledger: Arc<dyn ClaimLedger>,
-    /// Where spans go.
+    /// Receives tracing spans.
     pub spans: SpanSink,
 }
 
-/// Takes requests along their path; cheap to clone.
+/// Handles requests from admission to answer. Cheap to clone.
 #[derive(Clone)]
 pub struct RequestRouter {
     parts: Arc<RouterParts>,
     shards: Arc<Mutex<BTreeMap<ServiceName, Arc<ShardClient>>>>,
     budget: BodyBudget,
     metrics: RouterMetrics,
-    draining: Arc<AtomicBool>,
+    is_draining: Arc<AtomicBool>,
 }
 
 impl std::fmt::Debug for RequestRouter {
@@ -65,22 +65,22 @@
             shards: Arc::default(),
             budget: BodyBudget::default(),
             metrics,
-            draining: Arc::default(),
+            is_draining: Arc::default(),
         }
     }
 
-    /// Takes no new request from now on.
+    /// Refuses new requests from now on.
     pub fn drain(&self) {
-        self.draining.store(true, Ordering::SeqCst);
+        self.is_draining.store(true, Ordering::SeqCst);
     }
 
-    /// The shards in use.
+    /// Returns the clients of all shards opened so far.
     pub fn shards(&self) -> Vec<Arc<ShardClient>> {
         self.lock_shards().values().cloned().collect()
     }
 
     fn lock_shards(&self) -> std::sync::MutexGuard<'_, BTreeMap<ServiceName, Arc<ShardClient>>> {
-        self.shards.lock().expect("no holder of the shards panics")
+        self.shards.lock().expect("the lock of the shards is not poisoned")
     }
 
     fn shard(&self, service: &ServiceName) -> Arc<ShardClient> {
@@ -89,6 +89,7 @@
         shards.entry(service.clone()).or_insert_with(start).clone()
     }
 
+    /// Authenticates a request, resolves its plan and runs it.
     async fn route(&self, request: CallerRequest, span: &mut HopSpan) -> Result<Response, Refusal> {
         let policy = self.parts.mirror.policy();
         let header =
@@ -103,21 +104,20 @@
             key: header("idempotency-key"),
             body: request.body,
         };
-        let plan = CallPlan::make(&policy, parts)?;
+        let plan = CallPlan::new(&policy, parts)?;
         span.set("customer", &plan.customer);
         span.set("service", &plan.service);
         let guard =
-            self.budget.take(&plan.customer, plan.body.len() as u64, plan.policy.max_waiting_bytes)?;
+            self.budget.reserve(&plan.customer, plan.body.len() as u64, plan.policy.max_waiting_bytes)?;
         let traceparent = span.traceparent();
-        if plan.once.is_some() {
+        if plan.idempotency.is_some() {
             return self.run_detached(plan, request.watch, traceparent, guard).await;
         }
         let _guard = guard;
         self.run_attempts(&plan, &request.watch, &traceparent).await
     }
 
-    /// Runs a call that may not be repeated in a task of its own, so that it goes on when its
-    /// caller leaves.
+    /// Runs a call with an idempotency key in its own task, so that it continues if its caller disconnects.
     async fn run_detached(
         &self,
         plan: CallPlan,
@@ -135,6 +135,7 @@
         receiver.await.unwrap_or_else(|_| Err(Refusal::unknown(RefusalKind::EndpointFailed)))
     }
 
+    /// Makes attempts until there is an answer or a refusal, and ends an open claim.
     async fn run_attempts(
         &self,
         plan: &CallPlan,
@@ -152,10 +153,10 @@
             match self.attempt(plan, watch, traceparent, &mut state).await {
                 Ok(response) => return Ok(response),
                 Err(AttemptEnd::Refused(refusal)) => break refusal,
-                Err(AttemptEnd::Again(_)) if state.attempt + 1 >= MAX_ATTEMPTS => {
+                Err(AttemptEnd::Retry(_)) if state.attempt + 1 >= MAX_ATTEMPTS => {
                     break Refusal::not_run(RefusalKind::RetriesExhausted).after(RETRY_AFTER);
                 }
-                Err(AttemptEnd::Again(endpoint)) => {
+                Err(AttemptEnd::Retry(endpoint)) => {
                     self.metrics.retries.inc();
                     state.attempt += 1;
                     state.avoid = Some(endpoint);
@@ -166,17 +167,17 @@
             result.run = RunState::Unknown;
         }
         if let Some(token) = state.claim {
-            self.end_claim(plan, token, &result).await;
+            self.finish_claim(plan, token, &result).await;
         }
         Err(result)
     }
 
-    /// Frees the key of a call that provably did not run; otherwise records that it may have.
-    async fn end_claim(&self, plan: &CallPlan, token: u64, refusal: &Refusal) {
+    /// Releases the key of a call that provably did not run, or records that the call may have run.
+    async fn finish_claim(&self, plan: &CallPlan, token: u64, refusal: &Refusal) {
         if refusal.run == RunState::NotRun {
             self.parts.ledger.release(plan, token).await;
         } else {
-            self.parts.ledger.unknown(plan, token).await;
+            self.parts.ledger.record_unknown(plan, token).await;
         }
     }
 }
--- a/crates/micaspool-router/src/shard_client/mod.rs
+++ b/crates/micaspool-router/src/shard_client/mod.rs
@@ -1,9 +1,9 @@
-//! This router's part of one shard.
+//! The client of one shard: the requests of one service that this router holds.
 
 mod dispatchers;
-mod held;
 mod lease;
 mod link;
+mod state;
 
 pub use dispatchers::{
     DispatcherAddress, DispatcherCandidate, DispatcherList, ListedDispatchers, LocalDispatcher, MessageStream,
@@ -11,8 +11,7 @@
 pub use lease::GrantLease;
 
 use async_std::channel::bounded;
-use held::{HeldWork, WaitResult, WaitingEntry};
-use micaspool_backpressure::AdviceBoard;
+use micaspool_backpressure::SharedAdvice;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::RequestTicket;
 use micaspool_telemetry::traffic::TrafficCounter;
@@ -21,70 +20,73 @@
 };
 use micaspool_wire::v1;
 use serde_json::json;
+use state::{ShardState, WaitResult, WaitingEntry};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// After this time without any dispatcher new requests are refused at once.
-const UNREACHABLE_LIMIT: Duration = Duration::from_secs(2);
-/// When a request that found no dispatcher may come back.
+/// Once no dispatcher has been reachable for this long, new requests are refused immediately.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// `Retry-After` of requests refused for lack of a dispatcher.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Who this router is and whom it may speak to.
+/// The identity of this router and the dependencies of its shard clients.
 #[derive(Debug, Clone)]
 pub struct ShardClientOptions {
     /// The instance of the router.
     pub router: InstanceName,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: String,
-    /// Tells one life of the router from the next.
+    /// Distinguishes this run of the router from earlier and later ones.
     pub incarnation: Incarnation,
-    /// The dispatchers of the region.
+    /// The dispatchers that may be used.
     pub dispatchers: Arc<dyn DispatcherList>,
-    /// What endpoints asked of this process.
-    pub advice: Arc<AdviceBoard>,
-    /// Counts control bytes.
+    /// The back-off advice that endpoints gave this process.
+    pub advice: Arc<SharedAdvice>,
+    /// Counts the control traffic, in bytes.
     pub counter: TrafficCounter,
 }
 
-/// Holds this router's requests of one service and speaks to the dispatcher that orders them.
+/// Holds this router's requests of one service and the session with the dispatcher that grants them.
 #[derive(Debug)]
 pub struct ShardClient {
     service: ServiceName,
     options: ShardClientOptions,
-    held: Mutex<HeldWork>,
+    state: Mutex<ShardState>,
 }
 
-/// Gives a waiting request up when its caller no longer waits.
+/// Cancels a waiting request when the future that waits for it is dropped.
 struct WaitGuard {
     client: Arc<ShardClient>,
     request: RequestId,
-    armed: bool,
+    is_armed: bool,
 }
 
 impl Drop for WaitGuard {
     fn drop(&mut self) {
-        if self.armed {
-            self.client.give_up(self.request);
+        if self.is_armed {
+            self.client.cancel(self.request);
         }
     }
 }
 
 impl ShardClient {
-    /// Starts to look for a dispatcher.
+    /// Creates a client and starts connecting to a dispatcher.
     pub fn start(service: ServiceName, options: ShardClientOptions) -> Arc<ShardClient> {
-        let held = Mutex::new(HeldWork::new(BootInstant::now()));
-        let client = Arc::new(ShardClient { service, options, held });
-        tokio::spawn(link::keep_linked(Arc::downgrade(&client)));
+        let state = Mutex::new(ShardState::new(BootInstant::now()));
+        let client = Arc::new(ShardClient { service, options, state });
+        tokio::spawn(link::maintain_link(Arc::downgrade(&client)));
         client
     }
 
-    /// Says whether a new request of a customer may be submitted. Most of what the dispatcher would refuse is refused
-    /// here, before its router has spent anything on it. Asked once for each request.
+    /// Checks whether a new request of a customer may be submitted. Must be called once per request.
+    ///
+    /// This refuses most of the requests that the dispatcher would refuse, before the router has spent resources on
+    /// them.
     pub fn admit(&self, customer: &CustomerName) -> Result<(), Refusal> {
-        self.held().throttle(customer)
+        self.lock_state().check_throttle(customer)
     }
 
-    /// Waits until the request may run. Dropping the future gives the request up.
+    /// Waits until the request may run. Dropping the future cancels the request.
     pub async fn acquire(
         self: &Arc<Self>,
         ticket: RequestTicket,
@@ -93,9 +95,9 @@
         let request = ticket.request;
         let (sender, receiver) = bounded(1);
         self.submit(ticket, sender, traceparent)?;
-        let mut guard = WaitGuard { client: self.clone(), request, armed: true };
+        let mut guard = WaitGuard { client: self.clone(), request, is_armed: true };
         let result = receiver.recv().await;
-        guard.armed = false;
+        guard.is_armed = false;
         match result {
             Ok(Ok(grant)) => Ok(GrantLease::new(self.clone(), request, grant)),
             Ok(Err(refusal)) => Err(refusal),
@@ -103,27 +105,27 @@
         }
     }
 
-    /// Tells the dispatcher what an endpoint asked of this router; one that is met later hears of it at first.
-    pub fn advise(&self, advice: AdviceRecord) {
-        self.held().advise(&advice);
+    /// Reports an endpoint's back-off advice to the dispatcher. Later dispatchers receive it in the hello.
+    pub fn report_advice(&self, advice: AdviceRecord) {
+        self.lock_state().report_advice(&advice);
     }
 
-    /// The service of the shard.
+    /// Returns the service of the shard.
     pub fn service(&self) -> &ServiceName {
         &self.service
     }
 
-    /// True while a dispatcher is reached.
+    /// Returns true while there is a stream to a dispatcher, including one that is being opened.
     pub fn is_linked(&self) -> bool {
-        self.held().is_linked()
+        self.lock_state().is_linked()
     }
 
-    /// The number of waiting and of running requests.
+    /// Returns the numbers of waiting and running requests.
     pub fn counts(&self) -> (usize, usize) {
-        self.held().counts()
+        self.lock_state().counts()
     }
 
-    /// What operators see of it.
+    /// Returns the state of the client for status pages.
     pub fn state(&self) -> serde_json::Value {
         let (waiting, running) = self.counts();
         json!({
@@ -140,28 +142,29 @@
         waiter: async_std::channel::Sender<WaitResult>,
         traceparent: Option<String>,
     ) -> Result<(), Refusal> {
-        let mut held = self.held();
-        if held.unreachable_for() > UNREACHABLE_LIMIT {
+        let mut state = self.lock_state();
+        if state.unreachable_for() > UNREACHABLE_TIMEOUT {
             return Err(Refusal::not_run(RefusalKind::NoDispatcher).after(RETRY_AFTER));
         }
-        held.add_waiting(WaitingEntry { ticket, traceparent: traceparent.unwrap_or_default(), waiter });
+        state.add_waiting(WaitingEntry { ticket, traceparent: traceparent.unwrap_or_default(), waiter });
         Ok(())
     }
 
-    fn give_up(&self, request: RequestId) {
-        self.held().give_up(request);
+    fn cancel(&self, request: RequestId) {
+        self.lock_state().cancel(request);
     }
 
-    fn held(&self) -> std::sync::MutexGuard<'_, HeldWork> {
-        self.held.lock().expect("no holder of the requests panics")
+    fn lock_state(&self) -> std::sync::MutexGuard<'_, ShardState> {
+        self.state.lock().expect("the lock of the shard state is not poisoned")
     }
 
-    fn hello(&self, held: &mut HeldWork) -> v1::RouterMessage {
+    /// Builds the first message of a session, which carries everything that this router holds.
+    fn build_hello_message(&self, state: &mut ShardState) -> v1::RouterMessage {
         let advice = self.options.advice.records(&self.service);
-        let hello = held.hello(&self.options, advice);
+        let hello = state.build_hello(&self.options, advice);
         let mut message = micaspool_wire::convert::hello_message(&self.service, &self.options.hall, &hello);
         for submit in &mut message.waiting {
-            submit.traceparent = held.traceparent_of(&submit.request);
+            submit.traceparent = state.traceparent_of(&submit.request);
         }
         v1::RouterMessage { body: Some(v1::router_message::Body::Hello(message)) }
     }
--- a/crates/micaspool-store/src/record.rs
+++ b/crates/micaspool-store/src/record.rs
@@ -1,68 +1,69 @@
-//! Records of the log: a length, a checksum and a payload.
+//! Encoding of log records: length, checksum, payload.
 
 use micaspool_quorum::{HardState, LogEntry, LogIndex};
 use serde::{Deserialize, Serialize};
 
-/// Length and checksum before each payload, four bytes each, little-endian.
-pub(crate) const RECORD_HEAD: usize = 8;
-/// The largest payload that is taken for a record.
-pub(crate) const MAX_RECORD: usize = 64 * 1024 * 1024;
+/// The size of a record header: payload length and checksum, four bytes each, little-endian.
+pub(crate) const HEADER_LEN: usize = 8;
+/// The maximum payload size in bytes. A longer length field marks an invalid record.
+pub(crate) const MAX_PAYLOAD_LEN: usize = 64 * 1024 * 1024;
 
-/// One record of the log file.
+/// A record of the log file.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize, Debug)]
 pub(crate) enum LogRecord {
-    /// An entry.
+    /// A log entry. It replaces any entry at the same position and all entries after that.
     Entry(LogEntry),
-    /// Entries from here on are dropped.
+    /// A truncation: the entry at this position and all entries after it are dropped.
     Cut(LogIndex),
-    /// The term and vote.
+    /// The new term and vote.
     Hard(HardState),
 }
 
-/// Adds a record to `buffer`.
+/// Appends an encoded record to `buffer`.
 pub(crate) fn encode_record(record: &LogRecord, buffer: &mut Vec<u8>) {
     let start = buffer.len();
-    buffer.extend_from_slice(&[0; RECORD_HEAD]);
-    let payload = postcard::to_stdvec(record).expect("records have no values that cannot be encoded");
+    buffer.extend_from_slice(&[0; HEADER_LEN]);
+    let payload = postcard::to_stdvec(record).expect("records can be encoded");
     buffer.extend_from_slice(&payload);
-    let length = u32::try_from(payload.len()).expect("a record is far smaller than 4 GiB");
+    let length = u32::try_from(payload.len()).expect("a record is smaller than 4 GiB");
     buffer[start..start + 4].copy_from_slice(&length.to_le_bytes());
-    buffer[start + 4..start + RECORD_HEAD].copy_from_slice(&checksum(&payload).to_le_bytes());
+    buffer[start + 4..start + HEADER_LEN].copy_from_slice(&checksum(&payload).to_le_bytes());
 }
 
-/// What stands at a position of the log file.
-pub(crate) enum RecordAt {
-    /// A whole record, and where the next begins.
-    Whole(Box<LogRecord>, usize),
-    /// Nothing more.
+/// The result of decoding a record.
+pub(crate) enum DecodedRecord {
+    /// A valid record and the offset of the next one.
+    Valid(Box<LogRecord>, usize),
+    /// The end of the file.
     End,
-    /// Bytes that are no record.
-    Broken,
+    /// An incomplete or damaged record.
+    Invalid,
 }
 
-/// Reads the record at `start`.
-pub(crate) fn decode_record(bytes: &[u8], start: usize) -> RecordAt {
+/// Decodes the record at offset `start`.
+pub(crate) fn decode_record(bytes: &[u8], start: usize) -> DecodedRecord {
     let rest = &bytes[start..];
     if rest.is_empty() {
-        return RecordAt::End;
+        return DecodedRecord::End;
     }
-    let Some(head) = rest.get(..RECORD_HEAD) else { return RecordAt::Broken };
-    let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    let expected = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-    if length == 0 || length > MAX_RECORD {
-        return RecordAt::Broken;
+    let Some(header) = rest.get(..HEADER_LEN) else { return DecodedRecord::Invalid };
+    let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+    let expected = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
+    if length == 0 || length > MAX_PAYLOAD_LEN {
+        return DecodedRecord::Invalid;
     }
-    let Some(payload) = rest.get(RECORD_HEAD..RECORD_HEAD + length) else { return RecordAt::Broken };
+    let Some(payload) = rest.get(HEADER_LEN..HEADER_LEN + length) else { return DecodedRecord::Invalid };
     if checksum(payload) != expected {
-        return RecordAt::Broken;
+        return DecodedRecord::Invalid;
     }
     match postcard::from_bytes(payload) {
-        Ok(record) => RecordAt::Whole(Box::new(record), start + RECORD_HEAD + length),
-        Err(_) => RecordAt::Broken,
+        Ok(record) => DecodedRecord::Valid(Box::new(record), start + HEADER_LEN + length),
+        Err(_) => DecodedRecord::Invalid,
     }
 }
 
-/// CRC-32 of the length and the bytes, so that a run of zeros is no record.
+/// Returns the CRC-32 of the length and the bytes. The length is included so that a run of zero
+/// bytes is not a valid record.
 pub(crate) fn checksum(bytes: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&(bytes.len() as u64).to_le_bytes());
