--- a/crates/micaspool-dispatch/src/shard/choice.rs
+++ b/crates/micaspool-dispatch/src/shard/choice.rs
@@ -82,7 +82,7 @@
     pub fn default_per_token(&self, now: Moment, planned_pace: f64) -> Option<f64> {
         let warm = self.states.iter().filter(|state| !state.availability.cold.is_cold(now));
         let engines = warm.filter_map(|state| state.engine.as_ref());
-        let known: Vec<f64> = engines.filter_map(|engine| engine.pace().settled_per_token()).collect();
+        let known: Vec<f64> = engines.filter_map(|engine| engine.rate().settled_per_token()).collect();
         if known.is_empty() {
             return (planned_pace > 0.0).then(|| 1_000.0 / planned_pace);
         }
@@ -98,9 +98,9 @@
         }
         let spacing = self.cold_spacing();
         let load = |state: &EndpointState| {
-            let pace = state.engine.as_ref()?.pace();
-            let warm = pace.tokens_per_milli() * 1_000.0;
-            let usual = pace.mean_prefill_time();
+            let rate = state.engine.as_ref()?.rate();
+            let warm = rate.tokens_per_milli() * 1_000.0;
+            let usual = rate.mean_prefill_time();
             let is_bounded = state.availability.cold.is_cold(now) && !spacing.is_zero() && !usual.is_zero();
             let used = if is_bounded { usual.div_duration_f64(spacing).min(1.0) } else { 1.0 };
             Some(warm * used)
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -100,7 +100,7 @@
         match &mut self.engine {
             Some(engine) => {
                 engine.resize(memory);
-                engine.assume_pace(per_token);
+                engine.assume_rate(per_token);
             }
             None if memory > 0 => self.engine = Some(EngineState::new(memory, initial_share, per_token)),
             None => {}
@@ -233,10 +233,10 @@
     }
 
     /// Applies a cache update to an engine.
-    pub fn learn_kept(&mut self, endpoint: EndpointIndex, update: &CacheUpdate) {
+    pub fn update_cache(&mut self, endpoint: EndpointIndex, update: &CacheUpdate) {
         let mut changes = std::mem::take(&mut self.part_changes);
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
-            engine.learn_kept(update, &mut changes);
+            engine.update_cache(update, &mut changes);
         }
         self.holders.take(endpoint, &mut changes);
         self.part_changes = changes;
--- a/crates/micaspool-dispatch/src/shard/engine.rs
+++ b/crates/micaspool-dispatch/src/shard/engine.rs
@@ -18,13 +18,13 @@
 /// reported.
 const REPORTED_CACHE_PERCENT: u64 = 120;
 /// The share of the learnt prefill rate at which an engine is given tokens, in percent.
-const PACE_PERCENT: u32 = 90;
+const RATE_PERCENT: u32 = 90;
 /// An engine with this much queued prefill work gets no further prompts. The limit bounds the work that
 /// a request of another customer can no longer overtake, and the delay of first events. A shorter limit
 /// lets engines run idle between two grants.
 const MAX_PREFILL_QUEUE: Duration = Duration::from_millis(80);
-/// Weight of an uncached token, in percent. Prefilling it takes capacity from all requests and evicts
-/// other cached parts.
+/// Weight in percent of a token that the engine has not cached, though another engine may have. Its
+/// prefill takes capacity from all requests, and it evicts other cached parts.
 const UNCACHED_PERCENT: u64 = 1_000;
 /// Delay that a running request adds for the next one, in tokens of prefill. It prefers engines with
 /// fewer running requests if prefill would take equally long.
@@ -85,8 +85,8 @@
 /// A change of an engine's set of cached parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PartChange {
-    Kept(u64),
-    Dropped(u64),
+    Added(u64),
+    Removed(u64),
 }
 
 /// A prompt that was granted to an engine and has had no first event yet.
@@ -108,12 +108,12 @@
     last_first_event: Moment,
     /// The share of the prefill budget that this shard may use, in percent.
     share: u64,
-    /// When the engine will have processed all granted prompts at `PACE_PERCENT` of its learnt rate.
+    /// When the engine will have processed all granted prompts at `RATE_PERCENT` of its learnt rate.
     paced_until: Moment,
     /// Until when the engine is assumed to process prompts of others, according to its load reports.
     others_until: Moment,
-    pace: PrefillRate,
-    kept: PartCache,
+    rate: PrefillRate,
+    cached: PartCache,
     /// True once the engine has reported its cache.
     reports_cache: bool,
 }
@@ -129,8 +129,8 @@
             share,
             paced_until: Moment(0),
             others_until: Moment(0),
-            pace: PrefillRate::new(per_token),
-            kept: PartCache::default(),
+            rate: PrefillRate::new(per_token),
+            cached: PartCache::default(),
             reports_cache: false,
         }
     }
@@ -141,13 +141,13 @@
     }
 
     /// The learnt prefill rate.
-    pub fn pace(&self) -> &PrefillRate {
-        &self.pace
+    pub fn rate(&self) -> &PrefillRate {
+        &self.rate
     }
 
     /// Replaces the initial prefill time per token, unless there are observations already.
-    pub fn assume_pace(&mut self, per_token: Option<f64>) {
-        self.pace.assume(per_token);
+    pub fn assume_rate(&mut self, per_token: Option<f64>) {
+        self.rate.assume(per_token);
     }
 
     /// True if the queued prefill work is below the limit.
@@ -175,21 +175,21 @@
     fn own_prefill_time(&self, now: Moment) -> Duration {
         let Some(oldest) = self.pending.front() else { return Duration::ZERO };
         let passed = now.since(self.prefill_start(oldest));
-        let rest = self.pace.prefill_time(self.pending_tokens).saturating_sub(passed);
-        let usual = self.pace.prefill_time(oldest.tokens) * LATE_FACTOR + self.pace.latency() * 2;
+        let rest = self.rate.prefill_time(self.pending_tokens).saturating_sub(passed);
+        let usual = self.rate.prefill_time(oldest.tokens) * LATE_FACTOR + self.rate.latency() * 2;
         rest + passed.saturating_sub(usual)
     }
 
     /// When processing of `prompt`, the oldest pending one, began: at its grant, or when the previous
     /// prompt was done.
     fn prefill_start(&self, prompt: &PendingPrompt) -> Moment {
-        let latency = self.pace.latency().as_micros() as u64;
+        let latency = self.rate.latency().as_micros() as u64;
         prompt.granted.max(Moment(self.last_first_event.0.saturating_sub(latency)))
     }
 
     /// How many tokens of a prompt are not cached here; at least one.
     pub fn uncached_tokens(&self, prompt: &PromptShape) -> u64 {
-        let held = prompt.parts().take_while(|(prefix, _)| self.kept.has(*prefix));
+        let held = prompt.parts().take_while(|(prefix, _)| self.cached.has(*prefix));
         let held: u64 = held.map(|(_, tokens)| tokens).sum();
         prompt.total.saturating_sub(held).max(1)
     }
@@ -200,21 +200,21 @@
     pub fn delay(&self, now: Moment, prompt: &PromptShape, running: u32, tokens_before: u64) -> u64 {
         let uncached_tokens = self.uncached_tokens(prompt) * UNCACHED_PERCENT / 100;
         let tokens = tokens_before + uncached_tokens + u64::from(running) * RUNNING_REQUEST_TOKENS;
-        (self.queued_prefill_time(now) + self.pace.prefill_time(tokens)).as_micros() as u64
+        (self.queued_prefill_time(now) + self.rate.prefill_time(tokens)).as_micros() as u64
     }
 
     /// The expected time from now to the first event of a prompt, if `tokens_before` tokens for other
     /// waiting tickets are processed first.
     pub fn time_to_first_event(&self, now: Moment, prompt: &PromptShape, tokens_before: u64) -> Duration {
         self.queued_prefill_time(now)
-            + self.pace.prefill_time(tokens_before)
+            + self.rate.prefill_time(tokens_before)
             + self.unqueued_time_to_first_event(prompt)
     }
 
     /// The expected time from a grant to the first event of a prompt on an engine without queued
     /// prompts.
     pub fn unqueued_time_to_first_event(&self, prompt: &PromptShape) -> Duration {
-        self.pace.latency() + self.pace.prefill_time(self.uncached_tokens(prompt))
+        self.rate.latency() + self.rate.prefill_time(self.uncached_tokens(prompt))
     }
 
     /// Records a grant of a prompt to this engine, and appends the resulting cache changes to
@@ -229,12 +229,12 @@
         let tokens = self.uncached_tokens(prompt);
         self.pending.push_back(PendingPrompt { request, tokens, granted: now });
         self.pending_tokens += tokens;
-        let paced = self.pace.prefill_time(tokens) * 100 / PACE_PERCENT;
+        let paced = self.rate.prefill_time(tokens) * 100 / RATE_PERCENT;
         self.paced_until = self.paced_until.max(now) + paced;
         for (prefix, tokens) in prompt.parts() {
-            self.kept.touch(prefix, tokens, changes);
+            self.cached.touch(prefix, tokens, changes);
         }
-        self.shrink_kept(changes);
+        self.evict_excess(changes);
     }
 
     /// Records the first event of a prompt and learns from it. Engines process prompts in order of
@@ -247,9 +247,9 @@
         let prefill_start = self.prefill_start(&prompt);
         let idle = prefill_start == prompt.granted;
         let since = if idle { prompt.granted } else { self.last_first_event };
-        self.pace.observe(now, prompt.tokens, now.since(since), idle);
+        self.rate.observe(now, prompt.tokens, now.since(since), idle);
         self.last_first_event = now;
-        let latency = self.pace.latency();
+        let latency = self.rate.latency();
         self.retain_pending(|other| other.request != request && other.granted + latency >= prompt.granted);
     }
 
@@ -269,7 +269,7 @@
         let known = u32::try_from(self.pending.len()).unwrap_or(u32::MAX);
         let others = waiting.saturating_sub(known);
         if others > UNATTRIBUTED_WAITING {
-            let held = (self.pace.mean_prefill_time() * others).min(MAX_HOLD);
+            let held = (self.rate.mean_prefill_time() * others).min(MAX_HOLD);
             self.others_until = self.others_until.max(now + held);
         }
     }
@@ -291,22 +291,22 @@
 
     /// Applies a cache update from the engine itself. From then on parts are dropped as the engine
     /// reports.
-    pub fn learn_kept(&mut self, update: &CacheUpdate, changes: &mut Vec<PartChange>) {
+    pub fn update_cache(&mut self, update: &CacheUpdate, changes: &mut Vec<PartChange>) {
         self.reports_cache = true;
         if update.whole {
-            self.kept.clear(changes);
+            self.cached.clear(changes);
         }
         for prefix in &update.dropped {
-            self.kept.drop(*prefix, changes);
+            self.cached.drop(*prefix, changes);
         }
         for part in &update.kept {
-            self.kept.touch(part.prefix, u64::from(part.tokens), changes);
+            self.cached.touch(part.prefix, u64::from(part.tokens), changes);
         }
-        self.shrink_kept(changes);
+        self.evict_excess(changes);
     }
 
-    fn shrink_kept(&mut self, changes: &mut Vec<PartChange>) {
+    fn evict_excess(&mut self, changes: &mut Vec<PartChange>) {
         let percent = if self.reports_cache { REPORTED_CACHE_PERCENT } else { CACHE_PERCENT };
-        self.kept.shrink(self.memory * percent / 100, changes);
+        self.cached.shrink(self.memory * percent / 100, changes);
     }
 }
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -322,11 +322,11 @@
         self.reindex(grant.customer);
     }
 
-    pub(super) fn learn_cache(&mut self, update: &CacheUpdate) {
+    pub(super) fn apply_cache_update(&mut self, update: &CacheUpdate) {
         let Some(endpoint) = self.endpoints.by_name(&update.endpoint) else { return };
         self.prefixes.remember(&update.stored, endpoint);
         self.prefixes.drop_from(&update.dropped, endpoint);
-        self.endpoints.learn_kept(endpoint, update);
+        self.endpoints.update_cache(endpoint, update);
     }
 }
 
--- a/crates/micaspool-dispatch/src/shard/holders.rs
+++ b/crates/micaspool-dispatch/src/shard/holders.rs
@@ -21,8 +21,8 @@
     pub fn take(&mut self, engine: EndpointIndex, changes: &mut Vec<PartChange>) {
         for change in changes.drain(..) {
             match change {
-                PartChange::Kept(prefix) => self.engines.entry(prefix).or_default().push(engine),
-                PartChange::Dropped(prefix) => self.forget(prefix, engine),
+                PartChange::Added(prefix) => self.engines.entry(prefix).or_default().push(engine),
+                PartChange::Removed(prefix) => self.forget(prefix, engine),
             }
         }
     }
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -190,7 +190,7 @@
             }
             ShardEvent::Unreachable(endpoint) => self.endpoints.fail_probe(now, &endpoint),
             ShardEvent::Listed(leaving) => self.endpoints.set_listed(&leaving),
-            ShardEvent::Cache(news) => self.learn_cache(&news),
+            ShardEvent::Cache(update) => self.apply_cache_update(&update),
             ShardEvent::Shared(totals) => self.apply_region_totals(&totals),
             ShardEvent::Tick => {
                 self.expire(now);
--- a/crates/micaspool-dispatch/src/shard/parts.rs
+++ b/crates/micaspool-dispatch/src/shard/parts.rs
@@ -34,7 +34,7 @@
             None => {
                 self.parts.insert(prefix, PartEntry { tokens, last_used });
                 self.tokens += tokens;
-                changes.push(PartChange::Kept(prefix));
+                changes.push(PartChange::Added(prefix));
             }
         }
         self.recency.insert(last_used, prefix);
@@ -45,7 +45,7 @@
         let Some(part) = self.parts.remove(&prefix) else { return };
         self.recency.remove(&part.last_used);
         self.tokens -= part.tokens;
-        changes.push(PartChange::Dropped(prefix));
+        changes.push(PartChange::Removed(prefix));
     }
 
     /// Removes all parts.
@@ -58,7 +58,7 @@
             let Some((_, prefix)) = self.recency.pop_first() else { return };
             if let Some(part) = self.parts.remove(&prefix) {
                 self.tokens -= part.tokens;
-                changes.push(PartChange::Dropped(prefix));
+                changes.push(PartChange::Removed(prefix));
             }
         }
     }
--- a/crates/micaspool-dispatch/src/shard/prefill.rs
+++ b/crates/micaspool-dispatch/src/shard/prefill.rs
@@ -21,7 +21,7 @@
 const INITIAL_LATENCY: Duration = Duration::from_millis(30);
 /// The rate assumed if neither settings nor other engines provide one, in tokens per millisecond. It is
 /// low enough to grant one prompt at a time until the first ones have begun.
-const DEFAULT_PACE: f64 = 8.0;
+const DEFAULT_RATE: f64 = 8.0;
 /// The weight of the assumed rate, in tokens: about two prompts.
 const PRIOR_TOKENS: f64 = 4_000.0;
 /// Factor applied to older observations with each new one: the last 24 dominate, which is one second of
@@ -119,7 +119,7 @@
     /// A rate without observations; `per_token` is the initial time per token in microseconds, if
     /// known.
     pub fn new(per_token: Option<f64>) -> PrefillRate {
-        let mut pace = PrefillRate {
+        let mut rate = PrefillRate {
             latency: INITIAL_LATENCY.as_micros() as f64,
             mean_latency: INITIAL_LATENCY.as_micros() as f64,
             per_token: 0.0,
@@ -134,8 +134,8 @@
             recent_expected: 0.0,
             recent_micros: 0.0,
         };
-        pace.assume(per_token);
-        pace
+        rate.assume(per_token);
+        rate
     }
 
     /// Replaces the initial time per token, unless there are observations already.
@@ -144,7 +144,7 @@
             return;
         }
         let (least, most) = PER_TOKEN_RANGE;
-        self.per_token = per_token.unwrap_or(1_000.0 / DEFAULT_PACE).clamp(least, most);
+        self.per_token = per_token.unwrap_or(1_000.0 / DEFAULT_RATE).clamp(least, most);
         self.sums = FitSums::default();
         self.sums.add(false, PRIOR_TOKENS, PRIOR_TOKENS * self.per_token);
         self.fitted_per_token = self.per_token;
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -177,7 +177,7 @@
                 Duration::ZERO
             },
             resting_routers: rests.get(&index).copied().unwrap_or_default(),
-            pace: state.engine.as_ref().map(|engine| PrefillStatus::of(now, engine.pace())),
+            pace: state.engine.as_ref().map(|engine| PrefillStatus::of(now, engine.rate())),
         });
         let awaited = || self.waiting.values().filter_map(|ticket| ticket.waits_for.get());
         let engines: HashSet<EndpointIndex> = awaited().map(|choice| choice.engine).collect();
