--- a/crates/micaspool-dispatch/src/shard/retry_after.rs
+++ b/crates/micaspool-dispatch/src/shard/retry_after.rs
@@ -13,8 +13,9 @@
 
 impl ShardCore {
     /// When a refused request of the customer may be accepted: once the tickets queued before it are
-    /// granted, and no earlier than `DEMAND_WINDOW` of the customer's demand takes to serve. Queues
-    /// stay short while everything is refused on arrival; the second time grows as capacity falls.
+    /// granted, and no earlier than it takes to serve the customer's demand of one `DEMAND_WINDOW`. The
+    /// first time alone would be too short, because queues stay short while everything that arrives is
+    /// refused; the second time grows as capacity falls.
     pub(super) fn retry_after(&self, now: Moment, customer: CustomerIndex) -> Duration {
         let state = self.customers.get(customer);
         let ahead = state.queue.len() + 1;
