--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -296,10 +296,10 @@
     }
 
     /// Releases one slot and learns from the outcome of the grant.
-    pub fn vacate(&mut self, now: Moment, endpoint: EndpointIndex, fate: GrantOutcome) {
+    pub fn vacate(&mut self, now: Moment, endpoint: EndpointIndex, outcome: GrantOutcome) {
         let state = &mut self.states[endpoint.0 as usize];
         state.busy = state.busy.saturating_sub(1);
-        match fate {
+        match outcome {
             GrantOutcome::Done | GrantOutcome::Abandoned => {
                 state.failures = 0;
                 state.breaks = 0;
@@ -315,8 +315,8 @@
             | GrantOutcome::Draining
             | GrantOutcome::Broken
             | GrantOutcome::Severed => {
-                state.availability.paused_as_leaving = fate == GrantOutcome::Draining;
-                state.connect_failures += u32::from(fate == GrantOutcome::Unreachable);
+                state.availability.paused_as_leaving = outcome == GrantOutcome::Draining;
+                state.connect_failures += u32::from(outcome == GrantOutcome::Unreachable);
                 self.pause(now, endpoint)
             }
             GrantOutcome::Unsent | GrantOutcome::NotHeld => {}
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -26,14 +26,14 @@
         &mut self,
         now: Moment,
         ended: &EndedRun,
-        fate: GrantOutcome,
+        outcome: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
         if self.suspects.standing(now, ended.digest).is_in_doubt() {
             // A waiting copy may be allowed to run now, though no endpoint has become free.
             self.next_pass_due = now;
         }
-        match fate {
+        match outcome {
             GrantOutcome::Severed => self.note_severed(now, ended, actions),
             GrantOutcome::Done => {
                 self.note_endpoint_response(now, ended.endpoint, actions);
@@ -48,7 +48,8 @@
         let endpoint = self.endpoints.name(ended.endpoint).clone();
         let customer = self.customers.get(ended.customer).name.clone();
         if self.endpoints.is_leaving(ended.endpoint) {
-            // The endpoint ended because it was told to. Clears the record of the router that saw it.
+            // The endpoint ended because it was told to. The router that saw it gets the record, which
+            // does not include this end.
             let record = self.record_of(now, digest, &customer);
             let session = self.routers.session(ended.router);
             actions.extend(session.map(|session| ShardAction::SendRecord { session, record }));
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -261,14 +261,14 @@
         session: SessionId,
         request: RequestId,
         cost: Cost,
-        fate: GrantOutcome,
+        outcome: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
         let owner = self.routers.by_session(session);
         let own = self.running.get(&request).filter(|grant| Some(grant.router) == owner);
         let Some(ended) = own.map(EndedRun::of) else { return };
-        self.end_grant(now, request, Some(cost), fate);
-        self.record_outcome(now, &ended, fate, actions);
+        self.end_grant(now, request, Some(cost), outcome);
+        self.record_outcome(now, &ended, outcome, actions);
     }
 
     /// Ends the request's grant, if it has one. Without a final `cost`, the cost delivered so far is
@@ -278,7 +278,7 @@
         now: Moment,
         request: RequestId,
         cost: Option<Cost>,
-        fate: GrantOutcome,
+        outcome: GrantOutcome,
     ) {
         let Some(grant) = self.running.remove(&request) else { return };
         self.copies.end_running(grant.digest, grant.endpoint);
@@ -286,9 +286,9 @@
         if grant.awaits_first_event {
             self.endpoints.withdraw(now, grant.endpoint, request);
         }
-        self.endpoints.vacate(now, grant.endpoint, fate);
+        self.endpoints.vacate(now, grant.endpoint, outcome);
         if let Some(since) =
-            grant.since.filter(|_| matches!(fate, GrantOutcome::Done | GrantOutcome::Abandoned))
+            grant.since.filter(|_| matches!(outcome, GrantOutcome::Done | GrantOutcome::Abandoned))
         {
             let took = now.since(since);
             self.endpoints.note_service(grant.endpoint, took);
@@ -296,18 +296,18 @@
                 self.endpoints.note_answer(grant.endpoint, took);
             }
         }
-        if fate == GrantOutcome::NotHeld {
+        if outcome == GrantOutcome::NotHeld {
             self.routers.note_not_held(now, grant.router, grant.endpoint);
         }
         let state = self.customers.get_mut(grant.customer);
         state.running -= 1;
-        match fate {
+        match outcome {
             GrantOutcome::Done | GrantOutcome::Abandoned | GrantOutcome::Broken | GrantOutcome::Severed => {
                 let cost = cost.unwrap_or(grant.delivered);
                 state.account.charge_end(grant.estimate, grant.delivered, cost);
                 state.served = state.served.plus(cost.minus(grant.delivered));
                 self.delivered.add(now, cost.minus(grant.delivered).0);
-                if matches!(fate, GrantOutcome::Done | GrantOutcome::Abandoned) && cost > Cost(0) {
+                if matches!(outcome, GrantOutcome::Done | GrantOutcome::Abandoned) && cost > Cost(0) {
                     state.estimator.learn(grant.hint, cost);
                 }
             }
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -176,8 +176,8 @@
             ShardEvent::Progress(session, request, delivered) => {
                 self.progress(now, session, request, delivered, actions)
             }
-            ShardEvent::Settle(session, request, cost, fate) => {
-                self.settle(now, session, request, cost, fate, actions)
+            ShardEvent::Settle(session, request, cost, outcome) => {
+                self.settle(now, session, request, cost, outcome, actions)
             }
             ShardEvent::Heartbeat(session, number) => {
                 self.routers.note_heartbeat(session, number);
--- a/crates/micaspool-dispatch/src/shard/routers.rs
+++ b/crates/micaspool-dispatch/src/shard/routers.rs
@@ -20,7 +20,7 @@
     name: InstanceName,
     incarnation: Incarnation,
     session: Option<SessionId>,
-    last_heard: Moment,
+    last_contact: Moment,
     heartbeat: u64,
     requests: HashSet<RequestId>,
     /// Endpoints that it reported as not held, and until when this is assumed.
@@ -44,7 +44,7 @@
     pub fn note_contact(&mut self, session: SessionId, now: Moment) -> bool {
         let Some(router) = self.sessions.get(&session) else { return false };
         if let Some(state) = self.states.get_mut(router) {
-            state.last_heard = now;
+            state.last_contact = now;
         }
         true
     }
@@ -65,7 +65,7 @@
         if let Some(old) = state.session.replace(session) {
             self.sessions.remove(&old);
         }
-        state.last_heard = now;
+        state.last_contact = now;
         state.heartbeat = hello.heartbeat;
         self.sessions.insert(session, router);
         router
@@ -93,7 +93,7 @@
             name: hello.router.clone(),
             incarnation: hello.incarnation,
             session: None,
-            last_heard: now,
+            last_contact: now,
             heartbeat: 0,
             requests: HashSet::new(),
             not_held: HashMap::new(),
@@ -209,7 +209,7 @@
 
     /// The routers that were silent for longer than the lease, in a fixed order.
     pub fn expired(&self, now: Moment, lease: Duration) -> Vec<RouterIndex> {
-        let silent = self.states.iter().filter(|(_, state)| now.since(state.last_heard) > lease);
+        let silent = self.states.iter().filter(|(_, state)| now.since(state.last_contact) > lease);
         let mut routers: Vec<RouterIndex> = silent.map(|(router, _)| *router).collect();
         routers.sort();
         routers
