--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -32,7 +32,7 @@
     pub queue: BTreeMap<QueuePlace, RequestId>,
     /// The load of the queue: prompt tokens, or requests without any.
     pub queued_load: u64,
-    /// Load of all submitted tickets per second.
+    /// Load of the submitted tickets per second, except those refused because of crashes.
     pub demand_rate: DecayingRate,
     /// Load of the granted tickets per second.
     pub grant_rate: DecayingRate,
