--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -100,7 +100,7 @@
         match &mut self.engine {
             Some(engine) => {
                 engine.resize(memory);
-                engine.assume_pace(per_token);
+                engine.assume_rate(per_token);
             }
             None if memory > 0 => self.engine = Some(EngineState::new(memory, initial_share, per_token)),
             None => {}
@@ -233,10 +233,10 @@
     }
 
     /// Applies a cache update to an engine.
-    pub fn learn_kept(&mut self, endpoint: EndpointIndex, update: &CacheUpdate) {
+    pub fn update_cache(&mut self, endpoint: EndpointIndex, update: &CacheUpdate) {
         let mut changes = std::mem::take(&mut self.part_changes);
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
-            engine.learn_kept(update, &mut changes);
+            engine.update_cache(update, &mut changes);
         }
         self.holders.take(endpoint, &mut changes);
         self.part_changes = changes;
@@ -296,10 +296,10 @@
     }
 
     /// Releases one slot and learns from the outcome of the grant.
-    pub fn vacate(&mut self, now: Moment, endpoint: EndpointIndex, fate: GrantOutcome) {
+    pub fn vacate(&mut self, now: Moment, endpoint: EndpointIndex, outcome: GrantOutcome) {
         let state = &mut self.states[endpoint.0 as usize];
         state.busy = state.busy.saturating_sub(1);
-        match fate {
+        match outcome {
             GrantOutcome::Done | GrantOutcome::Abandoned => {
                 state.failures = 0;
                 state.breaks = 0;
@@ -315,8 +315,8 @@
             | GrantOutcome::Draining
             | GrantOutcome::Broken
             | GrantOutcome::Severed => {
-                state.availability.paused_as_leaving = fate == GrantOutcome::Draining;
-                state.connect_failures += u32::from(fate == GrantOutcome::Unreachable);
+                state.availability.paused_as_leaving = outcome == GrantOutcome::Draining;
+                state.connect_failures += u32::from(outcome == GrantOutcome::Unreachable);
                 self.pause(now, endpoint)
             }
             GrantOutcome::Unsent | GrantOutcome::NotHeld => {}
