--- a/crates/micaspool-client/src/directory.rs
+++ b/crates/micaspool-client/src/directory.rs
@@ -13,9 +13,9 @@
 
 /// Instances that the settings list.
 #[derive(Debug, Clone)]
-pub struct ListedPeers(pub Vec<PeerAddress>);
+pub struct StaticDirectory(pub Vec<PeerAddress>);
 
-impl PeerDirectory for ListedPeers {
+impl PeerDirectory for StaticDirectory {
     fn address(&self, name: &InstanceName) -> Option<SocketAddr> {
         self.0.iter().find(|peer| peer.name == *name).map(|peer| peer.address)
     }
@@ -24,19 +24,19 @@
 /// Instances that are named by their IP address and all listen on the same port, in a fleet without
 /// a list of its members.
 #[derive(Debug, Clone, Copy)]
-pub struct AddressNamed {
+pub struct AddressDirectory {
     /// The port.
     pub port: u16,
 }
 
-impl AddressNamed {
+impl AddressDirectory {
     /// The name of the instance with this address.
     pub fn name(ip: IpAddr) -> Option<InstanceName> {
         InstanceName::parse(&ip.to_string()).ok()
     }
 }
 
-impl PeerDirectory for AddressNamed {
+impl PeerDirectory for AddressDirectory {
     fn address(&self, name: &InstanceName) -> Option<SocketAddr> {
         let ip: IpAddr = name.as_str().parse().ok()?;
         Some(SocketAddr::new(ip, self.port))
--- a/crates/micaspool-client/src/lib.rs
+++ b/crates/micaspool-client/src/lib.rs
@@ -12,7 +12,7 @@
 mod keeper;
 mod mirror;
 
-pub use directory::{AddressNamed, ListedPeers, PeerDirectory};
+pub use directory::{AddressDirectory, PeerDirectory, StaticDirectory};
 pub use fleet::{FleetMirror, FleetMirrorOptions, KeeperReach, KeeperSight, ENDPOINT_LIFE};
 pub use keeper::{CallError, KeeperClient};
 pub use mirror::{MirrorState, SettingsMirror};
--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -6,7 +6,7 @@
 use crate::proxy::{Gateway, GatewayParts};
 use async_std::task;
 use micaspool_backpressure::AdviceBoard;
-use micaspool_client::{AddressNamed, FleetMirror, FleetMirrorOptions, PeerDirectory, ENDPOINT_LIFE};
+use micaspool_client::{AddressDirectory, FleetMirror, FleetMirrorOptions, PeerDirectory, ENDPOINT_LIFE};
 use micaspool_clock::BootInstant;
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{
@@ -82,8 +82,8 @@
             callers: loopback,
             status: vec![loopback],
             seeds: Vec::new(),
-            keepers: Arc::new(AddressNamed { port: 7_400 }),
-            dispatchers: Arc::new(AddressNamed { port: 7_401 }),
+            keepers: Arc::new(AddressDirectory { port: 7_400 }),
+            dispatchers: Arc::new(AddressDirectory { port: 7_401 }),
             dialect: Arc::new(NativeDialect),
             format: Arc::new(JsonFormat),
             probe: Arc::new(HttpEndpointProbe::default()),
--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -8,7 +8,7 @@
 use async_std::channel::{bounded, unbounded, Sender};
 use async_std::task;
 use futures::channel::oneshot;
-use micaspool_client::{ListedPeers, PeerDirectory};
+use micaspool_client::{PeerDirectory, StaticDirectory};
 use micaspool_daemon::{open_spans, StartError};
 use micaspool_http::status::{serve_status, StatusSource};
 use micaspool_ledger::LedgerOptions;
@@ -208,7 +208,7 @@
 /// Starts a keeper as configured in its settings file.
 pub async fn run_keeper(settings: &ProcessSettings) -> Result<KeeperDaemon, Error> {
     let configured = settings.keepers.iter().map(|keeper| keeper.name.clone()).collect();
-    let directory = Arc::new(ListedPeers(settings.keepers.clone()));
+    let directory = Arc::new(StaticDirectory(settings.keepers.clone()));
     let options = KeeperOptions::builder(settings.instance.clone(), configured, directory)
         .wire(settings.wire)
         .status(settings.status)
--- a/crates/micaspool-keeper/tests/exchange.rs
+++ b/crates/micaspool-keeper/tests/exchange.rs
@@ -6,7 +6,7 @@
 //! 500 ms after which it steps down. Cause: the exchange between keepers shared that executor.
 
 use async_std::task;
-use micaspool_client::{AddressNamed, PeerDirectory};
+use micaspool_client::{AddressDirectory, PeerDirectory};
 use micaspool_keeper::{start_keeper, ExchangeAddresses, KeeperDaemon, KeeperOptions};
 use micaspool_quorum::OpenGroupOptions;
 use micaspool_types::InstanceName;
@@ -36,11 +36,11 @@
 }
 
 fn name(number: u8) -> InstanceName {
-    AddressNamed::name(address(number)).expect("addresses are names")
+    AddressDirectory::name(address(number)).expect("addresses are names")
 }
 
 fn directory(port: u16) -> Arc<dyn PeerDirectory> {
-    Arc::new(AddressNamed { port })
+    Arc::new(AddressDirectory { port })
 }
 
 async fn keeper(number: u8) -> (KeeperDaemon, TemporaryFolder) {
--- a/crates/micaspool-keeper/tests/follow.rs
+++ b/crates/micaspool-keeper/tests/follow.rs
@@ -2,7 +2,7 @@
 
 use async_std::task;
 use futures::future::join_all;
-use micaspool_client::{AddressNamed, PeerDirectory};
+use micaspool_client::{AddressDirectory, PeerDirectory};
 use micaspool_keeper::{start_keeper, KeeperOptions, RegistryHub};
 use micaspool_registry::{EndpointRecord, EndpointStage};
 use micaspool_telemetry::traffic::TrafficCounter;
@@ -68,7 +68,7 @@
 /// Options of a keeper that is its whole group.
 fn alone(folder: PathBuf) -> KeeperOptions {
     let name = InstanceName::parse("127.0.0.1").expect("a name");
-    let directory: Arc<dyn PeerDirectory> = Arc::new(AddressNamed { port: 1 });
+    let directory: Arc<dyn PeerDirectory> = Arc::new(AddressDirectory { port: 1 });
     KeeperOptions::builder(name.clone(), vec![name], directory).data_folder(folder).build()
 }
 
