--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -60,22 +60,22 @@
 
 /// What this process sees of one keeper.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeeperSight {
+pub struct KeeperStatus {
     /// The keeper and where it listens.
     pub peer: PeerAddress,
     /// Whether it is reached.
     pub reach: KeeperReach,
     /// True when it should have spoken and has not, though it is not taken for lost yet.
-    pub quiet: bool,
+    pub unresponsive: bool,
     /// True while it is reached and hears a majority.
     pub confirmed: bool,
     /// True while it is reached and heard a majority a short while ago, so also during an election.
-    pub confirmed_lately: bool,
+    pub recently_confirmed: bool,
     /// True while settings or the group name it.
     pub wanted: bool,
 }
 
-impl KeeperSight {
+impl KeeperStatus {
     /// True while its stream is alive.
     pub fn is_reached(&self) -> bool {
         self.reach == KeeperReach::Reached
@@ -151,7 +151,7 @@
     }
 
     /// Every keeper that is followed, in name order.
-    pub fn keepers(&self) -> Vec<KeeperSight> {
+    pub fn keepers(&self) -> Vec<KeeperStatus> {
         self.lock().sights(self.options.directory.as_ref())
     }
 
--- a/crates/micaspool-client/src/fleet/table.rs
+++ b/crates/micaspool-client/src/fleet/table.rs
@@ -1,7 +1,7 @@
 //! What the keepers told, merged.
 
 use super::halls::HallTable;
-use super::{notify, KeeperReach, KeeperSight};
+use super::{notify, KeeperReach, KeeperStatus};
 use crate::directory::PeerDirectory;
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
@@ -38,7 +38,7 @@
         self.heard_at.is_some_and(|at| at.elapsed() > QUIET_LIMIT)
     }
 
-    fn confirmed_lately(&self) -> bool {
+    fn recently_confirmed(&self) -> bool {
         self.confirmed || self.confirmed_at.is_some_and(|at| at.elapsed() < MAJORITY_MEMORY)
     }
 }
@@ -92,16 +92,16 @@
         self.seeds.contains(name) || self.members.contains(name)
     }
 
-    pub fn sights(&self, directory: &dyn PeerDirectory) -> Vec<KeeperSight> {
+    pub fn sights(&self, directory: &dyn PeerDirectory) -> Vec<KeeperStatus> {
         let sights = self.keepers.iter().filter_map(|(name, state)| {
             let address = directory.address(name)?;
             let peer = PeerAddress { name: name.clone(), address };
-            Some(KeeperSight {
+            Some(KeeperStatus {
                 peer,
                 reach: state.reach,
-                quiet: state.is_quiet(),
+                unresponsive: state.is_quiet(),
                 confirmed: state.confirmed,
-                confirmed_lately: state.confirmed_lately(),
+                recently_confirmed: state.recently_confirmed(),
                 wanted: self.is_wanted(name),
             })
         });
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -2,7 +2,7 @@
 
 use async_std::channel::Receiver;
 use async_trait::async_trait;
-use micaspool_client::{FleetMirror, KeeperReach, KeeperSight, PeerDirectory};
+use micaspool_client::{FleetMirror, KeeperReach, KeeperStatus, PeerDirectory};
 use micaspool_dispatch::{rank_distinct, CandidateHealth, CandidateKind};
 use micaspool_dispatcher::FleetDispatcher;
 use micaspool_router::{
@@ -47,11 +47,11 @@
 
     /// Returns the dispatcher on a keeper's instance. It runs in the keeper's process, so the stream from the keeper
     /// shows whether it responds.
-    fn candidate(&self, sight: &KeeperSight) -> Option<DispatcherCandidate> {
+    fn candidate(&self, sight: &KeeperStatus) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
         let reach = match sight.reach {
             KeeperReach::Pending => CandidateHealth::Pending,
-            KeeperReach::Reached if sight.quiet => CandidateHealth::Unresponsive,
+            KeeperReach::Reached if sight.unresponsive => CandidateHealth::Unresponsive,
             KeeperReach::Reached => CandidateHealth::Answering,
             KeeperReach::Lost => CandidateHealth::Lost,
         };
@@ -67,10 +67,10 @@
 fn rank_keepers<'a>(
     service: &ServiceName,
     services: &[ServiceName],
-    sights: &'a [KeeperSight],
-) -> Vec<&'a KeeperSight> {
+    sights: &'a [KeeperStatus],
+) -> Vec<&'a KeeperStatus> {
     let ranked = |lacks_majority: bool| {
-        let is_cut_off = |sight: &KeeperSight| sight.is_reached() && !sight.confirmed_lately;
+        let is_cut_off = |sight: &KeeperStatus| sight.is_reached() && !sight.recently_confirmed;
         let chosen = sights.iter().filter(|sight| sight.wanted && is_cut_off(sight) == lacks_majority);
         let names: Vec<InstanceName> = chosen.map(|sight| sight.peer.name.clone()).collect();
         rank_distinct(service, services, &names)
