--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -27,7 +27,7 @@
 
 /// How long an endpoint may be silent before it is forgotten, unless options say otherwise. Records
 /// may come seconds late, and one that crashed is noticed by its failures first.
-pub const ENDPOINT_LIFE: Duration = Duration::from_secs(10);
+pub const MAX_ENDPOINT_SILENCE: Duration = Duration::from_secs(10);
 
 /// What a mirror is made with.
 #[derive(Debug, Clone)]
@@ -43,7 +43,7 @@
     /// Counts control bytes.
     pub counter: TrafficCounter,
     /// How long an endpoint may be silent before it is forgotten, while keepers are reached.
-    pub endpoint_life: Duration,
+    pub max_endpoint_silence: Duration,
 }
 
 /// Whether a keeper is reached.
@@ -186,7 +186,7 @@
     async fn forget_silent_endpoints(self: Arc<Self>) {
         loop {
             task::sleep(EXPIRY_INTERVAL).await;
-            self.lock().forget_silent(self.options.endpoint_life);
+            self.lock().forget_silent(self.options.max_endpoint_silence);
         }
     }
 
--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -1,7 +1,7 @@
 //! Puts a core daemon together.
 
 use crate::control::ControlService;
-use micaspool_client::{FleetMirror, FleetMirrorOptions, KeeperClient, PeerDirectory, ENDPOINT_LIFE};
+use micaspool_client::{FleetMirror, FleetMirrorOptions, KeeperClient, PeerDirectory, MAX_ENDPOINT_SILENCE};
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{EndpointProbe, FleetDispatcher, FleetDispatcherOptions, HttpEndpointProbe};
 use micaspool_http::status::{serve_status, StatusSource};
@@ -173,7 +173,7 @@
         directory: options.keepers.clone(),
         format: options.format.clone(),
         counter: TrafficCounter::default(),
-        endpoint_life: ENDPOINT_LIFE,
+        max_endpoint_silence: MAX_ENDPOINT_SILENCE,
     });
     let dispatcher = FleetDispatcher::new(FleetDispatcherOptions {
         region: options.region.clone(),
--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -6,7 +6,9 @@
 use crate::proxy::{Gateway, GatewayParts};
 use async_std::task;
 use micaspool_backpressure::AdviceBoard;
-use micaspool_client::{AddressDirectory, FleetMirror, FleetMirrorOptions, PeerDirectory, ENDPOINT_LIFE};
+use micaspool_client::{
+    AddressDirectory, FleetMirror, FleetMirrorOptions, PeerDirectory, MAX_ENDPOINT_SILENCE,
+};
 use micaspool_clock::BootInstant;
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{
@@ -206,7 +208,7 @@
         directory: options.keepers.clone(),
         format: options.format.clone(),
         counter: counters.keepers.clone(),
-        endpoint_life: ENDPOINT_LIFE,
+        max_endpoint_silence: MAX_ENDPOINT_SILENCE,
     });
     let spans = SpanSink::default();
     let local_dispatcher = FleetDispatcher::new(FleetDispatcherOptions {
