--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -156,9 +156,9 @@
     }
 
     /// A channel that gets a message after plan, endpoints or keepers have changed.
-    pub fn listen(&self) -> Receiver<()> {
+    pub fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = bounded(1);
-        self.lock().listeners.push(sender);
+        self.lock().subscribers.push(sender);
         receiver
     }
 
@@ -196,9 +196,9 @@
 }
 
 /// Wakes everyone who listens and forgets those who no longer do.
-fn notify(listeners: &mut Vec<Sender<()>>) {
-    listeners.retain(|listener| !listener.is_closed());
-    for listener in listeners {
-        let _ = listener.try_send(());
+fn notify(subscribers: &mut Vec<Sender<()>>) {
+    subscribers.retain(|subscriber| !subscriber.is_closed());
+    for subscriber in subscribers {
+        let _ = subscriber.try_send(());
     }
 }
--- a/crates/micaspool-client/src/fleet/table.rs
+++ b/crates/micaspool-client/src/fleet/table.rs
@@ -55,7 +55,7 @@
     /// The members as a confirmed keeper last named them.
     members: Vec<InstanceName>,
     pub keepers: BTreeMap<InstanceName, KeeperState>,
-    pub listeners: Vec<Sender<()>>,
+    pub subscribers: Vec<Sender<()>>,
 }
 
 impl FleetTable {
@@ -69,7 +69,7 @@
             seeds,
             members: Vec::new(),
             keepers: BTreeMap::new(),
-            listeners: Vec::new(),
+            subscribers: Vec::new(),
         }
     }
 
@@ -125,7 +125,7 @@
         record(kind, &[field("keeper", name), field("hears_majority", confirmed)]);
         state.reach = reach;
         state.confirmed = confirmed;
-        notify(&mut self.listeners);
+        notify(&mut self.subscribers);
     }
 
     /// Takes what a keeper tells; true when it named members that are not followed yet.
@@ -139,7 +139,7 @@
             changed |= self.take_endpoint(from, endpoint);
         }
         if changed {
-            notify(&mut self.listeners);
+            notify(&mut self.subscribers);
         }
         self.take_members(news)
     }
@@ -235,6 +235,6 @@
             return;
         }
         record(&events::ENDPOINT_EXPIRED, &[field("endpoints", silent.join(","))]);
-        notify(&mut self.listeners);
+        notify(&mut self.subscribers);
     }
 }
--- a/crates/micaspool-client/src/mirror.rs
+++ b/crates/micaspool-client/src/mirror.rs
@@ -45,7 +45,7 @@
 struct MirrorContent {
     tree: Value,
     shown: MirrorState,
-    listeners: Vec<Sender<()>>,
+    subscribers: Vec<Sender<()>>,
 }
 
 impl SettingsMirror {
@@ -53,7 +53,7 @@
     pub fn start(client: Arc<KeeperClient>, watcher: &str) -> Arc<SettingsMirror> {
         let shown =
             MirrorState { policy: Arc::new(FleetPolicy::default()), cut_off_since: Some(BootInstant::now()) };
-        let content = MirrorContent { tree: Value::Null, shown, listeners: Vec::new() };
+        let content = MirrorContent { tree: Value::Null, shown, subscribers: Vec::new() };
         let mirror =
             Arc::new(SettingsMirror { client, watcher: watcher.to_owned(), state: Mutex::new(content) });
         task::spawn(mirror.clone().follow());
@@ -76,9 +76,9 @@
     }
 
     /// A channel that gets a message after newer settings came into force.
-    pub fn listen(&self) -> Receiver<()> {
+    pub fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = bounded(1);
-        self.lock().listeners.push(sender);
+        self.lock().subscribers.push(sender);
         receiver
     }
 
@@ -161,9 +161,9 @@
             Ok(policy) => {
                 content.tree = tree;
                 content.shown.policy = Arc::new(policy);
-                content.listeners.retain(|listener| !listener.is_closed());
-                for listener in &content.listeners {
-                    let _ = listener.try_send(());
+                content.subscribers.retain(|subscriber| !subscriber.is_closed());
+                for subscriber in &content.subscribers {
+                    let _ = subscriber.try_send(());
                 }
                 record(&events::SETTINGS_IN_FORCE, &[field("revision", update.revision)]);
                 true
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -126,7 +126,7 @@
         tally: ShardTally::new(service.clone()),
     };
     record(&events::SHARD_STARTED, &[field("service", &service)]);
-    let changes = source.listen();
+    let changes = source.subscribe();
     tokio::spawn(feed_policy(service.clone(), source.clone(), changes, inputs.clone()));
     let handle = ShardHandle { inputs: inputs.clone(), status: status.clone(), totals };
     tokio::spawn(share_totals(service.clone(), options.clone(), handle.clone()));
--- a/crates/micaspool-dispatcher/src/fleet_source.rs
+++ b/crates/micaspool-dispatcher/src/fleet_source.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    fn listen(&self) -> Receiver<()> {
-        self.mirror.listen()
+    fn subscribe(&self) -> Receiver<()> {
+        self.mirror.subscribe()
     }
 
     /// Engines only: others have no load that would decide anything. Nothing is asked in a hall that is evacuated.
--- a/crates/micaspool-dispatcher/src/policy_source.rs
+++ b/crates/micaspool-dispatcher/src/policy_source.rs
@@ -15,7 +15,7 @@
     fn policy(&self, service: &ServiceName) -> ShardPolicy;
 
     /// A channel that gets a message after the policy of some service has changed.
-    fn listen(&self) -> Receiver<()>;
+    fn subscribe(&self) -> Receiver<()>;
 
     /// The endpoints that are asked for their load; none when they are not asked.
     fn probed(&self, service: &ServiceName) -> Vec<ProbedEndpoint>;
@@ -30,8 +30,8 @@
         shard_policy(&self.0.policy(), service)
     }
 
-    fn listen(&self) -> Receiver<()> {
-        self.0.listen()
+    fn subscribe(&self) -> Receiver<()> {
+        self.0.subscribe()
     }
 
     fn probed(&self, service: &ServiceName) -> Vec<ProbedEndpoint> {
