--- a/crates/micaspool-client/src/mirror.rs
+++ b/crates/micaspool-client/src/mirror.rs
@@ -30,7 +30,7 @@
     /// The policy in force.
     pub policy: SharedPolicy,
     /// Since when no keeper with a majority was heard; `None` while one is.
-    pub cut_off_since: Option<BootInstant>,
+    pub unconfirmed_since: Option<BootInstant>,
 }
 
 /// Follows the settings that the keepers hold.
@@ -51,8 +51,10 @@
 impl SettingsMirror {
     /// Starts to follow; `watcher` names this process in the keepers' logs.
     pub fn start(client: Arc<KeeperClient>, watcher: &str) -> Arc<SettingsMirror> {
-        let shown =
-            MirrorState { policy: Arc::new(FleetPolicy::default()), cut_off_since: Some(BootInstant::now()) };
+        let shown = MirrorState {
+            policy: Arc::new(FleetPolicy::default()),
+            unconfirmed_since: Some(BootInstant::now()),
+        };
         let content = MirrorContent { tree: Value::Null, shown, subscribers: Vec::new() };
         let mirror =
             Arc::new(SettingsMirror { client, watcher: watcher.to_owned(), state: Mutex::new(content) });
@@ -124,7 +126,7 @@
         };
         let mut updates = reply.into_inner();
         loop {
-            let confirmed = self.lock().shown.cut_off_since.is_none();
+            let confirmed = self.lock().shown.unconfirmed_since.is_none();
             let next = updates.message();
             let update = if confirmed {
                 next.await
@@ -178,7 +180,7 @@
 
     fn note_confirmed(&self, confirmed: bool) {
         let mut content = self.lock();
-        let since = &mut content.shown.cut_off_since;
+        let since = &mut content.shown.unconfirmed_since;
         if confirmed {
             *since = None;
         } else if since.is_none() {
--- a/crates/micaspool-dispatcher/src/daemon.rs
+++ b/crates/micaspool-dispatcher/src/daemon.rs
@@ -172,7 +172,7 @@
         json!({
             "process": "dispatcher",
             "revision": mirror.policy.revision.0,
-            "cut_off_seconds": mirror.cut_off_since.map(|since| since.elapsed().as_secs()),
+            "cut_off_seconds": mirror.unconfirmed_since.map(|since| since.elapsed().as_secs()),
             "shards": shards_json(&self.host),
         })
         .to_string()
--- a/crates/micaspool-router/src/daemon.rs
+++ b/crates/micaspool-router/src/daemon.rs
@@ -135,7 +135,7 @@
         json!({
             "process": "router",
             "revision": mirror.policy.revision.0,
-            "cut_off_seconds": mirror.cut_off_since.map(|since| since.elapsed().as_secs()),
+            "cut_off_seconds": mirror.unconfirmed_since.map(|since| since.elapsed().as_secs()),
             "shards": shards.collect::<Vec<_>>(),
         })
         .to_string()
