--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -43,7 +43,7 @@
         let pause = GATHERING.max(interval / 5);
         let mut failures = 0;
         loop {
-            let Some(list) = self.probe.kept_parts(&self.endpoint).await else {
+            let Some(list) = self.probe.cached_parts(&self.endpoint).await else {
                 failures += 1;
                 self.wait_after(failures).await;
                 continue;
@@ -76,8 +76,8 @@
                 return Ok(());
             }
             cursor = changes.cursor;
-            if !changes.kept.is_empty() || !changes.gone.is_empty() {
-                self.tell(changes.kept, changes.gone, false).await?;
+            if !changes.kept.is_empty() || !changes.dropped.is_empty() {
+                self.tell(changes.kept, changes.dropped, false).await?;
             }
             tokio::time::sleep(pause).await;
         }
--- a/crates/micaspool-dispatcher/src/lib.rs
+++ b/crates/micaspool-dispatcher/src/lib.rs
@@ -36,7 +36,7 @@
 pub use platform::{HttpInstanceList, InstanceList};
 pub use policy_source::{PolicySource, TreeSource};
 pub use probe::{
-    CacheChanges, CacheCursor, EndpointProbe, HttpEndpointProbe, KeptList, ProbeAnswer, ProbedEndpoint,
+    CacheChanges, CacheCursor, CacheSnapshot, EndpointProbe, HttpEndpointProbe, ProbeAnswer, ProbedEndpoint,
 };
 pub use service::DispatchService;
 pub use shard_policy::shard_policy;
--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -72,7 +72,7 @@
 
 /// Every prompt part that an engine keeps, at one place in the sequence of its changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptList {
+pub struct CacheSnapshot {
     /// Where the changes after this list begin.
     pub cursor: CacheCursor,
     /// The parts, the ones used longest ago first where that is known.
@@ -89,7 +89,7 @@
     /// Parts that it keeps now.
     pub kept: Vec<CachedPart>,
     /// Parts that it dropped, whole or in part.
-    pub gone: Vec<u64>,
+    pub dropped: Vec<u64>,
 }
 
 /// Asks an endpoint for its load.
@@ -101,7 +101,7 @@
     /// The prompt parts that an engine keeps. Asked when a shard meets the engine,
     /// which may have run for long under another dispatcher, and after a gap. `None` when it can't be
     /// told.
-    async fn kept_parts(&self, _endpoint: &ProbedEndpoint) -> Option<KeptList> {
+    async fn cached_parts(&self, _endpoint: &ProbedEndpoint) -> Option<CacheSnapshot> {
         None
     }
 
