--- a/crates/micaspool-dispatcher/src/daemon.rs
+++ b/crates/micaspool-dispatcher/src/daemon.rs
@@ -87,7 +87,7 @@
         spans: open_spans(settings)?,
         probe: Arc::new(HttpEndpointProbe::default()),
         probe_interval: PROBE_INTERVAL,
-        silence_counts: true,
+        reports_unreachable: true,
         list,
     };
     let host = Arc::new(ShardHost::new(options, Arc::new(TreeSource(mirror.clone()))));
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -315,13 +315,13 @@
     let requested_at = clock.now();
     let endpoint = probed.name.clone();
     let Some(answer) = options.probe.ask(&probed).await else {
-        if !options.silence_counts {
+        if !options.reports_unreachable {
             return;
         }
         let _ = inputs.send(ShardInput::Event(ShardEvent::Unreachable(endpoint))).await;
         return;
     };
-    if !probed.may_have_said(&answer) {
+    if !probed.matches_start(&answer) {
         record(&events::REPORT_OF_ANOTHER, &[field("endpoint", &endpoint), field("address", probed.address)]);
         return;
     }
--- a/crates/micaspool-dispatcher/src/fleet.rs
+++ b/crates/micaspool-dispatcher/src/fleet.rs
@@ -125,7 +125,7 @@
             spans: options.spans,
             probe: options.probe,
             probe_interval: PROBE_INTERVAL,
-            silence_counts: false,
+            reports_unreachable: false,
             list: Arc::new(NoList),
         };
         let source = Arc::new(FleetSource::new(options.mirror.clone(), options.subset));
--- a/crates/micaspool-dispatcher/src/host.rs
+++ b/crates/micaspool-dispatcher/src/host.rs
@@ -36,7 +36,7 @@
     pub probe_interval: Duration,
     /// True when an endpoint that does not answer is left alone for a while. False where routers may
     /// reach endpoints that this dispatcher does not.
-    pub silence_counts: bool,
+    pub reports_unreachable: bool,
     /// The platform's list.
     pub list: Arc<dyn InstanceList>,
 }
--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -53,7 +53,7 @@
 impl ProbedEndpoint {
     /// True when an answer from its address may be its own. Another start may have taken the address over, and what
     /// that says is nothing of this one.
-    pub fn may_have_said(&self, answer: &ProbeAnswer) -> bool {
+    pub fn matches_start(&self, answer: &ProbeAnswer) -> bool {
         match (self.start, answer.start) {
             (Some(expected), Some(said)) => expected == said,
             _ => true,
