--- a/crates/micaspool-daemon/src/arguments.rs
+++ b/crates/micaspool-daemon/src/arguments.rs
@@ -68,7 +68,7 @@
 }
 
 /// Prints the one line that says that the daemon is ready, with its bound addresses.
-pub fn announce(process: &str, addresses: &[(&str, SocketAddr)]) {
+pub fn report_ready(process: &str, addresses: &[(&str, SocketAddr)]) {
     let pairs: Vec<String> = addresses.iter().map(|(key, address)| format!(" {key}={address}")).collect();
     println!("ready {process}{}", pairs.concat());
     record(&events::PROCESS_READY, &[field("process", process)]);
--- a/crates/micaspool-daemon/src/lib.rs
+++ b/crates/micaspool-daemon/src/lib.rs
@@ -8,9 +8,9 @@
 mod signals;
 mod suspension;
 
-pub use arguments::{announce, start, DaemonStart};
+pub use arguments::{report_ready, start, DaemonStart};
 pub use error::{open_spans, StartError};
-pub use signals::{stop_requested, watch_signals, ReloadSignal, StopSignal};
+pub use signals::{watch_signals, watch_stop_signals, ReloadSignal, StopSignal};
 pub use suspension::watch_suspensions;
 
 /// The exit code for wrong arguments and settings.
--- a/crates/micaspool-daemon/src/signals.rs
+++ b/crates/micaspool-daemon/src/signals.rs
@@ -35,7 +35,7 @@
 
 /// Takes SIGTERM and SIGINT over, for a process that reads its settings once. It goes on after a
 /// SIGHUP and says so.
-pub fn stop_requested() -> std::io::Result<StopSignal> {
+pub fn watch_stop_signals() -> std::io::Result<StopSignal> {
     let (stop, reload) = watch_signals()?;
     std::thread::spawn(move || {
         while reload.recv_blocking().is_ok() {
--- a/crates/micaspool/src/bin/micaspool-keeper.rs
+++ b/crates/micaspool/src/bin/micaspool-keeper.rs
@@ -4,7 +4,7 @@
 
 use async_std::future::timeout;
 use async_std::task;
-use micaspool_daemon::{announce, start, stop_requested, DaemonStart, EXIT_FAILED};
+use micaspool_daemon::{report_ready, start, watch_stop_signals, DaemonStart, EXIT_FAILED};
 use micaspool_keeper::run_keeper;
 use micaspool_settings::process::ProcessRole;
 use micaspool_telemetry::events::{self, record};
@@ -19,7 +19,7 @@
 }
 
 async fn run(start: DaemonStart) {
-    let stop = stop_requested().expect("the signals can be taken over");
+    let stop = watch_stop_signals().expect("the signals can be taken over");
     let daemon = match run_keeper(&start.settings).await {
         Ok(daemon) => daemon,
         Err(error) => {
@@ -29,7 +29,7 @@
     };
     let status = daemon.status.map(|address| ("status", address));
     let addresses: Vec<_> = [("wire", daemon.wire)].into_iter().chain(status).collect();
-    announce("keeper", &addresses);
+    report_ready("keeper", &addresses);
     while timeout(LOOK, stop.wait()).await.is_err() {
         if daemon.has_stopped() {
             std::process::exit(EXIT_FAILED);
--- a/crates/micaspool/src/bin/micaspool-router.rs
+++ b/crates/micaspool/src/bin/micaspool-router.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use async_std::task;
-use micaspool_daemon::{announce, start, stop_requested, DaemonStart, EXIT_FAILED};
+use micaspool_daemon::{report_ready, start, watch_stop_signals, DaemonStart, EXIT_FAILED};
 use micaspool_router::run_router;
 use micaspool_settings::process::ProcessRole;
 use micaspool_telemetry::events::{self, record};
@@ -18,7 +18,7 @@
 }
 
 async fn run(start: DaemonStart) {
-    let stop = stop_requested().expect("the signals can be taken over");
+    let stop = watch_stop_signals().expect("the signals can be taken over");
     let daemon = match run_router(&start.settings, start.incarnation).await {
         Ok(daemon) => daemon,
         Err(error) => {
@@ -26,7 +26,7 @@
             std::process::exit(EXIT_FAILED);
         }
     };
-    announce("router", &[("callers", daemon.callers), ("status", daemon.status)]);
+    report_ready("router", &[("callers", daemon.callers), ("status", daemon.status)]);
     stop.wait().await;
     record(&events::PROCESS_DRAINING, &[]);
     let whole = daemon.stop(DRAIN_LIMIT).await;
--- a/crates/micaspool/src/cli/demo.rs
+++ b/crates/micaspool/src/cli/demo.rs
@@ -6,7 +6,7 @@
 use http_types::{Method, Request, Url};
 use micaspool::fleet::{EmbeddedFleet, FleetOptions};
 use micaspool::http::client::{call, CallLimits};
-use micaspool_daemon::stop_requested;
+use micaspool_daemon::watch_stop_signals;
 use serde_json::json;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -51,7 +51,7 @@
 }
 
 async fn run_in(command: &DemoCommand, data_folder: PathBuf) -> Result<(), String> {
-    let stop = stop_requested().map_err(|error| error.to_string())?;
+    let stop = watch_stop_signals().map_err(|error| error.to_string())?;
     let options = FleetOptions {
         tree: serde_json::from_str(TREE).expect("the example is JSON"),
         ip: IpAddr::V4(Ipv4Addr::LOCALHOST),
--- a/crates/micaspool/src/cli/endpoint.rs
+++ b/crates/micaspool/src/cli/endpoint.rs
@@ -3,7 +3,7 @@
 use super::{EXIT_DONE, EXIT_FAILED};
 use argh::FromArgs;
 use micaspool::replay::standin::{FaultMode, StandInEndpoint, StandInOptions};
-use micaspool_daemon::stop_requested;
+use micaspool_daemon::watch_stop_signals;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
         slots: command.slots,
         token_time: Duration::from_millis(command.token_ms),
     };
-    let stop = stop_requested().expect("the signals can be taken over");
+    let stop = watch_stop_signals().expect("the signals can be taken over");
     match StandInEndpoint::start(command.listen, options).await {
         Ok(endpoint) => {
             if let Some(seconds) = command.ask_for_rest_s {
