--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -14,13 +14,13 @@
 
 /// How long an engine is left alone between two calls at least, so that one call brings what many requests
 /// changed. At 27 requests a second it brings some twenty changes.
-const GATHERING: Duration = Duration::from_millis(100);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a failed call is not repeated; the pause doubles with each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 /// The longest such pause. An engine may tell nothing at all, or be cut off for a while.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_PAUSE: Duration = Duration::from_secs(8);
 /// How many calls in a row may fail before the engine is asked for a whole list again.
-const MOST_FAILURES: u32 = 5;
+const MAX_FAILURES: u32 = 5;
 
 /// The follower of one engine.
 pub(crate) struct CacheFollower {
@@ -40,19 +40,19 @@
     /// Follows until the shard ends. `interval` is how often all engines are asked for their load; a fifth of
     /// it, which grows with their number, parts two calls.
     pub async fn run(self, interval: Duration) {
-        let pause = GATHERING.max(interval / 5);
+        let pause = MIN_POLL_INTERVAL.max(interval / 5);
         let mut failures = 0;
         loop {
-            let Some(list) = self.probe.cached_parts(&self.endpoint).await else {
+            let Some(snapshot) = self.probe.cached_parts(&self.endpoint).await else {
                 failures += 1;
-                self.wait_after(failures).await;
+                self.back_off(failures).await;
                 continue;
             };
             failures = 0;
-            let fields = [field("endpoint", &self.endpoint.name), field("kept_parts", list.parts.len())];
+            let fields = [field("endpoint", &self.endpoint.name), field("kept_parts", snapshot.parts.len())];
             record(&events::ENGINE_MET, &fields);
-            let told = self.tell(list.parts, Vec::new(), true).await;
-            if told.is_err() || self.follow(list.cursor, pause).await.is_err() {
+            let sent = self.send_update(snapshot.parts, Vec::new(), true).await;
+            if sent.is_err() || self.follow(snapshot.cursor, pause).await.is_err() {
                 return;
             }
         }
@@ -61,10 +61,10 @@
     /// Passes changes on until some are lost or can't be had for a while.
     async fn follow(&self, mut cursor: CacheCursor, pause: Duration) -> Result<(), ShardEnded> {
         let mut failures = 0;
-        while failures < MOST_FAILURES {
+        while failures < MAX_FAILURES {
             let Some(changes) = self.probe.cache_changes(&self.endpoint, cursor).await else {
                 failures += 1;
-                self.wait_after(failures).await;
+                self.back_off(failures).await;
                 continue;
             };
             failures = 0;
@@ -77,7 +77,7 @@
             }
             cursor = changes.cursor;
             if !changes.kept.is_empty() || !changes.dropped.is_empty() {
-                self.tell(changes.kept, changes.dropped, false).await?;
+                self.send_update(changes.kept, changes.dropped, false).await?;
             }
             tokio::time::sleep(pause).await;
         }
@@ -85,19 +85,24 @@
     }
 
     /// Leaves the engine alone after a failure; says so when it begins to look lasting.
-    async fn wait_after(&self, failures: u32) {
-        if failures == MOST_FAILURES {
+    async fn back_off(&self, failures: u32) {
+        if failures == MAX_FAILURES {
             let fields = [field("endpoint", &self.endpoint.name), field("failures", failures)];
             record(&events::CACHE_UNKNOWN, &fields);
         }
         let doublings = failures.saturating_sub(1).min(8);
-        tokio::time::sleep((FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE)).await;
+        tokio::time::sleep((FIRST_PAUSE * (1 << doublings)).min(MAX_PAUSE)).await;
     }
 
-    async fn tell(&self, kept: Vec<CachedPart>, dropped: Vec<u64>, whole: bool) -> Result<(), ShardEnded> {
+    async fn send_update(
+        &self,
+        kept: Vec<CachedPart>,
+        dropped: Vec<u64>,
+        whole: bool,
+    ) -> Result<(), ShardEnded> {
         let endpoint = self.endpoint.name.clone();
-        let news = CacheUpdate { endpoint, stored: Vec::new(), dropped, kept, whole };
-        let sent = self.inputs.send(ShardInput::Event(ShardEvent::Cache(news))).await;
+        let update = CacheUpdate { endpoint, stored: Vec::new(), dropped, kept, whole };
+        let sent = self.inputs.send(ShardInput::Event(ShardEvent::Cache(update))).await;
         sent.map_err(|_| ShardEnded)
     }
 }
--- a/crates/micaspool-dispatcher/src/closures.rs
+++ b/crates/micaspool-dispatcher/src/closures.rs
@@ -9,7 +9,7 @@
 
 /// The most lines of one look at the endpoints. A shard is looked at some twenty times a second; when all
 /// engines of a site close at once, the line on the shard's decisions has their number.
-const MOST_LINES: usize = 8;
+const MAX_LINES: usize = 8;
 
 /// A closed endpoint.
 #[derive(Debug, Clone, Copy)]
@@ -31,7 +31,7 @@
     }
 
     /// Takes the state of the endpoints in and tells what has changed.
-    pub fn follow(&mut self, now: BootInstant, endpoints: &[EndpointStatus]) {
+    pub fn update(&mut self, now: BootInstant, endpoints: &[EndpointStatus]) {
         let mut lines = 0;
         for endpoint in endpoints {
             let before = self.closed.get(&endpoint.name).copied();
@@ -48,19 +48,19 @@
                 }
             }
             lines += 1;
-            if lines <= MOST_LINES {
-                self.tell(now, endpoint, before);
+            if lines <= MAX_LINES {
+                self.log_change(now, endpoint, before);
             }
         }
     }
 
     /// How long the endpoint is closed that settings want to have open and that is closed the longest.
-    pub fn longest(&self, now: BootInstant) -> Duration {
-        let wanted = self.closed.values().filter(|closed| closed.cause != EndpointClosure::Settings);
-        wanted.map(|closed| now.saturating_duration_since(closed.since)).max().unwrap_or_default()
+    pub fn longest_closure(&self, now: BootInstant) -> Duration {
+        let configured = self.closed.values().filter(|closed| closed.cause != EndpointClosure::Settings);
+        configured.map(|closed| now.saturating_duration_since(closed.since)).max().unwrap_or_default()
     }
 
-    fn tell(&self, now: BootInstant, endpoint: &EndpointStatus, before: Option<ClosedEndpoint>) {
+    fn log_change(&self, now: BootInstant, endpoint: &EndpointStatus, before: Option<ClosedEndpoint>) {
         let mut fields = vec![
             field("service", &self.service),
             field("endpoint", &endpoint.name),
--- a/crates/micaspool-dispatcher/src/customer_log.rs
+++ b/crates/micaspool-dispatcher/src/customer_log.rs
@@ -8,53 +8,56 @@
 use std::collections::HashMap;
 
 /// How many of the customers that were refused most have a line.
-const MOST_REFUSED_LINES: usize = 3;
+const MAX_REFUSED_LINES: usize = 3;
 
 /// Remembers what became of each customer's tickets until the last lines.
 #[derive(Debug)]
 pub(crate) struct CustomerLog {
     service: ServiceName,
-    told: HashMap<CustomerName, CustomerCounters>,
+    reported: HashMap<CustomerName, CustomerCounters>,
 }
 
 /// A customer and what became of its tickets since the last lines.
-struct RecentFlow<'a> {
+struct RecentCounters<'a> {
     status: &'a CustomerStatus,
-    flow: CustomerCounters,
+    counters: CustomerCounters,
 }
 
 impl CustomerLog {
     pub fn new(service: ServiceName) -> CustomerLog {
-        CustomerLog { service, told: HashMap::new() }
+        CustomerLog { service, reported: HashMap::new() }
     }
 
     /// Writes what came since the last call, if anything was refused.
-    pub fn tell(&mut self, customers: &[CustomerStatus]) {
-        let mut recent: Vec<RecentFlow<'_>> = customers.iter().map(|status| self.recent(status)).collect();
-        recent.sort_by_key(|customer| std::cmp::Reverse(customer.flow.refused()));
-        let refused = recent.iter().take(MOST_REFUSED_LINES).filter(|customer| customer.flow.refused() > 0);
-        let named: Vec<&CustomerName> = refused.clone().map(|customer| &customer.status.name).collect();
-        refused.for_each(|customer| self.write(customer));
-        let served = recent.iter().max_by_key(|customer| customer.flow.granted_load);
-        let unnamed = served.filter(|served| !named.is_empty() && !named.contains(&&served.status.name));
-        unnamed.into_iter().for_each(|customer| self.write(customer));
-        self.told = customers.iter().map(|status| (status.name.clone(), status.counters)).collect();
+    pub fn report(&mut self, customers: &[CustomerStatus]) {
+        let mut recent: Vec<RecentCounters<'_>> =
+            customers.iter().map(|status| self.recent(status)).collect();
+        recent.sort_by_key(|customer| std::cmp::Reverse(customer.counters.refused()));
+        let refused =
+            recent.iter().take(MAX_REFUSED_LINES).filter(|customer| customer.counters.refused() > 0);
+        let logged: Vec<&CustomerName> = refused.clone().map(|customer| &customer.status.name).collect();
+        refused.for_each(|customer| self.log_customer(customer));
+        let most_served = recent.iter().max_by_key(|customer| customer.counters.granted_load);
+        let unlogged = most_served
+            .filter(|most_served| !logged.is_empty() && !logged.contains(&&most_served.status.name));
+        unlogged.into_iter().for_each(|customer| self.log_customer(customer));
+        self.reported = customers.iter().map(|status| (status.name.clone(), status.counters)).collect();
     }
 
-    fn recent<'a>(&self, status: &'a CustomerStatus) -> RecentFlow<'a> {
-        let before = self.told.get(&status.name).copied().unwrap_or_default();
-        RecentFlow { status, flow: status.counters.since(&before) }
+    fn recent<'a>(&self, status: &'a CustomerStatus) -> RecentCounters<'a> {
+        let previous = self.reported.get(&status.name).copied().unwrap_or_default();
+        RecentCounters { status, counters: status.counters.since(&previous) }
     }
 
-    fn write(&self, customer: &RecentFlow<'_>) {
-        let RecentFlow { status, flow } = customer;
+    fn log_customer(&self, customer: &RecentCounters<'_>) {
+        let RecentCounters { status, counters } = customer;
         let fields = [
             field("service", &self.service),
             field("customer", &status.name),
-            field("granted", flow.granted),
-            field("granted_load", flow.granted_load),
-            field("refused_on_arrival", flow.refused_on_arrival),
-            field("refused_after_wait", flow.refused_after_wait),
+            field("granted", counters.granted),
+            field("granted_load", counters.granted_load),
+            field("refused_on_arrival", counters.refused_on_arrival),
+            field("refused_after_wait", counters.refused_after_wait),
             field("waiting", status.waiting),
             field("running", status.running),
             field("behind", status.behind.0 / LEVEL_SCALE),
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -27,14 +27,14 @@
 const TICK: Duration = Duration::from_millis(50);
 /// The least time between two policies, in which changes of plan and endpoints are gathered: a policy names every
 /// endpoint and customer.
-const POLICY_GATHERING: Duration = Duration::from_millis(50);
+const MIN_POLICY_INTERVAL: Duration = Duration::from_millis(50);
 /// Timers go off a little early at times; this keeps a wake-up from coming twice.
 const WAKE_MARGIN: Duration = Duration::from_micros(200);
 /// The least time an endpoint that is asked for its load adds to the interval: at most a hundred
 /// are asked a second. Each costs this process some 100 us, and endpoints count it as a health check.
-const SHORTEST_PROBE_GAP: Duration = Duration::from_millis(10);
+const MIN_PROBE_SPACING: Duration = Duration::from_millis(10);
 /// How many messages may wait for one router; a router that reads more slowly loses its stream.
-const STREAM_QUEUE: usize = 65_536;
+const MAX_STREAM_QUEUE: usize = 65_536;
 /// The most spans of waiting requests; further ones are left out.
 const MAX_SPANS: usize = 10_000;
 
@@ -130,7 +130,7 @@
     tokio::spawn(feed_policy(service.clone(), source.clone(), changes, inputs.clone()));
     let handle = ShardHandle { inputs: inputs.clone(), status: status.clone(), totals };
     tokio::spawn(share_totals(service.clone(), options.clone(), handle.clone()));
-    tokio::spawn(feed_probes(clock, service, options, source, inputs, status));
+    tokio::spawn(poll_endpoints(clock, service, options, source, inputs, status));
     tokio::spawn(driver.run(receiver));
     handle
 }
@@ -139,8 +139,8 @@
     async fn run(mut self, inputs: Receiver<ShardInput>) {
         let mut next_tick = BootInstant::now() + TICK;
         loop {
-            match timeout(self.wait_before(next_tick), inputs.recv()).await {
-                Ok(Ok(input)) => self.take(input),
+            match timeout(self.time_until_due(next_tick), inputs.recv()).await {
+                Ok(Ok(input)) => self.handle(input),
                 Ok(Err(_)) => return,
                 Err(_) if BootInstant::now() < next_tick => self.step(ShardEvent::Wake),
                 Err(_) => {}
@@ -148,7 +148,7 @@
             if BootInstant::now() >= next_tick {
                 self.step(ShardEvent::Tick);
                 let status = self.core.status(self.clock.now());
-                self.tally.tell(&status);
+                self.tally.report(&status);
                 *self.status.lock().expect("no holder of the status panics") = status;
                 *self.totals.lock().expect("no holder of the totals panics") = self.core.totals();
                 next_tick = BootInstant::now() + TICK;
@@ -157,13 +157,13 @@
     }
 
     /// How long nothing is due.
-    fn wait_before(&self, next_tick: BootInstant) -> Duration {
+    fn time_until_due(&self, next_tick: BootInstant) -> Duration {
         let tick = next_tick.saturating_duration_since(BootInstant::now());
         let wake = self.core.next_wake().map(|at| at.since(self.clock.now()) + WAKE_MARGIN);
         wake.map_or(tick, |wake| wake.min(tick))
     }
 
-    fn take(&mut self, input: ShardInput) {
+    fn handle(&mut self, input: ShardInput) {
         match input {
             ShardInput::Open(session, stream) => {
                 self.streams.insert(session, stream);
@@ -178,12 +178,12 @@
                 if let ShardEvent::Cancel(_, request) = &event {
                     self.spans.remove(request);
                 }
-                let ended = match &event {
+                let closed_session = match &event {
                     ShardEvent::Left(session) => Some(*session),
                     _ => None,
                 };
                 self.step(event);
-                if let Some(session) = ended {
+                if let Some(session) = closed_session {
                     self.streams.remove(&session);
                 }
             }
@@ -197,13 +197,12 @@
             self.end_span(&action);
             self.tally.count(&action);
             if let ShardAction::ProbeEndpoint { endpoint } = &action {
-                self.ask(endpoint);
+                self.probe(endpoint);
             }
             let Some((session, message)) = action_message(action, self.options.incarnation) else { continue };
-            let delivered = self
-                .streams
-                .get(&session)
-                .is_some_and(|stream| stream.len() < STREAM_QUEUE && stream.try_send(Ok(message)).is_ok());
+            let delivered = self.streams.get(&session).is_some_and(|stream| {
+                stream.len() < MAX_STREAM_QUEUE && stream.try_send(Ok(message)).is_ok()
+            });
             if !delivered {
                 self.streams.remove(&session);
             }
@@ -214,7 +213,7 @@
 
 impl ShardDriver {
     /// Asks an endpoint for its load now, if it is one that is asked at all. The shard hears of an answer.
-    fn ask(&self, endpoint: &EndpointName) {
+    fn probe(&self, endpoint: &EndpointName) {
         let probed = self.source.probed(&self.service);
         let Some(probed) = probed.into_iter().find(|probed| probed.name == *endpoint) else { return };
         let options = self.options.clone();
@@ -250,7 +249,7 @@
         if inputs.send(ShardInput::Event(ShardEvent::Policy(policy))).await.is_err() {
             return;
         }
-        tokio::time::sleep(POLICY_GATHERING).await;
+        tokio::time::sleep(MIN_POLICY_INTERVAL).await;
         if changes.recv().await.is_err() {
             return;
         }
@@ -258,7 +257,7 @@
 }
 
 /// Asks endpoints and the platform while routers use the shard.
-async fn feed_probes(
+async fn poll_endpoints(
     clock: ShardClock,
     service: ServiceName,
     options: HostOptions,
@@ -268,12 +267,12 @@
 ) {
     let mut followers: HashMap<EndpointName, JoinHandle<()>> = HashMap::new();
     loop {
-        let used = status.lock().expect("no holder of the status panics").routers > 0;
+        let is_used = status.lock().expect("no holder of the status panics").routers > 0;
         let mut pause = options.probe_interval;
-        if used {
+        if is_used {
             let probed = source.probed(&service);
-            pause = pause.max(SHORTEST_PROBE_GAP * u32::try_from(probed.len()).unwrap_or(u32::MAX));
-            forget_followers(&mut followers, &probed);
+            pause = pause.max(MIN_PROBE_SPACING * u32::try_from(probed.len()).unwrap_or(u32::MAX));
+            stop_followers(&mut followers, &probed);
             for endpoint in probed {
                 let follow = || {
                     let follower = CacheFollower::new(&options, endpoint.clone(), inputs.clone());
@@ -286,7 +285,7 @@
                 let _ = inputs.send(ShardInput::Event(ShardEvent::Listed(leaving))).await;
             }
         } else {
-            forget_followers(&mut followers, &[]);
+            stop_followers(&mut followers, &[]);
         }
         tokio::time::sleep(pause).await;
         if inputs.is_closed() {
@@ -296,13 +295,13 @@
 }
 
 /// Ends the followers of engines that are not asked any more.
-fn forget_followers(followers: &mut HashMap<EndpointName, JoinHandle<()>>, probed: &[ProbedEndpoint]) {
+fn stop_followers(followers: &mut HashMap<EndpointName, JoinHandle<()>>, probed: &[ProbedEndpoint]) {
     followers.retain(|name, follower| {
-        let stays = probed.iter().any(|other| other.name == *name);
-        if !stays {
+        let is_probed = probed.iter().any(|other| other.name == *name);
+        if !is_probed {
             follower.abort();
         }
-        stays
+        is_probed
     });
 }
 
@@ -334,13 +333,13 @@
     };
     let _ = inputs.send(ShardInput::Event(ShardEvent::Load(report))).await;
     if !answer.stored.is_empty() || !answer.dropped.is_empty() {
-        let news = CacheUpdate {
+        let update = CacheUpdate {
             endpoint,
             stored: answer.stored,
             dropped: answer.dropped,
             kept: Vec::new(),
             whole: false,
         };
-        let _ = inputs.send(ShardInput::Event(ShardEvent::Cache(news))).await;
+        let _ = inputs.send(ShardInput::Event(ShardEvent::Cache(update))).await;
     }
 }
--- a/crates/micaspool-dispatcher/src/fleet.rs
+++ b/crates/micaspool-dispatcher/src/fleet.rs
@@ -42,7 +42,7 @@
 /// twentieth answer breaks three in a row once in 8,000; one that is gone breaks them at once.
 const TOLERATED_BREAKS: u32 = 2;
 /// The part of an engine's pace that a dispatcher inside a router uses until reports tell it more.
-const SHARE_BESIDE_OTHERS: u64 = 20;
+const SHARED_ENGINE_PERCENT: u64 = 20;
 /// How often engines are asked for their load. Another dispatcher may use them at the same time, and
 /// twice a second bounds how long both give an engine too much.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
@@ -98,10 +98,10 @@
 }
 
 /// Endpoints say themselves that they leave.
-struct NoList;
+struct NoInstanceList;
 
 #[async_trait]
-impl InstanceList for NoList {
+impl InstanceList for NoInstanceList {
     async fn leaving(&self) -> Option<BTreeSet<EndpointName>> {
         None
     }
@@ -114,7 +114,7 @@
             .cost_ceiling(COST_CEILING)
             .recovery_window(RECOVERY_WINDOW)
             .tolerated_breaks(TOLERATED_BREAKS)
-            .initial_share(if options.subset.is_some() { SHARE_BESIDE_OTHERS } else { 100 })
+            .initial_share(if options.subset.is_some() { SHARED_ENGINE_PERCENT } else { 100 })
             .build();
         let host = HostOptions {
             shard,
@@ -126,7 +126,7 @@
             probe: options.probe,
             probe_interval: PROBE_INTERVAL,
             reports_unreachable: false,
-            list: Arc::new(NoList),
+            list: Arc::new(NoInstanceList),
         };
         let source = Arc::new(FleetSource::new(options.mirror.clone(), options.subset));
         let host = Arc::new(ShardHost::new(host, source));
--- a/crates/micaspool-dispatcher/src/fleet_source.rs
+++ b/crates/micaspool-dispatcher/src/fleet_source.rs
@@ -30,13 +30,13 @@
     mirror: Arc<FleetMirror>,
     /// The engines to use; all when not set.
     subset: Option<EngineSubset>,
-    given: AtomicU64,
+    next_revision: AtomicU64,
 }
 
 impl FleetSource {
     /// A source that follows a mirror.
     pub fn new(mirror: Arc<FleetMirror>, subset: Option<EngineSubset>) -> FleetSource {
-        FleetSource { mirror, subset, given: AtomicU64::new(1) }
+        FleetSource { mirror, subset, next_revision: AtomicU64::new(1) }
     }
 
     /// The engines of a service that are used. A few are chosen among those outside of evacuated halls, if there are
@@ -45,16 +45,16 @@
         let engines = self.mirror.endpoints_of(service);
         let Some(subset) = &self.subset else { return engines };
         let orders = self.mirror.hall_orders();
-        let outside = |engine: &EndpointRecord| !orders.is_evacuated(&engine.hall);
-        if engines.iter().any(outside) {
-            subset.choose(engines.into_iter().filter(outside).collect())
+        let is_available = |engine: &EndpointRecord| !orders.is_evacuated(&engine.hall);
+        if engines.iter().any(is_available) {
+            subset.choose(engines.into_iter().filter(is_available).collect())
         } else {
             subset.choose(engines)
         }
     }
 
     /// How much longer an endpoint is taken for cold.
-    fn cold_left(&self, record: &EndpointRecord, profile: Option<ColdProfile>) -> Duration {
+    fn remaining_cold(&self, record: &EndpointRecord, profile: Option<ColdProfile>) -> Duration {
         let Some(profile) = profile else { return Duration::ZERO };
         record.cold.max(self.mirror.presumed_cold(&record.hall, profile.start()))
     }
@@ -62,7 +62,7 @@
 
 impl PolicySource for FleetSource {
     fn policy(&self, service: &ServiceName) -> ShardPolicy {
-        let revision = Revision(self.given.fetch_add(1, Ordering::SeqCst));
+        let revision = Revision(self.next_revision.fetch_add(1, Ordering::SeqCst));
         let plan = self.mirror.plan().plan;
         let halls = self.mirror.halls();
         let rule = plan.service(service.as_str());
@@ -76,7 +76,7 @@
             hall: halls.iter().position(|hall| *hall == record.hall).unwrap_or_default(),
             leaving: record.stage != EndpointStage::Serving,
             evacuated: orders.is_evacuated(&record.hall),
-            cold: self.cold_left(&record, cold),
+            cold: self.remaining_cold(&record, cold),
             slots: record.slots,
             memory_tokens: engine.map_or(0, |engine| engine.memory_tokens),
             name: record.name,
--- a/crates/micaspool-dispatcher/src/host.rs
+++ b/crates/micaspool-dispatcher/src/host.rs
@@ -88,9 +88,9 @@
 
     /// Holds nothing against a request any more; gives the services where something was held.
     pub fn lift(&self, digest: RequestDigest) -> Vec<ServiceName> {
-        let held =
+        let is_suspect =
             |status: &ShardStatus| status.suspects.iter().any(|suspect| suspect.record.digest == digest);
-        let services = self.statuses().into_iter().filter(|(_, status)| held(status));
+        let services = self.statuses().into_iter().filter(|(_, status)| is_suspect(status));
         let services = services.map(|(service, _)| service).collect();
         for shard in self.lock().values() {
             let _ = shard.inputs.try_send(ShardInput::Event(ShardEvent::Lift(digest)));
--- a/crates/micaspool-dispatcher/src/lib.rs
+++ b/crates/micaspool-dispatcher/src/lib.rs
@@ -8,9 +8,9 @@
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
-mod binding;
 mod cache_follower;
 mod closures;
+mod constraints;
 mod customer_log;
 mod daemon;
 mod driver;
--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -55,7 +55,7 @@
     /// that says is nothing of this one.
     pub fn matches_start(&self, answer: &ProbeAnswer) -> bool {
         match (self.start, answer.start) {
-            (Some(expected), Some(said)) => expected == said,
+            (Some(expected), Some(reported)) => expected == reported,
             _ => true,
         }
     }
--- a/crates/micaspool-dispatcher/src/service.rs
+++ b/crates/micaspool-dispatcher/src/service.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::{ShardHandle, ShardInput, StreamItem};
 use crate::host::ShardHost;
-use crate::sharing::{own_totals, take_totals};
+use crate::sharing::{apply_totals, own_totals};
 use async_std::channel::{unbounded, Receiver};
 use futures::{Stream, StreamExt};
 use micaspool_dispatch::{SessionId, ShardEvent};
@@ -54,7 +54,7 @@
             return Ok(Response::new(v1::SharedTotals::default()));
         };
         let own = own_totals(self.host.options(), &shard);
-        take_totals(&shard, message).await;
+        apply_totals(&shard, message).await;
         Ok(Response::new(shared_message(&service, &own)))
     }
 
@@ -88,8 +88,8 @@
     let (sender, receiver) = unbounded();
     let stopped = |_| Status::unavailable("the shard has stopped; connect again");
     shard.inputs.send(ShardInput::Open(session, sender)).await.map_err(stopped)?;
-    feed(&shard, session, first).await?;
-    tokio::spawn(read_router(shard, session, messages));
+    forward_message(&shard, session, first).await?;
+    tokio::spawn(forward_messages(shard, session, messages));
     Ok(receiver)
 }
 
@@ -102,7 +102,11 @@
     }
 }
 
-async fn feed(shard: &ShardHandle, session: SessionId, message: v1::RouterMessage) -> Result<(), Status> {
+async fn forward_message(
+    shard: &ShardHandle,
+    session: SessionId,
+    message: v1::RouterMessage,
+) -> Result<(), Status> {
     for (request, traceparent) in traces_of(&message) {
         let _ = shard.inputs.send(ShardInput::Traced(request, traceparent)).await;
     }
@@ -131,12 +135,12 @@
         .collect()
 }
 
-async fn read_router<S>(shard: ShardHandle, session: SessionId, mut messages: S)
+async fn forward_messages<S>(shard: ShardHandle, session: SessionId, mut messages: S)
 where
     S: Stream<Item = Result<v1::RouterMessage, Status>> + Send + Unpin,
 {
     while let Some(Ok(message)) = messages.next().await {
-        if feed(&shard, session, message).await.is_err() {
+        if forward_message(&shard, session, message).await.is_err() {
             break;
         }
     }
--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -90,8 +90,9 @@
 
 /// How many requests of a shard are shut out.
 fn quarantined(status: &ShardStatus) -> usize {
-    let is_out = |suspect: &&SuspectStatus| matches!(suspect.standing, RequestStanding::Quarantined { .. });
-    status.suspects.iter().filter(is_out).count()
+    let is_quarantined =
+        |suspect: &&SuspectStatus| matches!(suspect.standing, RequestStanding::Quarantined { .. });
+    status.suspects.iter().filter(is_quarantined).count()
 }
 
 /// The slowest learnt pace of a shard's engines, in tokens a millisecond; zero before any was learnt.
--- a/crates/micaspool-dispatcher/src/sharing.rs
+++ b/crates/micaspool-dispatcher/src/sharing.rs
@@ -16,25 +16,25 @@
 use tonic::transport::Channel;
 
 /// How often totals are exchanged.
-const INTERVAL: Duration = Duration::from_secs(1);
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long one exchange may take.
-const LIMIT: Duration = Duration::from_secs(1);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How many dispatchers of other regions are asked, the most likely to serve the shard first.
-const ASKED: usize = 3;
+const MAX_PEERS: usize = 3;
 
 /// Exchanges totals while routers use the shard; ends with it.
 pub(crate) async fn share_totals(service: ServiceName, options: HostOptions, shard: ShardHandle) {
-    let addresses = likely_addresses(&service, &options.remote);
+    let addresses = ranked_addresses(&service, &options.remote);
     let mut channels: HashMap<SocketAddr, Channel> = HashMap::new();
     while !addresses.is_empty() && !shard.inputs.is_closed() {
-        task::sleep(INTERVAL).await;
+        task::sleep(EXCHANGE_INTERVAL).await;
         if !shard.is_used() {
             continue;
         }
         for address in &addresses {
             let message = shared_message(&service, &own_totals(&options, &shard));
             match exchange(*address, &mut channels, &options, message).await {
-                Some(answer) => take_totals(&shard, answer).await,
+                Some(answer) => apply_totals(&shard, answer).await,
                 None => {
                     channels.remove(address);
                 }
@@ -49,18 +49,18 @@
 }
 
 /// Gives totals of another region to the shard.
-pub(crate) async fn take_totals(shard: &ShardHandle, message: SharedTotals) {
+pub(crate) async fn apply_totals(shard: &ShardHandle, message: SharedTotals) {
     if let Ok(totals) = region_totals(message) {
         let _ = shard.inputs.send(ShardInput::Event(ShardEvent::Shared(totals))).await;
     }
 }
 
-fn likely_addresses(service: &ServiceName, remote: &[PeerAddress]) -> Vec<SocketAddr> {
+fn ranked_addresses(service: &ServiceName, remote: &[PeerAddress]) -> Vec<SocketAddr> {
     let names: Vec<_> = remote.iter().map(|peer| peer.name.clone()).collect();
     let ranked = rank_candidates(service, &names);
     let address =
         |name: &InstanceName| remote.iter().find(|peer| peer.name == *name).map(|peer| peer.address);
-    ranked.iter().filter_map(address).take(ASKED).collect()
+    ranked.iter().filter_map(address).take(MAX_PEERS).collect()
 }
 
 async fn exchange(
@@ -78,6 +78,6 @@
         }
     };
     let mut client = DispatchClient::new(channel);
-    let reply = timeout(LIMIT, client.share(message)).await.ok()?.ok()?;
+    let reply = timeout(EXCHANGE_TIMEOUT, client.share(message)).await.ok()?.ok()?;
     Some(reply.into_inner()).filter(|answer| !answer.region.is_empty())
 }
--- a/crates/micaspool-dispatcher/src/standings.rs
+++ b/crates/micaspool-dispatcher/src/standings.rs
@@ -5,36 +5,36 @@
 use micaspool_types::ServiceName;
 
 /// The most lines in an interval of the tally, quarantines apart. An engine that ends has up to 64 requests.
-const MOST_LINES: u32 = 100;
+const MAX_LINES: u32 = 100;
 
 /// Writes changes of requests' standing.
 #[derive(Debug)]
 pub(crate) struct StandingLog {
     service: ServiceName,
     lines: u32,
-    left_out: u32,
+    omitted: u32,
 }
 
 impl StandingLog {
     pub fn new(service: ServiceName) -> StandingLog {
-        StandingLog { service, lines: 0, left_out: 0 }
+        StandingLog { service, lines: 0, omitted: 0 }
     }
 
     /// Begins a new interval.
-    pub fn renew(&mut self) {
-        if self.left_out > 0 {
+    pub fn start_interval(&mut self) {
+        if self.omitted > 0 {
             record(
                 &events::STANDINGS_LEFT_OUT,
-                &[field("service", &self.service), field("lines", self.left_out)],
+                &[field("service", &self.service), field("lines", self.omitted)],
             );
         }
         self.lines = 0;
-        self.left_out = 0;
+        self.omitted = 0;
     }
 
-    pub fn tell(
+    pub fn log_change(
         &mut self,
-        known: &CrashRecord,
+        crash_record: &CrashRecord,
         before: RequestStanding,
         after: RequestStanding,
         cause: StandingCause,
@@ -46,17 +46,17 @@
         };
         if !matches!(after, RequestStanding::Quarantined { .. }) {
             self.lines += 1;
-            if self.lines > MOST_LINES {
-                self.left_out += 1;
+            if self.lines > MAX_LINES {
+                self.omitted += 1;
                 return;
             }
         }
         let crashes =
-            known.crashes.iter().map(|crash| format!("{}:{}", crash.endpoint, crash.age.as_millis()));
+            crash_record.crashes.iter().map(|crash| format!("{}:{}", crash.endpoint, crash.age.as_millis()));
         let fields = [
             field("service", &self.service),
-            field("digest", known.digest),
-            field("customer", &known.customer),
+            field("digest", crash_record.digest),
+            field("customer", &crash_record.customer),
             field("before", before.as_str()),
             field("after", after.as_str()),
             field("cause", cause.as_str()),
--- a/crates/micaspool-dispatcher/src/subset.rs
+++ b/crates/micaspool-dispatcher/src/subset.rs
@@ -11,7 +11,7 @@
 
 /// How many engines a router uses on its own. All of a small site's; on a site of 90 engines and 55
 /// routers an engine is then used by seven routers on average.
-const MOST_ENGINES: usize = 12;
+const MAX_ENGINES: usize = 12;
 
 /// The choice of one router.
 #[derive(Debug, Clone)]
@@ -30,7 +30,7 @@
             engines.into_iter().filter(|engine| engine.stage == EndpointStage::Serving).collect();
         let score = |engine: &EndpointRecord| rendezvous_score(self.instance.as_str(), engine.name.as_str());
         serving.sort_by_cached_key(|engine| (engine.hall != self.hall, Reverse(score(engine))));
-        serving.truncate(MOST_ENGINES);
+        serving.truncate(MAX_ENGINES);
         serving
     }
 }
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -1,7 +1,7 @@
 //! What a shard decided lately: one log line now and then, and a bounded number of lines for refusals.
 
-use crate::binding::BindingTally;
 use crate::closures::ClosureLog;
+use crate::constraints::ConstraintTally;
 use crate::customer_log::CustomerLog;
 use crate::objectives::ObjectiveTally;
 use crate::standings::StandingLog;
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 /// How often a shard that is used says what it decided.
-const INTERVAL: Duration = Duration::from_secs(2);
+const LOG_INTERVAL: Duration = Duration::from_secs(2);
 /// The most refusals that get a line of their own in an interval; the others are only counted. A flood has
 /// 700 a second, and a line takes some 5 us.
-const MOST_REFUSAL_LINES: u64 = 40;
+const MAX_REFUSAL_LINES: u64 = 40;
 
 /// Grants and refusals since the last line.
 #[derive(Debug)]
@@ -25,8 +25,8 @@
     grants: u64,
     refusals: RefusalCounts,
     /// The refusals at the last look.
-    refusals_seen: u64,
-    binding: BindingTally,
+    sampled_refusals: u64,
+    constraints: ConstraintTally,
     objectives: ObjectiveTally,
     closures: ClosureLog,
     customers: CustomerLog,
@@ -37,11 +37,11 @@
 /// Refusals since the last line.
 #[derive(Debug, Default)]
 struct RefusalCounts {
-    all: u64,
+    total: u64,
     /// Those that had waited.
     waited: u64,
     /// How long they had waited together.
-    wait: Duration,
+    total_wait: Duration,
 }
 
 impl ShardTally {
@@ -54,9 +54,9 @@
             service,
             grants: 0,
             refusals: RefusalCounts::default(),
-            refusals_seen: 0,
-            binding: BindingTally::default(),
-            due: BootInstant::now() + INTERVAL,
+            sampled_refusals: 0,
+            constraints: ConstraintTally::default(),
+            due: BootInstant::now() + LOG_INTERVAL,
         }
     }
 
@@ -65,46 +65,46 @@
         match action {
             ShardAction::Grant { objective, .. } => {
                 self.grants += 1;
-                self.objectives.granted(*objective);
+                self.objectives.count_grant(*objective);
             }
             ShardAction::Refuse { waited, objective, .. } => {
                 self.refusals.add(*waited);
-                self.objectives.refused(*objective, *waited);
-                if self.refusals.all <= MOST_REFUSAL_LINES {
-                    self.tell_refusal(action);
+                self.objectives.count_refusal(*objective, *waited);
+                if self.refusals.total <= MAX_REFUSAL_LINES {
+                    self.log_refusal(action);
                 }
             }
             ShardAction::ReportStanding { record, before, after, cause } => {
-                self.standings.tell(record, *before, *after, *cause)
+                self.standings.log_change(record, *before, *after, *cause)
             }
             _ => {}
         }
     }
 
     /// Writes what is due.
-    pub fn tell(&mut self, status: &ShardStatus) {
+    pub fn report(&mut self, status: &ShardStatus) {
         let now = BootInstant::now();
-        self.closures.follow(now, &status.endpoints);
-        if status.waiting > 0 || self.refusals.all > self.refusals_seen {
-            self.binding.sample(status);
+        self.closures.update(now, &status.endpoints);
+        if status.waiting > 0 || self.refusals.total > self.sampled_refusals {
+            self.constraints.sample(status);
         }
-        self.refusals_seen = self.refusals.all;
+        self.sampled_refusals = self.refusals.total;
         if now < self.due {
             return;
         }
-        self.due = now + INTERVAL;
-        if self.grants + self.refusals.all > 0 {
-            self.write(now, status);
+        self.due = now + LOG_INTERVAL;
+        if self.grants + self.refusals.total > 0 {
+            self.log_decisions(now, status);
         }
-        self.objectives.tell();
-        self.customers.tell(&status.customers);
-        self.standings.renew();
+        self.objectives.report();
+        self.customers.report(&status.customers);
+        self.standings.start_interval();
         self.grants = 0;
         self.refusals = RefusalCounts::default();
-        self.refusals_seen = 0;
+        self.sampled_refusals = 0;
     }
 
-    fn tell_refusal(&self, action: &ShardAction) {
+    fn log_refusal(&self, action: &ShardAction) {
         let ShardAction::Refuse {
             request,
             reason,
@@ -131,12 +131,12 @@
         record(&events::TICKET_REFUSED, &fields);
     }
 
-    fn write(&mut self, now: BootInstant, status: &ShardStatus) {
+    fn log_decisions(&mut self, now: BootInstant, status: &ShardStatus) {
         let mut fields = vec![
             field("service", &self.service),
             field("revision", status.revision.0),
             field("grants", self.grants),
-            field("refusals", self.refusals.all),
+            field("refusals", self.refusals.total),
             field("refused_after_wait", self.refusals.waited),
             field("mean_refused_wait_ms", self.refusals.mean_wait().as_millis()),
             field("waiting", status.waiting),
@@ -146,8 +146,8 @@
             field("routers", status.routers),
         ];
         fields.extend(endpoint_fields(status));
-        fields.extend(self.binding.take_fields());
-        fields.push(field("longest_closed_ms", self.closures.longest(now).as_millis()));
+        fields.extend(self.constraints.take_fields());
+        fields.push(field("longest_closed_ms", self.closures.longest_closure(now).as_millis()));
         fields.extend(pace_fields(status));
         record(&events::SHARD_DECIDED, &fields);
     }
@@ -155,13 +155,13 @@
 
 impl RefusalCounts {
     fn add(&mut self, waited: Duration) {
-        self.all += 1;
+        self.total += 1;
         self.waited += u64::from(!waited.is_zero());
-        self.wait += waited;
+        self.total_wait += waited;
     }
 
     fn mean_wait(&self) -> Duration {
-        self.wait / u32::try_from(self.waited).unwrap_or(u32::MAX).max(1)
+        self.total_wait / u32::try_from(self.waited).unwrap_or(u32::MAX).max(1)
     }
 }
 
