--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -1,7 +1,7 @@
-//! Follows what one engine keeps in its cache: a list first, then the changes after it.
+//! Tracks the cache of one engine: reads a snapshot first, then the changes after it.
 //!
-//! What a shard assumes of a cache ages: runs push parts out that nobody asked for. An engine's own word is
-//! some hundred milliseconds old, and a few changes never come.
+//! A shard's own assumptions about a cache become outdated, since an engine also evicts parts to make room for running
+//! requests. The engine's reports are some hundred milliseconds old, and a few changes are lost.
 
 use crate::driver::ShardInput;
 use crate::host::HostOptions;
@@ -12,24 +12,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an engine is left alone between two calls at least, so that one call brings what many requests
-/// changed. At 27 requests a second it brings some twenty changes.
+/// The minimum pause between two calls to an engine, so that one call returns the changes of many requests. At 27
+/// requests a second it returns about 20 changes.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a failed call is not repeated; the pause doubles with each further failure.
+/// The pause after a failed call; it doubles with each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// The longest such pause. An engine may tell nothing at all, or be cut off for a while.
+/// The maximum of that pause. An engine may not report its cache at all, or be unreachable for a while.
 const MAX_PAUSE: Duration = Duration::from_secs(8);
-/// How many calls in a row may fail before the engine is asked for a whole list again.
+/// The number of successive failures after which a new snapshot is read.
 const MAX_FAILURES: u32 = 5;
 
-/// The follower of one engine.
+/// Tracks the cache of one engine on behalf of a shard.
 pub(crate) struct CacheFollower {
     probe: Arc<dyn EndpointProbe>,
     endpoint: ProbedEndpoint,
     inputs: Sender<ShardInput>,
 }
 
-/// The shard has ended.
+/// The shard no longer accepts inputs.
 struct ShardEnded;
 
 impl CacheFollower {
@@ -37,8 +37,8 @@
         CacheFollower { probe: options.probe.clone(), endpoint, inputs }
     }
 
-    /// Follows until the shard ends. `interval` is how often all engines are asked for their load; a fifth of
-    /// it, which grows with their number, parts two calls.
+    /// Runs until the shard ends. `interval` is the probe interval of all engines, which grows with their number; the
+    /// pause between two calls is a fifth of it.
     pub async fn run(self, interval: Duration) {
         let pause = MIN_POLL_INTERVAL.max(interval / 5);
         let mut failures = 0;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Passes changes on until some are lost or can't be had for a while.
+    /// Forwards changes to the shard until some are lost or `MAX_FAILURES` calls in a row have failed.
     async fn follow(&self, mut cursor: CacheCursor, pause: Duration) -> Result<(), ShardEnded> {
         let mut failures = 0;
         while failures < MAX_FAILURES {
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Leaves the engine alone after a failure; says so when it begins to look lasting.
+    /// Pauses after a failure, and logs a warning at the `MAX_FAILURES`th in a row.
     async fn back_off(&self, failures: u32) {
         if failures == MAX_FAILURES {
             let fields = [field("endpoint", &self.endpoint.name), field("failures", failures)];
--- a/crates/micaspool-dispatcher/src/closures.rs
+++ b/crates/micaspool-dispatcher/src/closures.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a shard has closed, why and since when, as log lines.
+//! Logs which endpoints a shard closes and opens, with the cause and the duration.
 
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{EndpointClosure, EndpointStatus};
@@ -7,18 +7,18 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The most lines of one look at the endpoints. A shard is looked at some twenty times a second; when all
-/// engines of a site close at once, the line on the shard's decisions has their number.
+/// The maximum number of lines per update; there are about 20 updates a second. If all engines of a site close at
+/// once, the periodic line about the shard's decisions contains their number.
 const MAX_LINES: usize = 8;
 
-/// A closed endpoint.
+/// Why an endpoint is closed, and since when.
 #[derive(Debug, Clone, Copy)]
 struct ClosedEndpoint {
     cause: EndpointClosure,
     since: BootInstant,
 }
 
-/// Follows which endpoints of one shard are closed.
+/// Tracks the closed endpoints of one shard and logs changes.
 #[derive(Debug)]
 pub(crate) struct ClosureLog {
     service: ServiceName,
@@ -30,7 +30,7 @@
         ClosureLog { service, closed: HashMap::new() }
     }
 
-    /// Takes the state of the endpoints in and tells what has changed.
+    /// Compares the endpoints with their last known state and logs what has changed.
     pub fn update(&mut self, now: BootInstant, endpoints: &[EndpointStatus]) {
         let mut lines = 0;
         for endpoint in endpoints {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How long the endpoint is closed that settings want to have open and that is closed the longest.
+    /// Returns for how long the longest closed endpoint has been closed, without those that the settings close.
     pub fn longest_closure(&self, now: BootInstant) -> Duration {
         let configured = self.closed.values().filter(|closed| closed.cause != EndpointClosure::Settings);
         configured.map(|closed| now.saturating_duration_since(closed.since)).max().unwrap_or_default()
--- a/crates/micaspool-dispatcher/src/constraints.rs
+++ b/crates/micaspool-dispatcher/src/constraints.rs
@@ -1,28 +1,28 @@
-//! What keeps endpoints from getting more while something waits or is refused.
+//! Samples what keeps endpoints from taking more requests while tickets wait or are refused.
 
 use micaspool_dispatch::{EndpointClosure, EndpointStatus, ShardStatus};
 use micaspool_telemetry::events::{field, EventField};
 
-/// What binds an endpoint.
+/// What keeps an endpoint from taking another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndpointConstraint {
-    /// Nothing: it is free, and what waits does not suit it or waits for another.
+    /// Nothing: it is free, and the waiting tickets may not run there or wait for another endpoint.
     Nothing,
-    /// All its slots are taken.
+    /// All slots are in use.
     Slots,
-    /// It has enough to read.
+    /// Its engine has too much queued prefill work for another prompt.
     Prefill,
-    /// It is cold, and its next request is not due.
+    /// It is cold, and its next request is not due yet.
     Cold,
     /// Its data hall is evacuated.
     Evacuated,
-    /// It is left alone for a while after failures.
+    /// It is paused after failures.
     Paused,
-    /// It leaves.
+    /// It is leaving or is not in the settings.
     Leaving,
 }
 
-/// Every cause, in the order of the counts.
+/// Every constraint with the name of its log field, in the order of `ConstraintTally::counts`.
 const CONSTRAINTS: [(EndpointConstraint, &str); 7] = [
     (EndpointConstraint::Nothing, "bound_by_nothing"),
     (EndpointConstraint::Slots, "bound_by_slots"),
@@ -34,7 +34,7 @@
 ];
 
 impl EndpointConstraint {
-    /// What binds an endpoint at this moment.
+    /// Returns the constraint of an endpoint according to its status.
     pub fn of(endpoint: &EndpointStatus) -> EndpointConstraint {
         match endpoint.closure {
             Some(EndpointClosure::Evacuated) => EndpointConstraint::Evacuated,
@@ -48,24 +48,24 @@
     }
 }
 
-/// Counts causes over the moments in which something waited or was refused.
+/// Counts constraints over samples taken while tickets waited or were refused.
 #[derive(Debug, Default)]
 pub(crate) struct ConstraintTally {
     counts: [u64; CONSTRAINTS.len()],
 }
 
 impl ConstraintTally {
-    /// Looks at the endpoints once.
+    /// Counts the current constraint of every endpoint that has slots.
     pub fn sample(&mut self, status: &ShardStatus) {
         for endpoint in status.endpoints.iter().filter(|endpoint| endpoint.slots > 0) {
             let constraint = EndpointConstraint::of(endpoint);
             let position = CONSTRAINTS.iter().position(|(listed, _)| *listed == constraint);
-            self.counts[position.expect("every cause is listed")] += 1;
+            self.counts[position.expect("every constraint is listed")] += 1;
         }
     }
 
-    /// The part of endpoints and moments that each cause bound, in percent; none when nothing waited or was refused.
-    /// Begins anew.
+    /// Returns the share of each constraint among all counted ones, in percent, and resets the counts. Without
+    /// samples there are no fields.
     pub fn take_fields(&mut self) -> Vec<EventField> {
         let counts = std::mem::take(&mut self.counts);
         let total: u64 = counts.iter().sum();
--- a/crates/micaspool-dispatcher/src/customer_log.rs
+++ b/crates/micaspool-dispatcher/src/customer_log.rs
@@ -1,5 +1,5 @@
-//! What a shard granted and refused its customers lately: a line each for those that were refused most and for the one
-//! that was served most, from which an unfair share can be told and explained.
+//! Logs grants and refusals by customer: one line for each of the most refused customers and one for the most served,
+//! so that an unfair distribution can be recognised and explained.
 
 use micaspool_dispatch::{CustomerCounters, CustomerStatus};
 use micaspool_fair::LEVEL_SCALE;
@@ -7,17 +7,17 @@
 use micaspool_types::{CustomerName, ServiceName};
 use std::collections::HashMap;
 
-/// How many of the customers that were refused most have a line.
+/// The maximum number of lines about refused customers.
 const MAX_REFUSED_LINES: usize = 3;
 
-/// Remembers what became of each customer's tickets until the last lines.
+/// Holds the counters of each customer at the last report.
 #[derive(Debug)]
 pub(crate) struct CustomerLog {
     service: ServiceName,
     reported: HashMap<CustomerName, CustomerCounters>,
 }
 
-/// A customer and what became of its tickets since the last lines.
+/// A customer's status, and its counters since the last report.
 struct RecentCounters<'a> {
     status: &'a CustomerStatus,
     counters: CustomerCounters,
@@ -28,7 +28,7 @@
         CustomerLog { service, reported: HashMap::new() }
     }
 
-    /// Writes what came since the last call, if anything was refused.
+    /// Logs the counters since the last call if any ticket was refused.
     pub fn report(&mut self, customers: &[CustomerStatus]) {
         let mut recent: Vec<RecentCounters<'_>> =
             customers.iter().map(|status| self.recent(status)).collect();
--- a/crates/micaspool-dispatcher/src/daemon.rs
+++ b/crates/micaspool-dispatcher/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a dispatcher daemon together.
+//! Starts the dispatcher daemon.
 
 use crate::host::{HostOptions, ShardHost};
 use crate::platform::{HttpInstanceList, InstanceList};
@@ -26,27 +26,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long routers get to go elsewhere when the dispatcher stops.
+/// How long routers have to rejoin elsewhere before the dispatcher stops.
 const STOP_GRACE: Duration = Duration::from_millis(500);
-/// How often endpoints and the platform's list are asked.
+/// The interval of load probes and of reads of the platform's list.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// The largest message, which holds everything that a router has.
+/// The maximum size of a message in bytes. The largest is a hello with all requests of a router.
 const MAX_MESSAGE: usize = 64 * 1024 * 1024;
 
 /// A running dispatcher.
 #[derive(Debug)]
 pub struct DispatcherDaemon {
-    /// Where it answers routers.
+    /// The address for routers.
     pub wire: SocketAddr,
-    /// Where it shows its status.
+    /// The address of its status page.
     pub status: SocketAddr,
     host: Arc<ShardHost>,
     stopping: Arc<AtomicBool>,
 }
 
 impl DispatcherDaemon {
-    /// Asks routers to go elsewhere and gives them time to do so. Nothing in flight is cut: the
-    /// routers hold their requests and take them to the next dispatcher.
+    /// Asks routers to rejoin elsewhere and gives them time to do so. No request in flight is interrupted, since the
+    /// routers hold the requests and submit them to the next dispatcher.
     pub async fn stop(self) {
         self.stopping.store(true, Ordering::SeqCst);
         self.host.stop();
@@ -54,7 +54,7 @@
     }
 }
 
-/// The list of a deployment without one.
+/// The list of a deployment that has none.
 struct NoInstanceList;
 
 #[async_trait]
@@ -64,7 +64,7 @@
     }
 }
 
-/// Starts a dispatcher.
+/// Starts a dispatcher that is configured by the settings tree.
 pub async fn run_dispatcher(
     settings: &ProcessSettings,
     incarnation: Incarnation,
@@ -102,6 +102,7 @@
     Ok(DispatcherDaemon { wire, status, host, stopping })
 }
 
+/// Serves the sessions of routers at an address and returns the bound address.
 pub(crate) async fn serve_wire(
     address: SocketAddr,
     host: &Arc<ShardHost>,
@@ -119,7 +120,7 @@
     Ok(wire)
 }
 
-/// Control bytes by kind of peer.
+/// Counters of control traffic by kind of peer.
 struct DispatcherCounters {
     keepers: TrafficCounter,
     routers: TrafficCounter,
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -1,4 +1,4 @@
-//! Drives one shard core: streams, time, settings and probes in, messages out.
+//! Runs one shard core: passes it messages, timers, settings and load reports, and sends its messages to routers.
 
 use crate::cache_follower::CacheFollower;
 use crate::host::HostOptions;
@@ -23,57 +23,57 @@
 use tokio::time::timeout;
 use tonic::Status;
 
-/// How often the core looks at the time.
+/// The interval of [`ShardEvent::Tick`] and of status updates.
 const TICK: Duration = Duration::from_millis(50);
-/// The least time between two policies, in which changes of plan and endpoints are gathered: a policy names every
-/// endpoint and customer.
+/// The minimum time between two policies. Changes of the plan and endpoints in between are combined, since a policy
+/// contains every endpoint and customer.
 const MIN_POLICY_INTERVAL: Duration = Duration::from_millis(50);
-/// Timers go off a little early at times; this keeps a wake-up from coming twice.
+/// Added to wake-ups, since timers sometimes fire slightly early and would have to be set a second time.
 const WAKE_MARGIN: Duration = Duration::from_micros(200);
-/// The least time an endpoint that is asked for its load adds to the interval: at most a hundred
-/// are asked a second. Each costs this process some 100 us, and endpoints count it as a health check.
+/// The minimum probe interval per probed endpoint, which limits probes to 100 a second. Each takes this process
+/// about 100 us, and endpoints count it as a health check.
 const MIN_PROBE_SPACING: Duration = Duration::from_millis(10);
-/// How many messages may wait for one router; a router that reads more slowly loses its stream.
+/// The maximum number of queued messages for one router. The stream of a slower router is closed.
 const MAX_STREAM_QUEUE: usize = 65_536;
-/// The most spans of waiting requests; further ones are left out.
+/// The maximum number of open spans of waiting requests; requests beyond it have none.
 const MAX_SPANS: usize = 10_000;
 
-/// What goes to a router's stream.
+/// An item of the response stream to a router.
 pub(crate) type StreamItem = Result<DispatcherMessage, Status>;
 
-/// What goes into a shard.
+/// An input of a shard.
 #[derive(Debug)]
 pub(crate) enum ShardInput {
-    /// A stream has opened; its messages go to this queue.
+    /// A session has opened; messages to its router go to this queue.
     Open(SessionId, Sender<StreamItem>),
-    /// A request that is about to be submitted belongs to this trace.
+    /// The `traceparent` of a request that is about to be submitted.
     Traced(RequestId, String),
-    /// An event of the core.
+    /// An event for the core.
     Event(ShardEvent),
 }
 
-/// How the rest of the process reaches a shard.
+/// Gives other tasks access to a shard.
 #[derive(Debug, Clone)]
 pub(crate) struct ShardHandle {
     pub inputs: Sender<ShardInput>,
     pub status: Arc<Mutex<ShardStatus>>,
-    /// What the shard has delivered, for other regions.
+    /// What the shard has delivered to each customer, for other regions.
     pub totals: Arc<Mutex<Vec<CustomerTotal>>>,
 }
 
 impl ShardHandle {
     /// True while routers use the shard.
     pub fn is_used(&self) -> bool {
-        self.status.lock().expect("no holder of the status panics").routers > 0
+        self.status.lock().expect("the lock of the status is not poisoned").routers > 0
     }
 
-    /// What the shard has delivered so far.
+    /// Returns what the shard has delivered to each customer so far.
     pub fn totals(&self) -> Vec<CustomerTotal> {
-        self.totals.lock().expect("no holder of the totals panics").clone()
+        self.totals.lock().expect("the lock of the totals is not poisoned").clone()
     }
 }
 
-/// A monotonic clock as moments since the start of the shard.
+/// A monotonic clock that counts from the start of the shard.
 #[derive(Debug, Clone, Copy)]
 struct ShardClock(BootInstant);
 
@@ -88,10 +88,10 @@
     core: ShardCore,
     service: ServiceName,
     source: Arc<dyn PolicySource>,
-    /// Where what the driver asks for comes back.
+    /// The sender of the shard's own inputs, for the results of probes.
     inputs: Sender<ShardInput>,
     options: HostOptions,
-    /// The spans of waiting requests that belong to a trace.
+    /// The spans of waiting requests that have a trace.
     spans: HashMap<RequestId, HopSpan>,
     streams: HashMap<SessionId, Sender<StreamItem>>,
     actions: Vec<ShardAction>,
@@ -100,7 +100,7 @@
     tally: ShardTally,
 }
 
-/// Starts a shard; it runs until its handle is gone.
+/// Starts a shard and the tasks that feed it with policies, load reports and totals of other regions.
 pub(crate) fn start_shard(
     service: ServiceName,
     options: HostOptions,
@@ -149,14 +149,14 @@
                 self.step(ShardEvent::Tick);
                 let status = self.core.status(self.clock.now());
                 self.tally.report(&status);
-                *self.status.lock().expect("no holder of the status panics") = status;
-                *self.totals.lock().expect("no holder of the totals panics") = self.core.totals();
+                *self.status.lock().expect("the lock of the status is not poisoned") = status;
+                *self.totals.lock().expect("the lock of the totals is not poisoned") = self.core.totals();
                 next_tick = BootInstant::now() + TICK;
             }
         }
     }
 
-    /// How long nothing is due.
+    /// Returns the time until the next tick or the core's next wake-up, whichever is first.
     fn time_until_due(&self, next_tick: BootInstant) -> Duration {
         let tick = next_tick.saturating_duration_since(BootInstant::now());
         let wake = self.core.next_wake().map(|at| at.since(self.clock.now()) + WAKE_MARGIN);
@@ -212,7 +212,7 @@
 }
 
 impl ShardDriver {
-    /// Asks an endpoint for its load now, if it is one that is asked at all. The shard hears of an answer.
+    /// Starts a probe of an endpoint if it is among the probed ones. The result becomes an input of the shard.
     fn probe(&self, endpoint: &EndpointName) {
         let probed = self.source.probed(&self.service);
         let Some(probed) = probed.into_iter().find(|probed| probed.name == *endpoint) else { return };
@@ -220,7 +220,7 @@
         tokio::spawn(probe_endpoint(self.clock, options, probed, self.inputs.clone()));
     }
 
-    /// Ends the span of a request whose wait is over.
+    /// Ends the span of a request that was granted or refused.
     fn end_span(&mut self, action: &ShardAction) {
         match action {
             ShardAction::Grant { request, endpoint, .. } => {
@@ -243,7 +243,7 @@
     inputs: Sender<ShardInput>,
 ) {
     loop {
-        // What changed while the last policy was made is in this one.
+        // The policy made next includes all changes notified so far.
         while changes.try_recv().is_ok() {}
         let policy = source.policy(&service);
         if inputs.send(ShardInput::Event(ShardEvent::Policy(policy))).await.is_err() {
@@ -256,7 +256,8 @@
     }
 }
 
-/// Asks endpoints and the platform while routers use the shard.
+/// Probes the endpoints and reads the platform's list at intervals, and runs a cache follower for each probed endpoint,
+/// while routers use the shard.
 async fn poll_endpoints(
     clock: ShardClock,
     service: ServiceName,
@@ -267,7 +268,7 @@
 ) {
     let mut followers: HashMap<EndpointName, JoinHandle<()>> = HashMap::new();
     loop {
-        let is_used = status.lock().expect("no holder of the status panics").routers > 0;
+        let is_used = status.lock().expect("the lock of the status is not poisoned").routers > 0;
         let mut pause = options.probe_interval;
         if is_used {
             let probed = source.probed(&service);
@@ -294,7 +295,7 @@
     }
 }
 
-/// Ends the followers of engines that are not asked any more.
+/// Stops the cache followers of endpoints that are no longer probed.
 fn stop_followers(followers: &mut HashMap<EndpointName, JoinHandle<()>>, probed: &[ProbedEndpoint]) {
     followers.retain(|name, follower| {
         let is_probed = probed.iter().any(|other| other.name == *name);
--- a/crates/micaspool-dispatcher/src/fleet.rs
+++ b/crates/micaspool-dispatcher/src/fleet.rs
@@ -1,7 +1,7 @@
-//! A dispatcher that follows the route plan and the registered endpoints.
+//! A dispatcher configured by the route plan and the registered endpoints.
 //!
-//! It serves the routers that reach it over the wire, or, inside a router, that router alone while
-//! it reaches no other dispatcher.
+//! It serves routers over the network, or runs inside a router and serves only that router while it reaches no other
+//! dispatcher.
 
 use crate::daemon::serve_wire;
 use crate::fleet_source::FleetSource;
@@ -32,40 +32,41 @@
 use std::time::Duration;
 use tonic::Status;
 
-/// The most that one request can cost: the largest prompts have some 100,000 tokens.
+/// The maximum cost of one request. The largest prompts have about 100,000 tokens.
 const COST_CEILING: Cost = Cost(262_144);
-/// How long a new shard collects what routers hold. Routers notice a lost dispatcher within some
-/// hundred milliseconds when its process ended.
+/// How long a new shard collects the state held by routers. If a dispatcher's process ends, routers notice it within
+/// some hundred milliseconds.
 const RECOVERY_WINDOW: Duration = Duration::from_millis(300);
 
-/// How many requests in a row may break at an endpoint before it is left alone. One that loses every
-/// twentieth answer breaks three in a row once in 8,000; one that is gone breaks them at once.
+/// How many requests in a row may break at an endpoint before it is paused. An endpoint that loses every twentieth
+/// answer breaks three in a row once in 8,000 requests; one that has ended breaks them at once.
 const TOLERATED_BREAKS: u32 = 2;
-/// The part of an engine's pace that a dispatcher inside a router uses until reports tell it more.
+/// The share of an engine's prefill budget that a dispatcher inside a router uses until load reports show who else
+/// uses the engine, in percent.
 const SHARED_ENGINE_PERCENT: u64 = 20;
-/// How often engines are asked for their load. Another dispatcher may use them at the same time, and
-/// twice a second bounds how long both give an engine too much.
+/// The interval of load probes. Another dispatcher may use the same engines, and two probes a second limit how long
+/// both overload an engine.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a fleet dispatcher is made with.
+/// Options of a [`FleetDispatcher`].
 #[derive(Debug, Clone)]
 pub struct FleetDispatcherOptions {
-    /// The region that it serves.
+    /// The region of the dispatcher.
     pub region: RegionName,
-    /// Tells one life of the process from the next.
+    /// Distinguishes restarts of the process.
     pub incarnation: Incarnation,
-    /// The fleet as this process knows it.
+    /// This process's view of the fleet.
     pub mirror: Arc<FleetMirror>,
-    /// Where spans go.
+    /// Records spans.
     pub spans: SpanSink,
-    /// How engines are asked for their load.
+    /// Requests load reports from engines.
     pub probe: Arc<dyn EndpointProbe>,
-    /// Set for a dispatcher inside a router: the engines that it uses. Other dispatchers probably use
-    /// them too, those of other routers that are cut off, and that of the core.
+    /// Selects the engines that a dispatcher inside a router uses; not set for others. Other dispatchers probably use
+    /// the same engines: the core's, and those inside other routers that are cut off from it.
     pub subset: Option<EngineSubset>,
 }
 
-/// A dispatcher of a fleet without lists.
+/// A dispatcher of a fleet whose endpoints register themselves.
 #[derive(Debug, Clone)]
 pub struct FleetDispatcher {
     host: Arc<ShardHost>,
@@ -97,7 +98,7 @@
     }
 }
 
-/// Endpoints say themselves that they leave.
+/// The list of a fleet without one; endpoints announce themselves that they leave.
 struct NoInstanceList;
 
 #[async_trait]
@@ -108,7 +109,7 @@
 }
 
 impl FleetDispatcher {
-    /// A dispatcher that is reached inside the process only.
+    /// Creates a dispatcher that can only be reached from this process until [`FleetDispatcher::serve`] is called.
     pub fn new(options: FleetDispatcherOptions) -> FleetDispatcher {
         let shard = ShardOptions::builder()
             .cost_ceiling(COST_CEILING)
@@ -133,7 +134,7 @@
         FleetDispatcher { host, mirror: options.mirror, stopping: Arc::default() }
     }
 
-    /// Serves routers at an address; gives the bound one.
+    /// Serves routers at an address and returns the bound address.
     pub async fn serve(
         &self,
         address: SocketAddr,
@@ -142,8 +143,7 @@
         serve_wire(address, &self.host, &self.stopping, counter).await
     }
 
-    /// Opens a session for a router in this process; its messages come from the channel, the hello
-    /// first.
+    /// Opens a session for a router in this process. The first message from the channel must be its hello.
     pub async fn open(
         &self,
         messages: Receiver<RouterMessage>,
@@ -151,14 +151,14 @@
         open_session(&self.host, messages.map(Ok)).await
     }
 
-    /// What it shows of itself.
+    /// Returns the source of the dispatcher's status page and metrics.
     pub fn status_source(&self) -> Arc<dyn StatusSource> {
         let mut registry = Registry::default();
         let gauges = ShardGauges::register(&mut registry);
         Arc::new(FleetStatusSource { host: self.host.clone(), mirror: self.mirror.clone(), registry, gauges })
     }
 
-    /// Takes no new session and asks routers to go elsewhere.
+    /// Refuses new sessions over the network and asks all routers to rejoin at another dispatcher.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
         self.host.stop();
--- a/crates/micaspool-dispatcher/src/fleet_source.rs
+++ b/crates/micaspool-dispatcher/src/fleet_source.rs
@@ -1,4 +1,4 @@
-//! Route plan and registered endpoints as the policy of shards.
+//! Derives the policies of shards from the route plan and the registered endpoints.
 
 use crate::policy_source::PolicySource;
 use crate::probe::ProbedEndpoint;
@@ -13,34 +13,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The customer under which requests of public routes wait.
+/// The customer to which requests of public routes are charged.
 pub const PUBLIC_CUSTOMER: &str = "_public";
-/// The credit that a customer keeps while it does not wait, in milliseconds of what all endpoints
-/// deliver: one or two large requests. Without any, a customer that comes back stands level with a
-/// flood and is refused before it is next; with a second of it, a customer that took what nobody
-/// wanted is starved when all others come back.
+/// The credit that a customer keeps while it has no waiting requests, in milliseconds of the capacity of all
+/// endpoints: one or two large requests. Without a credit, a returning customer starts at the level of a flooding one
+/// and is refused before its turn. With a credit of one second, a customer that used capacity nobody else wanted is
+/// starved when all others return.
 const IDLE_CREDIT_MILLIS: u64 = 100;
-/// The most waiting requests of one customer. They wait in the routers' memory with bodies of some
-/// 20 KB, so 16 customers may hold 80 MB in all routers together.
+/// The maximum number of waiting requests of one customer. They wait in the routers' memory with bodies of about
+/// 20 KB, so 16 customers may occupy 80 MB in all routers together.
 const MAX_WAITING: u32 = 256;
 
-/// The fleet as a source. Every policy that it gives has a higher revision than the one before.
+/// A policy source that reads the fleet mirror. Each policy has a higher revision than the one before.
 #[derive(Debug)]
 pub struct FleetSource {
     mirror: Arc<FleetMirror>,
-    /// The engines to use; all when not set.
+    /// Selects the engines to use; all are used if it is not set.
     subset: Option<EngineSubset>,
     next_revision: AtomicU64,
 }
 
 impl FleetSource {
-    /// A source that follows a mirror.
+    /// Creates a source that reads this mirror.
     pub fn new(mirror: Arc<FleetMirror>, subset: Option<EngineSubset>) -> FleetSource {
         FleetSource { mirror, subset, next_revision: AtomicU64::new(1) }
     }
 
-    /// The engines of a service that are used. A few are chosen among those outside of evacuated halls, if there are
-    /// any.
+    /// Returns the engines of a service to use. A subset is chosen from the engines outside evacuated halls, or from
+    /// all engines if there are none outside.
     fn engines_of(&self, service: &ServiceName) -> Vec<EndpointRecord> {
         let engines = self.mirror.endpoints_of(service);
         let Some(subset) = &self.subset else { return engines };
@@ -53,7 +53,7 @@
         }
     }
 
-    /// How much longer an endpoint is taken for cold.
+    /// Returns how much longer an endpoint is treated as cold.
     fn remaining_cold(&self, record: &EndpointRecord, profile: Option<ColdProfile>) -> Duration {
         let Some(profile) = profile else { return Duration::ZERO };
         record.cold.max(self.mirror.presumed_cold(&record.hall, profile.start()))
@@ -103,7 +103,7 @@
         self.mirror.subscribe()
     }
 
-    /// Engines only: others have no load that would decide anything. Nothing is asked in a hall that is evacuated.
+    /// Returns only engines, since the load of other endpoints affects no decision, and none in evacuated halls.
     fn probed(&self, service: &ServiceName) -> Vec<ProbedEndpoint> {
         let plan = self.mirror.plan().plan;
         let is_engine = plan.service(service.as_str()).is_some_and(|rule| rule.engine.is_some());
@@ -120,14 +120,15 @@
     }
 }
 
-/// An engine's part of what all engines together deliver, in tokens a millisecond.
+/// Returns one engine's share of the planned capacity of all engines, in tokens per millisecond. `capacity` is in tokens
+/// per second.
 fn planned_pace(capacity: u64, engines: usize) -> f64 {
     capacity as f64 / engines.max(1) as f64 / 1_000.0
 }
 
-/// Every customer of the plan and the one of public routes, with equal weights in every hall.
+/// Returns every customer of the plan and [`PUBLIC_CUSTOMER`], with equal weights and all halls allowed.
 fn customers(plan: &RoutePlan) -> Vec<ShardCustomer> {
-    let public = CustomerName::parse(PUBLIC_CUSTOMER).expect("a constant of valid characters");
+    let public = CustomerName::parse(PUBLIC_CUSTOMER).expect("the constant is a valid name");
     let named = plan.parts().customers.iter().map(|customer| customer.name.clone());
     let all = named.chain([public]).map(|name| ShardCustomer {
         name,
--- a/crates/micaspool-dispatcher/src/host.rs
+++ b/crates/micaspool-dispatcher/src/host.rs
@@ -1,4 +1,4 @@
-//! The shards of one dispatcher.
+//! Starts and holds the shards of one dispatcher.
 
 use crate::driver::{start_shard, ShardHandle, ShardInput};
 use crate::platform::InstanceList;
@@ -15,29 +15,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What every shard of a dispatcher shares.
+/// Options shared by all shards of a dispatcher.
 #[derive(Clone)]
 pub struct HostOptions {
-    /// Limits and times of a shard.
+    /// The options of the shard core.
     pub shard: ShardOptions,
-    /// Tells one life of the dispatcher from the next.
+    /// Distinguishes restarts of the dispatcher.
     pub incarnation: Incarnation,
     /// The region of this dispatcher.
     pub region: RegionName,
     /// Dispatchers of other regions.
     pub remote: Vec<PeerAddress>,
-    /// Counts the bytes of the exchange with them.
+    /// Counts the bytes exchanged with them.
     pub remote_counter: TrafficCounter,
-    /// Where spans go.
+    /// Records spans.
     pub spans: SpanSink,
-    /// How endpoints are asked for their load.
+    /// Requests load reports from endpoints.
     pub probe: Arc<dyn EndpointProbe>,
-    /// How often endpoints and the platform's list are asked.
+    /// The interval of probes and of reads of the platform's list.
     pub probe_interval: Duration,
-    /// True when an endpoint that does not answer is left alone for a while. False where routers may
-    /// reach endpoints that this dispatcher does not.
+    /// True if a failed probe is reported to the shard, which counts it as a failure of the endpoint. False where
+    /// routers may reach endpoints that this dispatcher cannot.
     pub reports_unreachable: bool,
-    /// The platform's list.
+    /// The platform's list of instances.
     pub list: Arc<dyn InstanceList>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Starts a shard when a router first asks for its service.
+/// Holds the shards by service; a shard starts when the first router opens a session for its service.
 #[derive(Debug)]
 pub struct ShardHost {
     options: HostOptions,
@@ -57,36 +57,37 @@
 }
 
 impl ShardHost {
-    /// A host without shards.
+    /// Creates a host without shards.
     pub fn new(options: HostOptions, source: Arc<dyn PolicySource>) -> ShardHost {
         ShardHost { options, source, shards: Mutex::default(), next_session: AtomicU64::new(1) }
     }
 
-    /// What every shard shares.
+    /// Returns the options shared by all shards.
     pub(crate) fn options(&self) -> &HostOptions {
         &self.options
     }
 
-    /// A number for a new stream.
+    /// Returns an unused session identifier.
     pub(crate) fn new_session(&self) -> SessionId {
         SessionId(self.next_session.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// The shard of a service, started if need be.
+    /// Returns the shard of a service, and starts it if necessary.
     pub(crate) fn shard(&self, service: &ServiceName) -> ShardHandle {
         let mut shards = self.lock();
         let start = || start_shard(service.clone(), self.options.clone(), self.source.clone());
         shards.entry(service.clone()).or_insert_with(start).clone()
     }
 
-    /// Asks the routers of every shard to go elsewhere.
+    /// Asks the routers of every shard to rejoin at another dispatcher.
     pub fn stop(&self) {
         for shard in self.lock().values() {
             let _ = shard.inputs.try_send(ShardInput::Event(ShardEvent::Stop));
         }
     }
 
-    /// Holds nothing against a request any more; gives the services where something was held.
+    /// Lifts the quarantine or suspicion of a request in every shard. Returns the services in which it was suspected
+    /// or quarantined.
     pub fn lift(&self, digest: RequestDigest) -> Vec<ServiceName> {
         let is_suspect =
             |status: &ShardStatus| status.suspects.iter().any(|suspect| suspect.record.digest == digest);
@@ -98,21 +99,22 @@
         services
     }
 
-    /// The state of every shard.
+    /// Returns the latest status of every shard.
     pub fn statuses(&self) -> Vec<(ServiceName, ShardStatus)> {
         let shards = self.lock();
-        let status =
-            |shard: &ShardHandle| shard.status.lock().expect("no holder of the status panics").clone();
+        let status = |shard: &ShardHandle| {
+            shard.status.lock().expect("the lock of the status is not poisoned").clone()
+        };
         shards.iter().map(|(service, shard)| (service.clone(), status(shard))).collect()
     }
 
-    /// The shard of a service, when routers use it.
+    /// Returns the shard of a service if routers use it.
     pub(crate) fn used_shard(&self, service: &ServiceName) -> Option<ShardHandle> {
         let shard = self.lock().get(service).cloned()?;
         shard.is_used().then_some(shard)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<ServiceName, ShardHandle>> {
-        self.shards.lock().expect("no holder of the shards panics")
+        self.shards.lock().expect("the lock of the shards is not poisoned")
     }
 }
--- a/crates/micaspool-dispatcher/src/lib.rs
+++ b/crates/micaspool-dispatcher/src/lib.rs
@@ -1,10 +1,9 @@
-//! The dispatcher: one shard core for each service, its streams to routers, and what it asks of
-//! endpoints and the platform.
+//! The dispatcher runs one shard core for each service, serves the sessions of routers, and polls endpoints and the
+//! platform.
 //!
-//! [`ShardHost`] starts shards when routers ask for them; [`EndpointProbe`] and [`InstanceList`]
-//! are the borders to endpoints and the platform, [`PolicySource`] that to the fleet's state.
-//! [`run_dispatcher`] puts a daemon together; [`FleetDispatcher`] is one for a fleet whose endpoints
-//! register themselves.
+//! [`ShardHost`] starts a shard when a router first needs it. [`EndpointProbe`] is the interface to endpoints,
+//! [`InstanceList`] that to the platform, and [`PolicySource`] that to the fleet's state. [`run_dispatcher`] starts a
+//! daemon configured by the settings tree; [`FleetDispatcher`] is for a fleet whose endpoints register themselves.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-dispatcher/src/objectives.rs
+++ b/crates/micaspool-dispatcher/src/objectives.rs
@@ -1,17 +1,17 @@
-//! What a shard granted and refused lately, by the time within which answers are wanted.
+//! Logs grants and refusals by the tickets' objectives for the first event of the response.
 //!
-//! Kinds of request that share a service and a customer differ in little else here, and one may be served at the
-//! price of another.
+//! Kinds of requests that share a service and a customer differ in little else that a shard knows, and one kind may
+//! be served at the expense of another.
 
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_types::ServiceName;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most objectives that are told apart; further ones are counted with the longest of these.
+/// The maximum number of distinct objectives; others are counted with the longest of them.
 const MAX_OBJECTIVES: usize = 8;
 
-/// Decisions on tickets with about the same objective.
+/// Counts decisions on tickets with about the same objective.
 #[derive(Debug, Default)]
 struct ObjectiveCounts {
     grants: u64,
@@ -21,11 +21,11 @@
     refused_after_wait: u64,
 }
 
-/// Decisions since the last lines.
+/// Counts decisions by objective since the last report.
 #[derive(Debug)]
 pub(crate) struct ObjectiveTally {
     service: ServiceName,
-    /// By objective in milliseconds, in two leading digits.
+    /// Keys are objectives in milliseconds, rounded to two significant digits.
     counts: BTreeMap<u64, ObjectiveCounts>,
 }
 
@@ -34,14 +34,14 @@
         ObjectiveTally { service, counts: BTreeMap::new() }
     }
 
-    /// Counts a grant.
+    /// Counts a grant of a ticket that has an objective.
     pub fn count_grant(&mut self, objective: Option<Duration>) {
         if let Some(counts) = self.counts_of(objective) {
             counts.grants += 1;
         }
     }
 
-    /// Counts a refusal.
+    /// Counts the refusal of a ticket that has an objective.
     pub fn count_refusal(&mut self, objective: Option<Duration>, waited: Duration) {
         let Some(counts) = self.counts_of(objective) else { return };
         if waited.is_zero() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Writes a line an objective, if anything was refused, and begins anew.
+    /// Logs one line for each objective if any ticket was refused, and resets the counts.
     pub fn report(&mut self) {
         let counts = std::mem::take(&mut self.counts);
         if counts.values().all(|counts| counts.refused_on_arrival + counts.refused_after_wait == 0) {
@@ -78,8 +78,8 @@
     }
 }
 
-/// Milliseconds, rounded up to two leading digits: routers tell what is left of an objective, which is some
-/// milliseconds less than the whole.
+/// Returns the objective in milliseconds, rounded up to two significant digits. Routers send the rest of an
+/// objective, which is some milliseconds less than the whole.
 fn rounded_millis(objective: Duration) -> u64 {
     let millis = u64::try_from(objective.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX);
     let mut step = 1;
--- a/crates/micaspool-dispatcher/src/platform.rs
+++ b/crates/micaspool-dispatcher/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of live and leaving instances.
+//! Reads the platform's list of live and leaving instances, which lags behind.
 
 use crate::probe::fetch;
 use async_trait::async_trait;
@@ -9,17 +9,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The path of the list.
+/// The HTTP path of the list.
 const LIST_PATH: &str = "/instances";
-/// The largest list in bytes.
+/// The maximum size of the list in bytes.
 const MAX_LIST: u64 = 4 * 1024 * 1024;
-/// The state of an instance that is leaving.
+/// The `state` value of a leaving instance.
 const LEAVING: &str = "leaving";
 
-/// The platform's list; it may be some seconds old.
+/// The platform's list of instances, which may be some seconds old.
 #[async_trait]
 pub trait InstanceList: Send + Sync + 'static {
-    /// The endpoints that the platform lists as leaving, or `None` when the list cannot be read.
+    /// Returns the endpoints that the platform lists as leaving, or `None` if the list cannot be read.
     async fn leaving(&self) -> Option<BTreeSet<EndpointName>>;
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl HttpInstanceList {
-    /// The list that is served at this address.
+    /// Creates a client for the list served at this address.
     pub fn new(address: SocketAddr) -> HttpInstanceList {
         HttpInstanceList { address }
     }
--- a/crates/micaspool-dispatcher/src/policy_source.rs
+++ b/crates/micaspool-dispatcher/src/policy_source.rs
@@ -1,4 +1,4 @@
-//! Where shards get their policy from.
+//! Sources of the policies of shards.
 
 use crate::probe::ProbedEndpoint;
 use crate::shard_policy::shard_policy;
@@ -9,19 +9,19 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Gives the part of the fleet's state that a shard needs.
+/// Provides the part of the fleet's state that shards need.
 pub trait PolicySource: fmt::Debug + Send + Sync + 'static {
-    /// The policy of a service as of now.
+    /// Returns the current policy of a service.
     fn policy(&self, service: &ServiceName) -> ShardPolicy;
 
-    /// A channel that gets a message after the policy of some service has changed.
+    /// Returns a channel that receives a message after the policy of any service has changed.
     fn subscribe(&self) -> Receiver<()>;
 
-    /// The endpoints that are asked for their load; none when they are not asked.
+    /// Returns the endpoints of a service whose load is probed.
     fn probed(&self, service: &ServiceName) -> Vec<ProbedEndpoint>;
 }
 
-/// The settings tree as a source.
+/// A policy source that reads the settings tree.
 #[derive(Debug, Clone)]
 pub struct TreeSource(pub Arc<SettingsMirror>);
 
--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asking endpoints for their load.
+//! Requests load and cache reports from endpoints.
 
 use async_std::io::ReadExt;
 use async_trait::async_trait;
@@ -10,49 +10,49 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The path at which an endpoint reports its load.
+/// The HTTP path of an endpoint's load report.
 const LOAD_PATH: &str = "/load";
-/// The largest load report in bytes.
+/// The maximum size of a load report in bytes.
 const MAX_REPORT: u64 = 64 * 1024;
 
-/// What an endpoint says of itself.
+/// A load report of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ProbeAnswer {
-    /// When it started, as it says; `None` when it does not.
+    /// The incarnation that it reports, which identifies its start; `None` if it reports none.
     #[serde(default)]
     pub start: Option<Incarnation>,
-    /// How many requests it runs.
+    /// The number of running requests.
     pub running: u32,
-    /// How many requests wait there to be read.
+    /// The number of requests that wait there for prefill.
     #[serde(default)]
     pub waiting: u32,
-    /// True when it takes no new work.
+    /// True if it accepts no new work.
     #[serde(default)]
     pub draining: bool,
-    /// Prefix hashes that its cache took in since the last report.
+    /// Hashes of prefixes that it has cached since the last report.
     #[serde(default)]
     pub stored: Vec<u64>,
-    /// Prefix hashes that its cache dropped since the last report.
+    /// Hashes of prefixes that it has evicted since the last report.
     #[serde(default)]
     pub dropped: Vec<u64>,
 }
 
-/// An endpoint that is asked for its load.
+/// An endpoint whose load is probed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProbedEndpoint {
     /// Its name in the shard.
     pub name: EndpointName,
     /// Its service.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address of its HTTP server.
     pub address: SocketAddr,
-    /// The start that the name stands for; `None` where starts aren't told apart.
+    /// The incarnation to which the name belongs; `None` if incarnations are not distinguished.
     pub start: Option<Incarnation>,
 }
 
 impl ProbedEndpoint {
-    /// True when an answer from its address may be its own. Another start may have taken the address over, and what
-    /// that says is nothing of this one.
+    /// Returns false if the answer reports a different incarnation. An endpoint that was started later may listen at
+    /// the same address, and its report says nothing about this one.
     pub fn matches_start(&self, answer: &ProbeAnswer) -> bool {
         match (self.start, answer.start) {
             (Some(expected), Some(reported)) => expected == reported,
@@ -61,58 +61,59 @@
     }
 }
 
-/// A place in the sequence of an engine's cache changes.
+/// A position in the sequence of an engine's cache changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheCursor {
-    /// Tells one life of the cache from the next.
+    /// Identifies the sequence; a cache that starts anew has a new epoch.
     pub epoch: u64,
-    /// The number after the newest change that is known.
+    /// The number of the first change that is not known yet.
     pub next: u64,
 }
 
-/// Every prompt part that an engine keeps, at one place in the sequence of its changes.
+/// All prompt parts that an engine has cached at one position in the sequence of its changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheSnapshot {
-    /// Where the changes after this list begin.
+    /// The position of the first change after this snapshot.
     pub cursor: CacheCursor,
-    /// The parts, the ones used longest ago first where that is known.
+    /// The parts, least recently used first if the order is known.
     pub parts: Vec<CachedPart>,
 }
 
-/// What changed in an engine's cache since a cursor.
+/// The changes of an engine's cache since a cursor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheChanges {
-    /// Where later changes begin.
+    /// The position of the first change after these.
     pub cursor: CacheCursor,
-    /// True when changes in between are lost, so that only a new list tells what is kept.
+    /// True if changes in between were lost, so that a new snapshot is needed.
     pub gap: bool,
-    /// Parts that it keeps now.
+    /// Parts that are now cached.
     pub kept: Vec<CachedPart>,
-    /// Parts that it dropped, whole or in part.
+    /// Prefix hashes of parts that were evicted, entirely or partially.
     pub dropped: Vec<u64>,
 }
 
-/// Asks an endpoint for its load.
+/// Requests load and cache reports from endpoints.
 #[async_trait]
 pub trait EndpointProbe: std::fmt::Debug + Send + Sync + 'static {
-    /// The report of an endpoint, or `None` when it does not answer in time or wants nothing now.
+    /// Requests the load report of an endpoint. Returns `None` if it does not answer in time or asked not to be
+    /// contacted for now.
     async fn ask(&self, endpoint: &ProbedEndpoint) -> Option<ProbeAnswer>;
 
-    /// The prompt parts that an engine keeps. Asked when a shard meets the engine,
-    /// which may have run for long under another dispatcher, and after a gap. `None` when it can't be
-    /// told.
+    /// Requests the prompt parts that an engine has cached. Called when a shard first uses the engine, which may have
+    /// served another dispatcher before, and after changes were lost. Returns `None` if the engine does not report
+    /// them.
     async fn cached_parts(&self, _endpoint: &ProbedEndpoint) -> Option<CacheSnapshot> {
         None
     }
 
-    /// What changed in the engine's cache since the cursor; waits a while for news. `None` when it
-    /// can't be told.
+    /// Requests the changes of an engine's cache since the cursor. The engine may delay its answer until there are
+    /// some. Returns `None` if it does not report them.
     async fn cache_changes(&self, _endpoint: &ProbedEndpoint, _since: CacheCursor) -> Option<CacheChanges> {
         None
     }
 }
 
-/// Asks over HTTP: `GET /load` gives `{"running": n, "draining": false}`.
+/// Reads load reports over HTTP: `GET /load` returns `{"running": n, "draining": false}`.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpEndpointProbe {
     limits: CallLimits,
@@ -133,7 +134,7 @@
     }
 }
 
-/// The body of a successful `GET`, at most `max` bytes.
+/// Sends a `GET` request and returns at most `max` bytes of the body, or `None` unless it succeeds.
 pub(crate) async fn fetch(address: SocketAddr, path: &str, limits: CallLimits, max: u64) -> Option<Vec<u8>> {
     let url = Url::parse(&format!("http://{address}{path}")).ok()?;
     let mut request = Request::new(Method::Get, url);
--- a/crates/micaspool-dispatcher/src/service.rs
+++ b/crates/micaspool-dispatcher/src/service.rs
@@ -1,4 +1,4 @@
-//! The protocol side of a dispatcher.
+//! The gRPC service of a dispatcher.
 
 use crate::driver::{ShardHandle, ShardInput, StreamItem};
 use crate::host::ShardHost;
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use tonic::{Request, Response, Status, Streaming};
 
-/// Answers routers and operators.
+/// Serves routers, dispatchers of other regions and operators.
 #[derive(Clone, Debug)]
 pub struct DispatchService {
     host: Arc<ShardHost>,
@@ -23,7 +23,7 @@
 }
 
 impl DispatchService {
-    /// A service for the shards of a host. Once `stopping` is set it takes no new stream.
+    /// Creates a service for the shards of a host. Once `stopping` is set it refuses new sessions.
     pub fn new(host: Arc<ShardHost>, stopping: Arc<AtomicBool>) -> DispatchService {
         DispatchService { host, stopping }
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Opens a session of a router whose messages come from a stream, the hello first.
+/// Opens a session for a router. The first message of the stream must be its hello.
 pub(crate) async fn open_session<S>(host: &ShardHost, mut messages: S) -> Result<Receiver<StreamItem>, Status>
 where
     S: Stream<Item = Result<v1::RouterMessage, Status>> + Send + Unpin + 'static,
@@ -122,7 +122,7 @@
     }
 }
 
-/// The waiting requests of a message that belong to a trace.
+/// Returns the submitted requests of a message that have a trace, with their `traceparent`.
 fn traces_of(message: &v1::RouterMessage) -> Vec<(RequestId, String)> {
     let submits = match &message.body {
         Some(Body::Submit(submit)) => std::slice::from_ref(submit),
--- a/crates/micaspool-dispatcher/src/shard_policy.rs
+++ b/crates/micaspool-dispatcher/src/shard_policy.rs
@@ -1,11 +1,11 @@
-//! The part of the settings that one shard needs.
+//! Derives the policy of a shard from the settings tree.
 
 use micaspool_dispatch::{ColdStartLimits, EndpointSpec, ShardCustomer, ShardPolicy};
 use micaspool_settings::policy::FleetPolicy;
 use micaspool_types::{Cost, ServiceName};
 use std::time::Duration;
 
-/// The settings of one service as its shard takes them; empty when the service is not listed.
+/// Returns the policy of a service's shard, without endpoints and customers if the settings do not contain the service.
 pub fn shard_policy(fleet: &FleetPolicy, service: &ServiceName) -> ShardPolicy {
     let halls = fleet.halls.iter().map(|hall| hall.name.clone()).collect();
     let Some(index) = fleet.service_index(service.as_str()) else {
--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -1,4 +1,4 @@
-//! The shards of a dispatcher as operators see them.
+//! Metrics and JSON status of the shards of a dispatcher.
 
 use crate::host::ShardHost;
 use micaspool_dispatch::{EndpointClosure, PrefillStatus, RequestStanding, ShardStatus, SuspectStatus};
@@ -13,7 +13,7 @@
     service: String,
 }
 
-/// Gauges of every shard.
+/// Gauges of every shard, labelled by service.
 #[derive(Default)]
 pub(crate) struct ShardGauges {
     waiting: Family<ShardLabels, Gauge>,
@@ -23,31 +23,35 @@
     slowest_pace: Family<ShardLabels, Gauge>,
     suspected: Family<ShardLabels, Gauge>,
     quarantined: Family<ShardLabels, Gauge>,
-    /// The revision of what the shards follow.
+    /// The revision of the settings or the number of the plan in force.
     pub revision: Gauge,
 }
 
 impl ShardGauges {
-    /// Makes the gauges and registers them.
+    /// Creates the gauges and registers them.
     pub fn register(registry: &mut Registry) -> ShardGauges {
         let gauges = ShardGauges::default();
         registry.register("micaspool_waiting_requests", "Waiting requests", gauges.waiting.clone());
         registry.register("micaspool_running_requests", "Running requests", gauges.running.clone());
-        registry.register("micaspool_open_slots", "Slots that may take work", gauges.open_slots.clone());
-        let gap_help = "Difference of service levels of waiting customers, in cost at weight 1";
+        registry.register("micaspool_open_slots", "Slots of open endpoints", gauges.open_slots.clone());
+        let gap_help = "Largest difference of service levels of waiting customers, in cost at weight 1";
         registry.register("micaspool_fairness_gap", gap_help, gauges.gap.clone());
-        let pace_help = "Slowest learnt reading pace of an engine, in tokens a second";
+        let pace_help = "Lowest learnt prefill rate of an engine, in tokens per second";
         registry.register("micaspool_slowest_engine_pace", pace_help, gauges.slowest_pace.clone());
         let suspected_help =
-            "Requests that run apart since several endpoints ended under them, or are shut out";
+            "Requests that are suspected or quarantined because endpoints crashed while running them";
         registry.register("micaspool_suspected_requests", suspected_help, gauges.suspected.clone());
-        let quarantined_help = "Requests that are shut out since endpoints ended under them";
+        let quarantined_help = "Requests that are quarantined because endpoints crashed while running them";
         registry.register("micaspool_quarantined_requests", quarantined_help, gauges.quarantined.clone());
-        registry.register("micaspool_settings_revision", "Revision in force", gauges.revision.clone());
+        registry.register(
+            "micaspool_settings_revision",
+            "Revision of the settings or number of the plan in force",
+            gauges.revision.clone(),
+        );
         gauges
     }
 
-    /// Sets the gauges to what the shards are now.
+    /// Sets the gauges from the latest status of every shard.
     pub fn refresh(&self, host: &ShardHost) {
         for (service, status) in host.statuses() {
             let labels = ShardLabels { service: service.to_string() };
@@ -63,7 +67,7 @@
     }
 }
 
-/// What was learnt of an engine's pace as JSON; no age means that the pace is assumed.
+/// Encodes the learnt prefill rate of an engine as JSON; the age is null while the rate is assumed.
 fn pace_json(pace: PrefillStatus) -> serde_json::Value {
     json!({
         "tokens_per_ms": pace.tokens_per_milli,
@@ -73,7 +77,7 @@
     })
 }
 
-/// A request under which several endpoints ended, as JSON.
+/// Encodes a suspected or quarantined request as JSON.
 fn suspect_json(suspect: &SuspectStatus) -> serde_json::Value {
     let crashes =
         suspect.record.crashes.iter().map(
@@ -88,28 +92,28 @@
     })
 }
 
-/// How many requests of a shard are shut out.
+/// Returns the number of quarantined requests of a shard.
 fn quarantined(status: &ShardStatus) -> usize {
     let is_quarantined =
         |suspect: &&SuspectStatus| matches!(suspect.standing, RequestStanding::Quarantined { .. });
     status.suspects.iter().filter(is_quarantined).count()
 }
 
-/// The slowest learnt pace of a shard's engines, in tokens a millisecond; zero before any was learnt.
+/// Returns the lowest learnt prefill rate of a shard's engines in tokens per millisecond, or zero if none is learnt.
 fn slowest_pace(status: &ShardStatus) -> f64 {
     let learnt = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
     let learnt = learnt.filter(|pace| pace.age.is_some()).map(|pace| pace.tokens_per_milli);
     learnt.reduce(f64::min).unwrap_or(0.0)
 }
 
-/// The spread of levels among customers that wait, in cost at weight 1.
+/// Returns the difference between the highest and lowest level of waiting customers, in cost at weight 1.
 fn level_gap(status: &ShardStatus) -> u64 {
     let levels = || status.customers.iter().filter(|customer| customer.waiting > 0).map(|c| c.level.0);
     let spread = levels().max().unwrap_or(0) - levels().min().unwrap_or(0);
     spread / micaspool_fair::LEVEL_SCALE
 }
 
-/// The state of every shard as JSON.
+/// Encodes the status of every shard as JSON.
 pub(crate) fn shards_json(host: &ShardHost) -> serde_json::Value {
     let shards = host.statuses().into_iter().map(|(service, status)| {
         let customers = status.customers.iter().map(|customer| {
--- a/crates/micaspool-dispatcher/src/sharing.rs
+++ b/crates/micaspool-dispatcher/src/sharing.rs
@@ -1,4 +1,4 @@
-//! The exchange of totals with the shards of other regions.
+//! Exchanges delivered totals with the shards of other regions.
 
 use crate::driver::{ShardHandle, ShardInput};
 use crate::host::HostOptions;
@@ -15,14 +15,14 @@
 use std::time::Duration;
 use tonic::transport::Channel;
 
-/// How often totals are exchanged.
+/// The interval between exchanges.
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long one exchange may take.
+/// The timeout of one exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many dispatchers of other regions are asked, the most likely to serve the shard first.
+/// The maximum number of dispatchers of other regions to exchange with, those most likely to serve the shard first.
 const MAX_PEERS: usize = 3;
 
-/// Exchanges totals while routers use the shard; ends with it.
+/// Exchanges totals at intervals while routers use the shard, until the shard ends.
 pub(crate) async fn share_totals(service: ServiceName, options: HostOptions, shard: ShardHandle) {
     let addresses = ranked_addresses(&service, &options.remote);
     let mut channels: HashMap<SocketAddr, Channel> = HashMap::new();
@@ -43,18 +43,19 @@
     }
 }
 
-/// What this dispatcher's shard has delivered.
+/// Returns what this dispatcher's shard has delivered to each customer.
 pub(crate) fn own_totals(options: &HostOptions, shard: &ShardHandle) -> RegionTotals {
     RegionTotals { region: options.region.clone(), incarnation: options.incarnation, totals: shard.totals() }
 }
 
-/// Gives totals of another region to the shard.
+/// Passes the totals of another region to the shard; malformed ones are ignored.
 pub(crate) async fn apply_totals(shard: &ShardHandle, message: SharedTotals) {
     if let Ok(totals) = region_totals(message) {
         let _ = shard.inputs.send(ShardInput::Event(ShardEvent::Shared(totals))).await;
     }
 }
 
+/// Returns the addresses of up to [`MAX_PEERS`] dispatchers, ranked by how likely they serve the shard.
 fn ranked_addresses(service: &ServiceName, remote: &[PeerAddress]) -> Vec<SocketAddr> {
     let names: Vec<_> = remote.iter().map(|peer| peer.name.clone()).collect();
     let ranked = rank_candidates(service, &names);
--- a/crates/micaspool-dispatcher/src/standings.rs
+++ b/crates/micaspool-dispatcher/src/standings.rs
@@ -1,13 +1,14 @@
-//! Which requests are suspected of ending endpoints, shut out or cleared: a line for each change, within a bound.
+//! Logs when a request is suspected of crashing endpoints, quarantined or cleared, with a limit on the number of lines.
 
 use micaspool_dispatch::{CrashRecord, RequestStanding, StandingCause};
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_types::ServiceName;
 
-/// The most lines in an interval of the tally, quarantines apart. An engine that ends has up to 64 requests.
+/// The maximum number of lines in an interval of the tally; quarantines are always logged. An engine that crashes has
+/// up to 64 requests.
 const MAX_LINES: u32 = 100;
 
-/// Writes changes of requests' standing.
+/// Logs changes of requests' standing.
 #[derive(Debug)]
 pub(crate) struct StandingLog {
     service: ServiceName,
@@ -20,7 +21,7 @@
         StandingLog { service, lines: 0, omitted: 0 }
     }
 
-    /// Begins a new interval.
+    /// Starts a new interval, and logs how many lines the previous one omitted.
     pub fn start_interval(&mut self) {
         if self.omitted > 0 {
             record(
@@ -32,6 +33,7 @@
         self.omitted = 0;
     }
 
+    /// Logs a change of standing, or counts it as omitted.
     pub fn log_change(
         &mut self,
         crash_record: &CrashRecord,
--- a/crates/micaspool-dispatcher/src/subset.rs
+++ b/crates/micaspool-dispatcher/src/subset.rs
@@ -1,30 +1,30 @@
-//! Which engines a dispatcher inside a router uses.
+//! Selects the engines that a dispatcher inside a router uses.
 //!
-//! While no other dispatcher is reached, each router orders its own requests. If all of them used
-//! every engine, none would know what the others send, and together they would ask each engine for its
-//! load and its kept parts many times over. So each uses a few, those of its own hall first: they are
-//! the ones that it reaches when the hall is cut off.
+//! While a router reaches no other dispatcher, it schedules its own requests. If all such routers used every engine,
+//! none would know what the others send, and together they would request each engine's load and cache contents many
+//! times over. So each uses only some engines, those of its own data hall first, since it still reaches them when the
+//! hall is cut off.
 
 use micaspool_registry::{EndpointRecord, EndpointStage};
 use micaspool_types::{rendezvous_score, HallName, InstanceName};
 use std::cmp::Reverse;
 
-/// How many engines a router uses on its own. All of a small site's; on a site of 90 engines and 55
-/// routers an engine is then used by seven routers on average.
+/// The maximum number of engines that a router uses on its own. A small site has fewer; on a site of 90 engines and
+/// 55 routers, seven routers on average use the same engine.
 const MAX_ENGINES: usize = 12;
 
-/// The choice of one router.
+/// Selects the engines of one router.
 #[derive(Debug, Clone)]
 pub struct EngineSubset {
-    /// The router's instance; different routers choose different engines.
+    /// The router's instance, by which routers choose different engines.
     pub instance: InstanceName,
-    /// The router's hall.
+    /// The router's data hall.
     pub hall: HallName,
 }
 
 impl EngineSubset {
-    /// The serving engines that the router uses, by rendezvous hashing, so that one that comes or goes
-    /// changes one place only.
+    /// Returns the serving engines that the router uses. They are ranked by rendezvous hashing, so that an engine that
+    /// is added or removed replaces at most one other.
     pub fn choose(&self, engines: Vec<EndpointRecord>) -> Vec<EndpointRecord> {
         let mut serving: Vec<EndpointRecord> =
             engines.into_iter().filter(|engine| engine.stage == EndpointStage::Serving).collect();
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -1,4 +1,4 @@
-//! What a shard decided lately: one log line now and then, and a bounded number of lines for refusals.
+//! Logs the decisions of a shard: a periodic summary, and a limited number of lines for single refusals.
 
 use crate::closures::ClosureLog;
 use crate::constraints::ConstraintTally;
@@ -12,19 +12,19 @@
 use micaspool_wire::convert::reason_text;
 use std::time::Duration;
 
-/// How often a shard that is used says what it decided.
+/// The interval of the periodic lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(2);
-/// The most refusals that get a line of their own in an interval; the others are only counted. A flood has
-/// 700 a second, and a line takes some 5 us.
+/// The maximum number of refusals logged one by one in an interval; others are only counted. A flood causes 700
+/// refusals a second, and writing a line takes about 5 us.
 const MAX_REFUSAL_LINES: u64 = 40;
 
-/// Grants and refusals since the last line.
+/// Counts grants and refusals since the last summary, and holds the other periodic logs of a shard.
 #[derive(Debug)]
 pub(crate) struct ShardTally {
     service: ServiceName,
     grants: u64,
     refusals: RefusalCounts,
-    /// The refusals at the last look.
+    /// The number of refusals when endpoint constraints were last sampled.
     sampled_refusals: u64,
     constraints: ConstraintTally,
     objectives: ObjectiveTally,
@@ -34,13 +34,13 @@
     due: BootInstant,
 }
 
-/// Refusals since the last line.
+/// Counts refusals since the last summary.
 #[derive(Debug, Default)]
 struct RefusalCounts {
     total: u64,
-    /// Those that had waited.
+    /// Refusals of tickets that had waited.
     waited: u64,
-    /// How long they had waited together.
+    /// The sum of the waiting times of refused tickets.
     total_wait: Duration,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Counts a decision.
+    /// Counts a decision, and logs it if it is a refusal within the limit or a change of standing.
     pub fn count(&mut self, action: &ShardAction) {
         match action {
             ShardAction::Grant { objective, .. } => {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Writes what is due.
+    /// Updates the logs from the shard's status, and writes the periodic lines when they are due.
     pub fn report(&mut self, status: &ShardStatus) {
         let now = BootInstant::now();
         self.closures.update(now, &status.endpoints);
@@ -165,7 +165,7 @@
     }
 }
 
-/// How many endpoints are in which state.
+/// Returns how many endpoints are in each state, and how many slots others use.
 fn endpoint_fields(status: &ShardStatus) -> Vec<EventField> {
     let known = || status.endpoints.iter().filter(|endpoint| endpoint.slots > 0);
     let count = |wanted: fn(&EndpointStatus) -> bool| known().filter(|e| wanted(e)).count();
@@ -183,7 +183,7 @@
     ]
 }
 
-/// What is known of the paces of engines.
+/// Returns the number of learnt prefill rates, their extremes and the mean latency.
 fn pace_fields(status: &ShardStatus) -> Vec<EventField> {
     let paces = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
     let observed: Vec<PrefillStatus> = paces.filter(|pace| pace.age.is_some()).collect();
