--- a/crates/micaspool-dispatcher/tests/subset.rs
+++ b/crates/micaspool-dispatcher/tests/subset.rs
@@ -1,4 +1,4 @@
-//! The engines that routers use while each orders its own requests.
+//! Which engines a dispatcher inside a router selects.
 
 use micaspool_dispatcher::EngineSubset;
 use micaspool_registry::{EndpointRecord, EndpointStage};
@@ -9,15 +9,15 @@
 const HALLS: usize = 4;
 
 fn hall(number: usize) -> HallName {
-    HallName::parse(&format!("hall-{number}")).expect("a name")
+    HallName::parse(&format!("hall-{number}")).expect("the name is valid")
 }
 
 fn engine(number: usize) -> EndpointRecord {
     EndpointRecord {
-        name: EndpointName::parse(&format!("engine-{number}")).expect("a name"),
-        identity: EndpointName::parse(&format!("engine-{number}")).expect("a name"),
+        name: EndpointName::parse(&format!("engine-{number}")).expect("the name is valid"),
+        identity: EndpointName::parse(&format!("engine-{number}")).expect("the name is valid"),
         incarnation: Incarnation(0),
-        service: ServiceName::parse("model").expect("a name"),
+        service: ServiceName::parse("model").expect("the name is valid"),
         address: ([127, 0, 0, 1], 1).into(),
         hall: hall(number % HALLS),
         slots: 48,
@@ -28,7 +28,7 @@
 }
 
 fn router(number: usize) -> EngineSubset {
-    let instance = InstanceName::parse(&format!("router-{number}")).expect("a name");
+    let instance = InstanceName::parse(&format!("router-{number}")).expect("the name is valid");
     EngineSubset { instance, hall: hall(number % HALLS) }
 }
 
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn a_small_site_is_used_whole() {
+fn a_small_site_uses_all_engines() {
     assert_eq!(router(1).choose((0..9).map(engine).collect()).len(), 9);
 }
 
 #[test]
-fn each_router_uses_a_few_of_its_own_hall_and_all_are_used_alike() {
+fn routers_choose_engines_of_their_own_hall_evenly() {
     let mut users: BTreeMap<EndpointName, usize> = BTreeMap::new();
     for number in 0..55 {
         let chosen = router(number).choose((0..90).map(engine).collect());
@@ -52,21 +52,21 @@
             *users.entry(name).or_default() += 1;
         }
     }
-    assert!(users.len() >= 85, "{} of 90 engines are used", users.len());
+    assert!(users.len() >= 85, "only {} of 90 engines are used", users.len());
     let most = users.values().max().copied().unwrap_or_default();
     assert!(most <= 14, "an engine is used by {most} routers; the mean is 7");
 }
 
 #[test]
-fn one_that_leaves_changes_one_place() {
+fn a_removed_engine_is_replaced_by_one_other() {
     let before = names(router(3).choose((0..90).map(engine).collect()));
-    let without = |engine: &EndpointRecord| engine.name != before[0];
-    let after = names(router(3).choose((0..90).map(engine).filter(without).collect()));
+    let remains = |engine: &EndpointRecord| engine.name != before[0];
+    let after = names(router(3).choose((0..90).map(engine).filter(remains).collect()));
     assert_eq!(after.iter().filter(|name| before.contains(name)).count(), 11);
 }
 
 #[test]
-fn other_halls_fill_up_and_leaving_engines_do_not_count() {
+fn engines_of_other_halls_fill_the_subset_and_leaving_ones_are_skipped() {
     let mut engines: Vec<EndpointRecord> = (0..16).map(engine).collect();
     let leaving = engines[0].name.clone();
     engines[0].stage = EndpointStage::Draining;
