--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -95,7 +95,7 @@
         let table = FleetTable::new(options.seeds.clone());
         let mirror = Arc::new(FleetMirror { options, table: Mutex::new(table) });
         mirror.follow_new_keepers();
-        task::spawn(mirror.clone().forget_silent_endpoints());
+        task::spawn(mirror.clone().expire_silent_endpoints());
         mirror
     }
 
@@ -152,7 +152,7 @@
 
     /// Every keeper that is followed, in name order.
     pub fn keepers(&self) -> Vec<KeeperStatus> {
-        self.lock().sights(self.options.directory.as_ref())
+        self.lock().statuses(self.options.directory.as_ref())
     }
 
     /// A channel that gets a message after plan, endpoints or keepers have changed.
@@ -170,7 +170,7 @@
 
     /// Starts a stream for each keeper that has none.
     fn follow_new_keepers(self: &Arc<Self>) {
-        for name in self.lock().take_unfollowed() {
+        for name in self.lock().claim_unfollowed() {
             match self.options.directory.address(&name) {
                 Some(address) => {
                     let peer = PeerAddress { name, address };
@@ -183,10 +183,10 @@
         }
     }
 
-    async fn forget_silent_endpoints(self: Arc<Self>) {
+    async fn expire_silent_endpoints(self: Arc<Self>) {
         loop {
             task::sleep(EXPIRY_INTERVAL).await;
-            self.lock().forget_silent(self.options.max_endpoint_silence);
+            self.lock().expire_silent(self.options.max_endpoint_silence);
         }
     }
 
--- a/crates/micaspool-client/src/fleet/halls.rs
+++ b/crates/micaspool-client/src/fleet/halls.rs
@@ -11,12 +11,12 @@
 #[derive(Debug, Default)]
 pub(super) struct HallTable {
     pub orders: HallOrders,
-    returned: BTreeMap<HallName, BootInstant>,
+    reopened_at: BTreeMap<HallName, BootInstant>,
 }
 
 impl HallTable {
     /// Takes over what a keeper tells of a hall; true when it is news.
-    pub fn take(&mut self, from: &InstanceName, hall: HallName, order: HallOrder) -> bool {
+    pub fn apply(&mut self, from: &InstanceName, hall: HallName, order: HallOrder) -> bool {
         let fields = [
             field("hall", &hall),
             field("use", order.wanted.as_str()),
@@ -30,8 +30,8 @@
         }
         record(&events::HALL_USE_CHANGED, &fields);
         match wanted {
-            HallUse::Open => self.returned.insert(hall, BootInstant::now()),
-            HallUse::Evacuated => self.returned.remove(&hall),
+            HallUse::Open => self.reopened_at.insert(hall, BootInstant::now()),
+            HallUse::Evacuated => self.reopened_at.remove(&hall),
         };
         true
     }
@@ -39,7 +39,7 @@
     /// How much longer the endpoints of a hall are taken for cold, if each is for `start` after the hall was taken
     /// back. A process that was not there then counts from when it first heard of it.
     pub fn presumed_cold(&self, hall: &HallName, start: Duration) -> Duration {
-        let returned = self.returned.get(hall).map(BootInstant::elapsed);
-        returned.map_or(Duration::ZERO, |ago| start.saturating_sub(ago))
+        let since_reopening = self.reopened_at.get(hall).map(BootInstant::elapsed);
+        since_reopening.map_or(Duration::ZERO, |elapsed| start.saturating_sub(elapsed))
     }
 }
--- a/crates/micaspool-client/src/fleet/stream.rs
+++ b/crates/micaspool-client/src/fleet/stream.rs
@@ -12,22 +12,22 @@
 use tonic::Streaming;
 
 /// How long opening a stream may take.
-const OPEN_LIMIT: Duration = Duration::from_millis(700);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(700);
 /// A keeper that said nothing for this long is taken for lost; it speaks once a second.
-const SILENCE_LIMIT: Duration = Duration::from_millis(2_500);
+const STREAM_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The pause between two tries.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// How long a keeper that nobody names any more is tried.
-const UNWANTED_LIFE: Duration = Duration::from_secs(30);
+const UNWANTED_RETENTION: Duration = Duration::from_secs(30);
 
 /// Follows one keeper until nobody names it any more.
 pub(super) async fn follow_keeper(mirror: Arc<FleetMirror>, peer: PeerAddress) {
     let mut wanted_at = BootInstant::now();
-    while wanted_at.elapsed() < UNWANTED_LIFE {
-        if let Some(news) = open(&mirror, &peer).await {
-            take_all(&mirror, &peer, news).await;
+    while wanted_at.elapsed() < UNWANTED_RETENTION {
+        if let Some(stream) = open_stream(&mirror, &peer).await {
+            apply_updates(&mirror, &peer, stream).await;
         }
-        mirror.lock().note_keeper(&peer.name, false, false);
+        mirror.lock().update_keeper(&peer.name, false, false);
         if mirror.lock().is_wanted(&peer.name) {
             wanted_at = BootInstant::now();
         }
@@ -36,19 +36,19 @@
     mirror.lock().keepers.remove(&peer.name);
 }
 
-async fn open(mirror: &FleetMirror, peer: &PeerAddress) -> Option<Streaming<v1::FleetNews>> {
+async fn open_stream(mirror: &FleetMirror, peer: &PeerAddress) -> Option<Streaming<v1::FleetNews>> {
     let channel = socket::connect(peer.address, mirror.options.counter.clone()).await.ok()?;
     let mut client = KeeperClient::new(channel).max_decoding_message_size(crate::keeper::MAX_MESSAGE);
     let request =
         v1::FollowRequest { follower: mirror.options.follower.clone(), number: mirror.plan().number };
-    let reply = timeout(OPEN_LIMIT, client.follow(request)).await.ok()?.ok()?;
+    let reply = timeout(OPEN_TIMEOUT, client.follow(request)).await.ok()?.ok()?;
     Some(reply.into_inner())
 }
 
-async fn take_all(mirror: &Arc<FleetMirror>, peer: &PeerAddress, mut stream: Streaming<v1::FleetNews>) {
-    while let Ok(Ok(Some(news))) = timeout(SILENCE_LIMIT, stream.message()).await {
-        let newcomers = mirror.lock().take(&peer.name, &news, mirror.options.format.as_ref());
-        if newcomers {
+async fn apply_updates(mirror: &Arc<FleetMirror>, peer: &PeerAddress, mut stream: Streaming<v1::FleetNews>) {
+    while let Ok(Ok(Some(update))) = timeout(STREAM_TIMEOUT, stream.message()).await {
+        let has_new_members = mirror.lock().apply(&peer.name, &update, mirror.options.format.as_ref());
+        if has_new_members {
             mirror.follow_new_keepers();
         }
     }
--- a/crates/micaspool-client/src/fleet/table.rs
+++ b/crates/micaspool-client/src/fleet/table.rs
@@ -18,10 +18,10 @@
 /// How long a keeper counts as one that hears a majority after it last said so. An election takes up
 /// to 1.5 s, two tries; the keepers of a group lose and regain their majority at different moments
 /// in it, and none of them is cut off for that.
-const MAJORITY_MEMORY: Duration = Duration::from_secs(3);
+const CONFIRMATION_RETENTION: Duration = Duration::from_secs(3);
 
 /// A keeper that has not spoken for this long is quiet; it speaks once a second.
-const QUIET_LIMIT: Duration = Duration::from_millis(1_300);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_300);
 
 /// What is known of one keeper.
 #[derive(Debug, Default)]
@@ -30,16 +30,16 @@
     pub confirmed: bool,
     /// When it last said that it hears a majority, on the stream that is open now.
     confirmed_at: Option<BootInstant>,
-    heard_at: Option<BootInstant>,
+    last_message_at: Option<BootInstant>,
 }
 
 impl KeeperState {
-    fn is_quiet(&self) -> bool {
-        self.heard_at.is_some_and(|at| at.elapsed() > QUIET_LIMIT)
+    fn is_unresponsive(&self) -> bool {
+        self.last_message_at.is_some_and(|at| at.elapsed() > UNRESPONSIVE_AFTER)
     }
 
     fn recently_confirmed(&self) -> bool {
-        self.confirmed || self.confirmed_at.is_some_and(|at| at.elapsed() < MAJORITY_MEMORY)
+        self.confirmed || self.confirmed_at.is_some_and(|at| at.elapsed() < CONFIRMATION_RETENTION)
     }
 }
 
@@ -78,7 +78,7 @@
     }
 
     /// Names that should be followed and are not yet; they count as followed from here on.
-    pub fn take_unfollowed(&mut self) -> Vec<InstanceName> {
+    pub fn claim_unfollowed(&mut self) -> Vec<InstanceName> {
         let wanted = self.seeds.iter().chain(&self.members).cloned();
         let new: Vec<InstanceName> = wanted.filter(|name| !self.keepers.contains_key(name)).collect();
         for name in &new {
@@ -92,26 +92,26 @@
         self.seeds.contains(name) || self.members.contains(name)
     }
 
-    pub fn sights(&self, directory: &dyn PeerDirectory) -> Vec<KeeperStatus> {
-        let sights = self.keepers.iter().filter_map(|(name, state)| {
+    pub fn statuses(&self, directory: &dyn PeerDirectory) -> Vec<KeeperStatus> {
+        let statuses = self.keepers.iter().filter_map(|(name, state)| {
             let address = directory.address(name)?;
             let peer = PeerAddress { name: name.clone(), address };
             Some(KeeperStatus {
                 peer,
                 reach: state.reach,
-                unresponsive: state.is_quiet(),
+                unresponsive: state.is_unresponsive(),
                 confirmed: state.confirmed,
                 recently_confirmed: state.recently_confirmed(),
                 wanted: self.is_wanted(name),
             })
         });
-        sights.collect()
+        statuses.collect()
     }
 
     /// Notes whether a keeper is reached and hears a majority.
-    pub fn note_keeper(&mut self, name: &InstanceName, reached: bool, confirmed: bool) {
+    pub fn update_keeper(&mut self, name: &InstanceName, reached: bool, confirmed: bool) {
         let Some(state) = self.keepers.get_mut(name) else { return };
-        state.heard_at = reached.then(BootInstant::now);
+        state.last_message_at = reached.then(BootInstant::now);
         let reach = if reached { KeeperReach::Reached } else { KeeperReach::Lost };
         state.confirmed_at = match (reached, confirmed) {
             (true, true) => Some(BootInstant::now()),
@@ -129,37 +129,37 @@
     }
 
     /// Takes what a keeper tells; true when it named members that are not followed yet.
-    pub fn take(&mut self, from: &InstanceName, news: &v1::FleetNews, format: &dyn PlanFormat) -> bool {
-        self.note_keeper(from, true, news.confirmed);
-        let mut changed = news.plan.as_ref().is_some_and(|plan| self.take_plan(from, plan, format));
-        for hall in &news.halls {
-            changed |= self.take_hall(from, hall);
+    pub fn apply(&mut self, from: &InstanceName, update: &v1::FleetNews, format: &dyn PlanFormat) -> bool {
+        self.update_keeper(from, true, update.confirmed);
+        let mut changed = update.plan.as_ref().is_some_and(|plan| self.apply_plan(from, plan, format));
+        for hall in &update.halls {
+            changed |= self.apply_hall(from, hall);
         }
-        for endpoint in &news.endpoints {
-            changed |= self.take_endpoint(from, endpoint);
+        for endpoint in &update.endpoints {
+            changed |= self.apply_endpoint(from, endpoint);
         }
         if changed {
             notify(&mut self.subscribers);
         }
-        self.take_members(news)
+        self.apply_members(update)
     }
 
     /// Puts a plan in force when its number is higher than that in force.
-    fn take_plan(
+    fn apply_plan(
         &mut self,
         from: &InstanceName,
         document: &v1::PlanDocument,
         format: &dyn PlanFormat,
     ) -> bool {
-        let before = self.plan.number;
-        if document.number <= before {
+        let previous = self.plan.number;
+        if document.number <= previous {
             return false;
         }
         match format.decode(&document.document) {
             Ok(plan) => {
                 self.plan = NumberedPlan { number: document.number, ..plan };
                 let fields =
-                    [field("number", document.number), field("before", before), field("keeper", from)];
+                    [field("number", document.number), field("before", previous), field("keeper", from)];
                 record(&events::PLAN_IN_FORCE, &fields);
                 true
             }
@@ -171,9 +171,9 @@
         }
     }
 
-    fn take_hall(&mut self, from: &InstanceName, message: &v1::HallNews) -> bool {
+    fn apply_hall(&mut self, from: &InstanceName, message: &v1::HallNews) -> bool {
         match hall_order(message) {
-            Ok((hall, order)) => self.hall_table.take(from, hall, order),
+            Ok((hall, order)) => self.hall_table.apply(from, hall, order),
             Err(error) => {
                 record(&events::WIRE_MALFORMED, &[field("keeper", from), field("error", error)]);
                 false
@@ -181,7 +181,7 @@
         }
     }
 
-    fn take_endpoint(&mut self, from: &InstanceName, message: &v1::EndpointNews) -> bool {
+    fn apply_endpoint(&mut self, from: &InstanceName, message: &v1::EndpointNews) -> bool {
         let endpoint = match endpoint_record(message) {
             Ok(endpoint) => endpoint,
             Err(error) => {
@@ -206,19 +206,19 @@
         changed
     }
 
-    fn take_members(&mut self, news: &v1::FleetNews) -> bool {
-        if !news.confirmed || news.keepers.is_empty() {
+    fn apply_members(&mut self, update: &v1::FleetNews) -> bool {
+        if !update.confirmed || update.keepers.is_empty() {
             return false;
         }
         // Names come from keepers, which checked them when they took the member in.
-        let named = news.keepers.iter().filter_map(|name| InstanceName::parse(name).ok());
-        self.members = named.collect();
+        let parsed = update.keepers.iter().filter_map(|name| InstanceName::parse(name).ok());
+        self.members = parsed.collect();
         self.members.iter().any(|name| !self.keepers.contains_key(name))
     }
 
-    /// Forgets endpoints that no keeper heard for `life`. Without a keeper in reach nobody could
+    /// Forgets endpoints that no keeper heard for `max_silence`. Without a keeper in reach nobody could
     /// have told of them, so everything stays.
-    pub fn forget_silent(&mut self, life: Duration) {
+    pub fn expire_silent(&mut self, max_silence: Duration) {
         if !self.keepers.values().any(|keeper| keeper.confirmed) {
             return;
         }
@@ -227,10 +227,10 @@
             .registry
             .iter()
             .filter(|endpoint| endpoint.stage != EndpointStage::Left)
-            .filter(|endpoint| self.registry.age(now, &endpoint.name).is_some_and(|age| age > life))
+            .filter(|endpoint| self.registry.age(now, &endpoint.name).is_some_and(|age| age > max_silence))
             .map(|endpoint| endpoint.name.to_string())
             .collect();
-        self.registry.expire(now, life);
+        self.registry.expire(now, max_silence);
         if silent.is_empty() {
             return;
         }
--- a/crates/micaspool-client/src/keeper.rs
+++ b/crates/micaspool-client/src/keeper.rs
@@ -17,7 +17,7 @@
 use tonic::Status;
 
 /// How long one try may take.
-const TRY_LIMIT: Duration = Duration::from_secs(2);
+const TRY_TIMEOUT: Duration = Duration::from_secs(2);
 /// The pause after every keeper was tried without success.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 /// The largest message, which holds a whole settings tree.
@@ -50,7 +50,7 @@
 impl std::error::Error for CallError {}
 
 /// An answer that may name another leader instead.
-trait LeaderAnswer {
+trait LeaderReply {
     /// The keeper to ask instead, when this one does not lead.
     fn redirect(&self) -> Option<&v1::NotLeader>;
 }
@@ -78,7 +78,7 @@
 
     /// The keepers.
     pub fn keepers(&self) -> Vec<PeerAddress> {
-        self.listed().clone()
+        self.read_keepers().clone()
     }
 
     /// Replaces the keepers; an empty list is ignored, since it would leave nobody to ask.
@@ -88,7 +88,7 @@
         }
     }
 
-    fn listed(&self) -> std::sync::RwLockReadGuard<'_, Vec<PeerAddress>> {
+    fn read_keepers(&self) -> std::sync::RwLockReadGuard<'_, Vec<PeerAddress>> {
         self.keepers.read().expect("no holder of the keepers panics")
     }
 
@@ -160,7 +160,7 @@
     /// Reads the settings that one keeper has.
     pub async fn get_local(&self, keeper: &PeerAddress) -> Option<v1::SettingsUpdate> {
         let mut client = self.client(keeper.address).await?;
-        let reply = timeout(TRY_LIMIT, client.get(v1::GetRequest { confirmed: false })).await.ok()?.ok()?;
+        let reply = timeout(TRY_TIMEOUT, client.get(v1::GetRequest { confirmed: false })).await.ok()?.ok()?;
         match reply.into_inner().outcome? {
             v1::get_reply::Outcome::Settings(update) => Some(update),
             v1::get_reply::Outcome::NotLeader(_) => None,
@@ -222,31 +222,32 @@
         attempt: impl Fn(WireClient<Channel>) -> F,
     ) -> Result<T, CallError>
     where
-        T: LeaderAnswer,
+        T: LeaderReply,
         F: Future<Output = Result<T, Status>>,
     {
         let deadline = BootInstant::now() + limit;
         // A keeper that is silent must leave time for another.
-        let longest_try = limit * 2 / 3;
+        let max_try = limit * 2 / 3;
         let mut sent = false;
-        let mut misses = 0;
+        let mut tries = 0;
         while BootInstant::now() < deadline {
-            let address = self.first_choice();
-            let left = deadline.saturating_duration_since(BootInstant::now()).min(TRY_LIMIT).min(longest_try);
-            let named = match self.try_once(address, left, &attempt).await {
-                TryResult::Answer(answer) => match answer.redirect() {
-                    None => return Ok(answer),
+            let address = self.preferred_address();
+            let try_timeout =
+                deadline.saturating_duration_since(BootInstant::now()).min(TRY_TIMEOUT).min(max_try);
+            let redirect_address = match self.try_once(address, try_timeout, &attempt).await {
+                TryOutcome::Replied(reply) => match reply.redirect() {
+                    None => return Ok(reply),
                     Some(leader) => self.address_of(leader),
                 },
-                TryResult::Unreached => None,
-                TryResult::Lost => {
+                TryOutcome::Unreachable => None,
+                TryOutcome::Failed => {
                     sent = true;
                     None
                 }
             };
-            self.prefer(named.unwrap_or_else(|| self.listed_after(address)));
-            misses += 1;
-            if misses % self.listed().len() == 0 {
+            self.set_preferred(redirect_address.unwrap_or_else(|| self.next_keeper(address)));
+            tries += 1;
+            if tries % self.read_keepers().len() == 0 {
                 task::sleep(ROUND_PAUSE).await;
             }
         }
@@ -256,23 +257,23 @@
     /// The address of a leader: the one that this process lists for its name, since the other
     /// keeper may see it elsewhere, else the one that was named.
     fn address_of(&self, leader: &v1::NotLeader) -> Option<SocketAddr> {
-        let keepers = self.listed();
+        let keepers = self.read_keepers();
         let listed = keepers.iter().find(|keeper| keeper.name.as_str() == leader.name);
         listed.map(|keeper| keeper.address).or_else(|| leader.leader.parse().ok())
     }
 
-    fn first_choice(&self) -> SocketAddr {
+    fn preferred_address(&self) -> SocketAddr {
         let preferred = self.preferred.lock().expect("no holder of the choice panics");
-        preferred.unwrap_or_else(|| self.listed()[0].address)
+        preferred.unwrap_or_else(|| self.read_keepers()[0].address)
     }
 
-    fn prefer(&self, address: SocketAddr) {
+    fn set_preferred(&self, address: SocketAddr) {
         *self.preferred.lock().expect("no holder of the choice panics") = Some(address);
     }
 
     /// The keeper that is listed after this one; the first after one that is not listed.
-    fn listed_after(&self, address: SocketAddr) -> SocketAddr {
-        let keepers = self.listed();
+    fn next_keeper(&self, address: SocketAddr) -> SocketAddr {
+        let keepers = self.read_keepers();
         let position = keepers.iter().position(|keeper| keeper.address == address);
         let next = position.map_or(0, |position| (position + 1) % keepers.len());
         keepers[next].address
@@ -283,28 +284,28 @@
         address: SocketAddr,
         limit: Duration,
         attempt: impl Fn(WireClient<Channel>) -> F,
-    ) -> TryResult<T>
+    ) -> TryOutcome<T>
     where
         F: Future<Output = Result<T, Status>>,
     {
-        let Some(client) = self.client(address).await else { return TryResult::Unreached };
+        let Some(client) = self.client(address).await else { return TryOutcome::Unreachable };
         match timeout(limit, attempt(client)).await {
-            Ok(Ok(answer)) => TryResult::Answer(answer),
+            Ok(Ok(reply)) => TryOutcome::Replied(reply),
             Ok(Err(_)) | Err(_) => {
                 self.forget(address).await;
-                TryResult::Lost
+                TryOutcome::Failed
             }
         }
     }
 }
 
-enum TryResult<T> {
-    Answer(T),
-    Unreached,
-    Lost,
+enum TryOutcome<T> {
+    Replied(T),
+    Unreachable,
+    Failed,
 }
 
-impl LeaderAnswer for v1::ApplyReply {
+impl LeaderReply for v1::ApplyReply {
     fn redirect(&self) -> Option<&v1::NotLeader> {
         match &self.outcome {
             Some(v1::apply_reply::Outcome::NotLeader(other)) => Some(other),
@@ -313,7 +314,7 @@
     }
 }
 
-impl LeaderAnswer for v1::GetReply {
+impl LeaderReply for v1::GetReply {
     fn redirect(&self) -> Option<&v1::NotLeader> {
         match &self.outcome {
             Some(v1::get_reply::Outcome::NotLeader(other)) => Some(other),
@@ -322,37 +323,37 @@
     }
 }
 
-impl LeaderAnswer for v1::ClaimReply {
+impl LeaderReply for v1::ClaimReply {
     fn redirect(&self) -> Option<&v1::NotLeader> {
         self.not_leader.as_ref()
     }
 }
 
-impl LeaderAnswer for v1::FinishReply {
+impl LeaderReply for v1::FinishReply {
     fn redirect(&self) -> Option<&v1::NotLeader> {
         self.not_leader.as_ref()
     }
 }
 
-impl LeaderAnswer for v1::PublishReply {
+impl LeaderReply for v1::PublishReply {
     fn redirect(&self) -> Option<&v1::NotLeader> {
         self.not_leader.as_ref()
     }
 }
 
-impl LeaderAnswer for v1::OrderHallReply {
+impl LeaderReply for v1::OrderHallReply {
     fn redirect(&self) -> Option<&v1::NotLeader> {
         self.not_leader.as_ref()
     }
 }
 
-impl LeaderAnswer for v1::HallsReply {
+impl LeaderReply for v1::HallsReply {
     fn redirect(&self) -> Option<&v1::NotLeader> {
         self.not_leader.as_ref()
     }
 }
 
-impl LeaderAnswer for v1::PlanReply {
+impl LeaderReply for v1::PlanReply {
     fn redirect(&self) -> Option<&v1::NotLeader> {
         self.not_leader.as_ref()
     }
--- a/crates/micaspool-client/src/mirror.rs
+++ b/crates/micaspool-client/src/mirror.rs
@@ -18,11 +18,11 @@
 
 /// How long a process that starts empty asks for a majority's settings before it takes the
 /// newest that any keeper has.
-const MAJORITY_LIMIT: Duration = Duration::from_millis(1_500);
+const MAJORITY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The pause between two tries to watch.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// For how long a keeper that heard no majority is watched before another is tried.
-const UNCONFIRMED_LIMIT: Duration = Duration::from_secs(2);
+const MAX_UNCONFIRMED_WATCH: Duration = Duration::from_secs(2);
 
 /// What a process knows about its settings.
 #[derive(Debug, Clone)]
@@ -38,38 +38,38 @@
 pub struct SettingsMirror {
     client: Arc<KeeperClient>,
     watcher: String,
-    state: Mutex<MirrorContent>,
+    content: Mutex<MirrorContent>,
 }
 
 #[derive(Debug)]
 struct MirrorContent {
     tree: Value,
-    shown: MirrorState,
+    state: MirrorState,
     subscribers: Vec<Sender<()>>,
 }
 
 impl SettingsMirror {
     /// Starts to follow; `watcher` names this process in the keepers' logs.
     pub fn start(client: Arc<KeeperClient>, watcher: &str) -> Arc<SettingsMirror> {
-        let shown = MirrorState {
+        let state = MirrorState {
             policy: Arc::new(FleetPolicy::default()),
             unconfirmed_since: Some(BootInstant::now()),
         };
-        let content = MirrorContent { tree: Value::Null, shown, subscribers: Vec::new() };
+        let content = MirrorContent { tree: Value::Null, state, subscribers: Vec::new() };
         let mirror =
-            Arc::new(SettingsMirror { client, watcher: watcher.to_owned(), state: Mutex::new(content) });
+            Arc::new(SettingsMirror { client, watcher: watcher.to_owned(), content: Mutex::new(content) });
         task::spawn(mirror.clone().follow());
         mirror
     }
 
     /// The settings in force, and whether a majority confirms them.
     pub fn state(&self) -> MirrorState {
-        self.lock().shown.clone()
+        self.lock().state.clone()
     }
 
     /// The policy in force.
     pub fn policy(&self) -> SharedPolicy {
-        self.lock().shown.policy.clone()
+        self.lock().state.policy.clone()
     }
 
     /// True once any settings are in force.
@@ -85,7 +85,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, MirrorContent> {
-        self.state.lock().expect("no holder of the mirror's state panics")
+        self.content.lock().expect("no holder of the mirror's state panics")
     }
 
     async fn follow(self: Arc<Self>) {
@@ -93,7 +93,7 @@
         let keepers = self.client.keepers();
         for position in (0..keepers.len()).cycle().skip(first_keeper(&self.watcher, keepers.len())) {
             self.watch(&keepers[position]).await;
-            self.note_confirmed(false);
+            self.set_confirmed(false);
             task::sleep(RETRY_PAUSE).await;
         }
     }
@@ -101,15 +101,15 @@
     /// A process that starts empty takes a majority's settings, or failing that the newest that
     /// it can reach, so that a stale keeper does not take it back.
     async fn start_from_majority(&self) {
-        if let Ok(reply) = self.client.get_confirmed(MAJORITY_LIMIT).await {
+        if let Ok(reply) = self.client.get_confirmed(MAJORITY_TIMEOUT).await {
             if let Some(v1::get_reply::Outcome::Settings(update)) = reply.outcome {
-                self.take(update);
+                self.apply(update);
                 return;
             }
         }
         for keeper in self.client.keepers() {
             if let Some(update) = self.client.get_local(&keeper).await {
-                self.take(v1::SettingsUpdate { confirmed: false, ..update });
+                self.apply(v1::SettingsUpdate { confirmed: false, ..update });
             }
         }
     }
@@ -126,43 +126,43 @@
         };
         let mut updates = reply.into_inner();
         loop {
-            let confirmed = self.lock().shown.unconfirmed_since.is_none();
+            let confirmed = self.lock().state.unconfirmed_since.is_none();
             let next = updates.message();
             let update = if confirmed {
                 next.await
             } else {
-                match timeout(UNCONFIRMED_LIMIT, next).await {
+                match timeout(MAX_UNCONFIRMED_WATCH, next).await {
                     Ok(update) => update,
                     Err(_) => return,
                 }
             };
-            let usable = match update {
-                Ok(Some(update)) => self.take(update),
+            let is_usable = match update {
+                Ok(Some(update)) => self.apply(update),
                 Ok(None) => false,
                 Err(_) => {
                     self.client.forget(keeper.address).await;
                     false
                 }
             };
-            if !usable {
+            if !is_usable {
                 return;
             }
         }
     }
 
     /// Takes an update; false when it does not fit what this process holds.
-    fn take(&self, update: v1::SettingsUpdate) -> bool {
-        self.note_confirmed(update.confirmed);
+    fn apply(&self, update: v1::SettingsUpdate) -> bool {
+        self.set_confirmed(update.confirmed);
         let mut content = self.lock();
-        let held = content.shown.policy.revision;
-        if update.revision <= held.0 {
+        let current = content.state.policy.revision;
+        if update.revision <= current.0 {
             return true;
         }
-        let Some(tree) = next_tree(&content.tree, held, &update) else { return false };
+        let Some(tree) = updated_tree(&content.tree, current, &update) else { return false };
         match compile_tree(Revision(update.revision), &tree) {
             Ok(policy) => {
                 content.tree = tree;
-                content.shown.policy = Arc::new(policy);
+                content.state.policy = Arc::new(policy);
                 content.subscribers.retain(|subscriber| !subscriber.is_closed());
                 for subscriber in &content.subscribers {
                     let _ = subscriber.try_send(());
@@ -178,9 +178,9 @@
         }
     }
 
-    fn note_confirmed(&self, confirmed: bool) {
+    fn set_confirmed(&self, confirmed: bool) {
         let mut content = self.lock();
-        let since = &mut content.shown.unconfirmed_since;
+        let since = &mut content.state.unconfirmed_since;
         if confirmed {
             *since = None;
         } else if since.is_none() {
@@ -196,11 +196,11 @@
     sum % count.max(1)
 }
 
-fn next_tree(tree: &Value, held: Revision, update: &v1::SettingsUpdate) -> Option<Value> {
+fn updated_tree(tree: &Value, current: Revision, update: &v1::SettingsUpdate) -> Option<Value> {
     if !update.tree.is_empty() {
         return serde_json::from_str(&update.tree).ok();
     }
-    if update.base != held.0 {
+    if update.base != current.0 {
         return None;
     }
     let patch: Value = serde_json::from_str(&update.patch).ok()?;
