--- a/crates/micaspool-daemon/src/arguments.rs
+++ b/crates/micaspool-daemon/src/arguments.rs
@@ -56,12 +56,12 @@
         eprintln!("{error}");
         std::process::exit(EXIT_FAILED);
     }
-    limit_threads(settings.worker_threads);
+    set_thread_counts(settings.worker_threads);
     DaemonStart { settings, incarnation: Incarnation(rand::random()) }
 }
 
 /// Tells both runtimes how many threads to start; they read it when the first task runs.
-fn limit_threads(count: usize) {
+fn set_thread_counts(count: usize) {
     for variable in ["ASYNC_STD_THREAD_COUNT", "TOKIO_WORKER_THREADS"] {
         std::env::set_var(variable, count.to_string());
     }
@@ -69,8 +69,8 @@
 
 /// Prints the one line that says that the daemon is ready, with its bound addresses.
 pub fn report_ready(process: &str, addresses: &[(&str, SocketAddr)]) {
-    let pairs: Vec<String> = addresses.iter().map(|(key, address)| format!(" {key}={address}")).collect();
-    println!("ready {process}{}", pairs.concat());
+    let formatted: Vec<String> = addresses.iter().map(|(key, address)| format!(" {key}={address}")).collect();
+    println!("ready {process}{}", formatted.concat());
     record(&events::PROCESS_READY, &[field("process", process)]);
     crate::watch_suspensions();
 }
--- a/crates/micaspool-daemon/src/signals.rs
+++ b/crates/micaspool-daemon/src/signals.rs
@@ -18,27 +18,27 @@
 /// Takes SIGTERM, SIGINT and SIGHUP over.
 pub fn watch_signals() -> std::io::Result<(StopSignal, ReloadSignal)> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
-    let (sender, closed) = bounded(1);
-    let (reloads, reload) = bounded(1);
+    let (stop_sender, closed) = bounded(1);
+    let (reload_sender, reload_signal) = bounded(1);
     std::thread::spawn(move || {
         for signal in signals.forever() {
             if signal != SIGHUP {
-                sender.close();
+                stop_sender.close();
                 return;
             }
             // One reload that waits covers those that come meanwhile.
-            let _ = reloads.try_send(());
+            let _ = reload_sender.try_send(());
         }
     });
-    Ok((StopSignal { closed }, reload))
+    Ok((StopSignal { closed }, reload_signal))
 }
 
 /// Takes SIGTERM and SIGINT over, for a process that reads its settings once. It goes on after a
 /// SIGHUP and says so.
 pub fn watch_stop_signals() -> std::io::Result<StopSignal> {
-    let (stop, reload) = watch_signals()?;
+    let (stop, reload_signal) = watch_signals()?;
     std::thread::spawn(move || {
-        while reload.recv_blocking().is_ok() {
+        while reload_signal.recv_blocking().is_ok() {
             record(&events::SETTINGS_KEPT, &[field("remedy", "restart the process to change its settings")]);
         }
     });
--- a/crates/micaspool-daemon/src/suspension.rs
+++ b/crates/micaspool-daemon/src/suspension.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// How often the clocks are compared; a reading of both takes some 150 ns.
-const LOOK: Duration = Duration::from_millis(100);
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Logs each suspension of the machine with its length, and once where the system can't tell of them.
 pub fn watch_suspensions() {
@@ -14,10 +14,10 @@
         record(&events::SUSPENSIONS_UNSEEN, &[]);
         return;
     }
-    task::spawn(follow_clocks());
+    task::spawn(compare_clocks());
 }
 
-async fn follow_clocks() {
+async fn compare_clocks() {
     let mut watch = None;
     loop {
         if let Some(pair) = ClockPair::read() {
@@ -26,6 +26,6 @@
                 record(&events::MACHINE_SUSPENDED, &[field("suspended_ms", length.as_millis())]);
             }
         }
-        task::sleep(LOOK).await;
+        task::sleep(CLOCK_CHECK_INTERVAL).await;
     }
 }
