--- a/crates/micaspool-client/src/directory.rs
+++ b/crates/micaspool-client/src/directory.rs
@@ -1,17 +1,17 @@
-//! Where the instances of the system listen for each other.
+//! Resolves the names of instances to addresses.
 
 use micaspool_settings::process::PeerAddress;
 use micaspool_types::InstanceName;
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
-/// Gives the address of an instance by its name.
+/// Resolves the name of an instance to its address.
 pub trait PeerDirectory: fmt::Debug + Send + Sync + 'static {
-    /// Where the instance listens for other processes; `None` when that can't be known.
+    /// Returns the address at which the instance listens for other processes, or `None` if it is unknown.
     fn address(&self, name: &InstanceName) -> Option<SocketAddr>;
 }
 
-/// Instances that the settings list.
+/// A directory of the instances listed in the settings.
 #[derive(Debug, Clone)]
 pub struct StaticDirectory(pub Vec<PeerAddress>);
 
@@ -21,16 +21,16 @@
     }
 }
 
-/// Instances that are named by their IP address and all listen on the same port, in a fleet without
-/// a list of its members.
+/// A directory of instances that are named by their IP address and listen on the same port, for a fleet without a
+/// list of its members.
 #[derive(Debug, Clone, Copy)]
 pub struct AddressDirectory {
-    /// The port.
+    /// The port at which all instances listen.
     pub port: u16,
 }
 
 impl AddressDirectory {
-    /// The name of the instance with this address.
+    /// Returns the name of the instance with this address, or `None` if the address is not a valid name.
     pub fn name(ip: IpAddr) -> Option<InstanceName> {
         InstanceName::parse(&ip.to_string()).ok()
     }
--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -1,8 +1,8 @@
-//! The fleet as this process knows it, from every keeper that it reaches.
+//! A local copy of the fleet's state, merged from all keepers.
 //!
-//! Each keeper is followed on a stream of its own. What they tell is merged: the plan with the
-//! highest number, and the newest record of each endpoint. So a change that any keeper took is known
-//! here as soon as that keeper can say so, whichever other keepers are cut off.
+//! A stream is open to each keeper, and their updates are merged: the plan with the highest number, the newest order
+//! about each data hall and the newest record of each endpoint apply. So a change that any keeper has accepted arrives
+//! as long as that keeper is reachable, even if others are cut off.
 
 mod halls;
 mod stream;
@@ -22,67 +22,68 @@
 use std::time::Duration;
 use table::FleetTable;
 
-/// How often endpoints that fell silent are looked for.
+/// The interval between checks for silent endpoints.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an endpoint may be silent before it is forgotten, unless options say otherwise. Records
-/// may come seconds late, and one that crashed is noticed by its failures first.
+/// The default of [`FleetMirrorOptions::max_endpoint_silence`]. Records may arrive seconds late, and a crashed endpoint
+/// is noticed earlier by its failures.
 pub const MAX_ENDPOINT_SILENCE: Duration = Duration::from_secs(10);
 
-/// What a mirror is made with.
+/// Options of a [`FleetMirror`].
 #[derive(Debug, Clone)]
 pub struct FleetMirrorOptions {
-    /// Names this process in the keepers' logs.
+    /// The name of this process in the keepers' logs.
     pub follower: String,
-    /// The keepers to begin with.
+    /// The keepers to follow first.
     pub seeds: Vec<InstanceName>,
-    /// Where keepers are found.
+    /// Resolves the names of keepers to addresses.
     pub directory: Arc<dyn PeerDirectory>,
-    /// How plans are read.
+    /// Decodes route plans.
     pub format: Arc<dyn PlanFormat>,
-    /// Counts control bytes.
+    /// Counts the bytes exchanged with keepers.
     pub counter: TrafficCounter,
-    /// How long an endpoint may be silent before it is forgotten, while keepers are reached.
+    /// How long no record of an endpoint may arrive before the endpoint is removed. Endpoints are only removed while a
+    /// reachable keeper has a majority.
     pub max_endpoint_silence: Duration,
 }
 
-/// Whether a keeper is reached.
+/// The state of the stream from a keeper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum KeeperReach {
-    /// The first try has not come to an end.
+    /// The first try to open the stream has not ended.
     #[default]
     Pending,
-    /// Its stream is alive.
+    /// The stream is open.
     Reached,
-    /// Its stream could not be opened, or has ended.
+    /// The stream could not be opened or has ended.
     Lost,
 }
 
-/// What this process sees of one keeper.
+/// The status of one keeper from the point of view of this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeeperStatus {
-    /// The keeper and where it listens.
+    /// The name and address of the keeper.
     pub peer: PeerAddress,
-    /// Whether it is reached.
+    /// The state of the stream from it.
     pub reach: KeeperReach,
-    /// True when it should have spoken and has not, though it is not taken for lost yet.
+    /// True if its latest message is overdue but the stream has not timed out yet.
     pub unresponsive: bool,
-    /// True while it is reached and hears a majority.
+    /// True while its stream is open and it has contact with a majority.
     pub confirmed: bool,
-    /// True while it is reached and heard a majority a short while ago, so also during an election.
+    /// True while its stream is open and it has or recently had contact with a majority. Stays true during an election.
     pub recently_confirmed: bool,
-    /// True while settings or the group name it.
+    /// True while the seeds or the group's members contain it.
     pub wanted: bool,
 }
 
 impl KeeperStatus {
-    /// True while its stream is alive.
+    /// Returns true while its stream is open.
     pub fn is_reached(&self) -> bool {
         self.reach == KeeperReach::Reached
     }
 }
 
-/// Follows every keeper.
+/// Follows all keepers and merges their updates.
 #[derive(Debug)]
 pub struct FleetMirror {
     options: FleetMirrorOptions,
@@ -90,7 +91,7 @@
 }
 
 impl FleetMirror {
-    /// Starts to follow.
+    /// Creates a mirror and starts to follow the seeds.
     pub fn start(options: FleetMirrorOptions) -> Arc<FleetMirror> {
         let table = FleetTable::new(options.seeds.clone());
         let mirror = Arc::new(FleetMirror { options, table: Mutex::new(table) });
@@ -99,27 +100,27 @@
         mirror
     }
 
-    /// The plan in force.
+    /// Returns the plan in force.
     pub fn plan(&self) -> NumberedPlan {
         self.lock().plan.clone()
     }
 
-    /// True once any plan is in force.
+    /// Returns true once any plan is in force.
     pub fn has_plan(&self) -> bool {
         self.lock().plan.number > 0
     }
 
-    /// The newest start of an endpoint, by the name that its starts share.
+    /// Returns the record of the newest start of an endpoint. `identity` is the name that all its starts share.
     pub fn newest_start(&self, identity: &EndpointName) -> Option<EndpointRecord> {
         self.lock().registry.newest(identity).cloned()
     }
 
-    /// The newest record of a start of an endpoint.
+    /// Returns the newest record of one start of an endpoint.
     pub fn endpoint(&self, name: &EndpointName) -> Option<EndpointRecord> {
         self.lock().registry.get(name).cloned()
     }
 
-    /// The endpoints of a service that have not left.
+    /// Returns the endpoints of a service that have not left.
     pub fn endpoints_of(&self, service: &ServiceName) -> Vec<EndpointRecord> {
         let table = self.lock();
         let now = table.now();
@@ -128,47 +129,48 @@
         of_service.map(|endpoint| table.registry.with_cold_left(now, endpoint)).collect()
     }
 
-    /// The orders about data halls that hold in this process.
+    /// Returns the newest known orders about data halls.
     pub fn hall_orders(&self) -> HallOrders {
         self.lock().hall_table.orders.clone()
     }
 
-    /// True while nothing may be sent to the endpoints of a hall.
+    /// Returns true while no requests may be sent to the endpoints of a hall.
     pub fn is_evacuated(&self, hall: &HallName) -> bool {
         self.lock().hall_table.orders.is_evacuated(hall)
     }
 
-    /// How much longer the endpoints of a hall are taken for cold, if each is for `start` after the hall was taken
-    /// back.
+    /// Returns how much longer the endpoints of a hall are assumed to be cold if each is cold for `start` after the end
+    /// of the hall's evacuation; zero if no evacuation has ended.
     pub fn presumed_cold(&self, hall: &HallName, start: Duration) -> Duration {
         self.lock().hall_table.presumed_cold(hall, start)
     }
 
-    /// The halls of all endpoints that were ever heard of, in the order of their first mention, so
-    /// that a hall keeps its index.
+    /// Returns the data halls of all endpoints ever reported, in the order of the first report, so that the index of a
+    /// hall never changes.
     pub fn halls(&self) -> Vec<HallName> {
         self.lock().halls.clone()
     }
 
-    /// Every keeper that is followed, in name order.
+    /// Returns the status of every followed keeper, sorted by name.
     pub fn keepers(&self) -> Vec<KeeperStatus> {
         self.lock().statuses(self.options.directory.as_ref())
     }
 
-    /// A channel that gets a message after plan, endpoints or keepers have changed.
+    /// Returns a channel that receives a message after the plan, orders about halls, endpoints or keepers have changed.
     pub fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = bounded(1);
         self.lock().subscribers.push(sender);
         receiver
     }
 
-    /// Adds keepers to those that are followed, for settings that name other seeds.
+    /// Replaces the seeds and follows the new ones. A keeper that is neither a seed nor a member is no longer
+    /// followed some time after its stream has ended.
     pub fn add_seeds(self: &Arc<Self>, seeds: Vec<InstanceName>) {
         self.lock().seeds = seeds;
         self.follow_new_keepers();
     }
 
-    /// Starts a stream for each keeper that has none.
+    /// Starts to follow each keeper that is not followed yet.
     fn follow_new_keepers(self: &Arc<Self>) {
         for name in self.lock().claim_unfollowed() {
             match self.options.directory.address(&name) {
@@ -191,11 +193,11 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, FleetTable> {
-        self.table.lock().expect("no holder of the fleet panics")
+        self.table.lock().expect("the lock of the fleet is not poisoned")
     }
 }
 
-/// Wakes everyone who listens and forgets those who no longer do.
+/// Notifies all subscribers and removes those that have dropped their receiver.
 fn notify(subscribers: &mut Vec<Sender<()>>) {
     subscribers.retain(|subscriber| !subscriber.is_closed());
     for subscriber in subscribers {
--- a/crates/micaspool-client/src/fleet/halls.rs
+++ b/crates/micaspool-client/src/fleet/halls.rs
@@ -1,4 +1,4 @@
-//! Which data halls this process sends into.
+//! The orders about data halls known to this process.
 
 use micaspool_clock::BootInstant;
 use micaspool_halls::{HallOrder, HallOrders, HallUse};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The orders about halls, and when this process heard that one was taken back.
+/// The orders about halls, and when this process learnt that the evacuation of a hall had ended.
 #[derive(Debug, Default)]
 pub(super) struct HallTable {
     pub orders: HallOrders,
@@ -15,7 +15,7 @@
 }
 
 impl HallTable {
-    /// Takes over what a keeper tells of a hall; true when it is news.
+    /// Applies an order that a keeper reports. Returns true if it is newer than the known one.
     pub fn apply(&mut self, from: &InstanceName, hall: HallName, order: HallOrder) -> bool {
         let fields = [
             field("hall", &hall),
@@ -36,8 +36,8 @@
         true
     }
 
-    /// How much longer the endpoints of a hall are taken for cold, if each is for `start` after the hall was taken
-    /// back. A process that was not there then counts from when it first heard of it.
+    /// Returns how much longer the endpoints of a hall are assumed to be cold if each is cold for `start` after the end
+    /// of the hall's evacuation. A process that was started later counts from when it learnt of it.
     pub fn presumed_cold(&self, hall: &HallName, start: Duration) -> Duration {
         let since_reopening = self.reopened_at.get(hall).map(BootInstant::elapsed);
         since_reopening.map_or(Duration::ZERO, |elapsed| start.saturating_sub(elapsed))
--- a/crates/micaspool-client/src/fleet/stream.rs
+++ b/crates/micaspool-client/src/fleet/stream.rs
@@ -1,4 +1,4 @@
-//! The stream from one keeper.
+//! The stream of updates from one keeper.
 
 use super::FleetMirror;
 use async_std::future::timeout;
@@ -11,16 +11,17 @@
 use std::time::Duration;
 use tonic::Streaming;
 
-/// How long opening a stream may take.
+/// The timeout of the request that opens a stream.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(700);
-/// A keeper that said nothing for this long is taken for lost; it speaks once a second.
+/// A stream without a message for this long is closed. Keepers send a message once a second.
 const STREAM_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The pause between two tries.
+/// The pause before a stream is opened again.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How long a keeper that nobody names any more is tried.
+/// How long to keep trying a keeper that is neither a seed nor a member any more.
 const UNWANTED_RETENTION: Duration = Duration::from_secs(30);
 
-/// Follows one keeper until nobody names it any more.
+/// Follows one keeper. Between two streams, it ends if the keeper was last known as a seed or member more than
+/// [`UNWANTED_RETENTION`] ago.
 pub(super) async fn follow_keeper(mirror: Arc<FleetMirror>, peer: PeerAddress) {
     let mut wanted_at = BootInstant::now();
     while wanted_at.elapsed() < UNWANTED_RETENTION {
--- a/crates/micaspool-client/src/fleet/table.rs
+++ b/crates/micaspool-client/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! What the keepers told, merged.
+//! The merged state that keepers have reported.
 
 use super::halls::HallTable;
 use super::{notify, KeeperReach, KeeperStatus};
@@ -15,20 +15,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a keeper counts as one that hears a majority after it last said so. An election takes up
-/// to 1.5 s, two tries; the keepers of a group lose and regain their majority at different moments
-/// in it, and none of them is cut off for that.
+/// How long a keeper still counts as confirmed after it last reported contact with a majority. An election takes up to
+/// 1.5 s, or two tries. In its course the keepers of a group lose and regain their majority at different moments,
+/// without being cut off.
 const CONFIRMATION_RETENTION: Duration = Duration::from_secs(3);
 
-/// A keeper that has not spoken for this long is quiet; it speaks once a second.
+/// A keeper without a message for this long is unresponsive. Keepers send a message once a second.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_300);
 
-/// What is known of one keeper.
+/// The state of one followed keeper.
 #[derive(Debug, Default)]
 pub(super) struct KeeperState {
     pub reach: KeeperReach,
     pub confirmed: bool,
-    /// When it last said that it hears a majority, on the stream that is open now.
+    /// When it last reported contact with a majority on the current stream.
     confirmed_at: Option<BootInstant>,
     last_message_at: Option<BootInstant>,
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Plan, endpoints and keepers.
+/// The plan, endpoints, data halls and keepers as reported so far.
 #[derive(Debug)]
 pub(super) struct FleetTable {
     start: BootInstant,
@@ -52,7 +52,7 @@
     pub halls: Vec<HallName>,
     pub hall_table: HallTable,
     pub seeds: Vec<InstanceName>,
-    /// The members as a confirmed keeper last named them.
+    /// The group's members according to the latest report of a confirmed keeper.
     members: Vec<InstanceName>,
     pub keepers: BTreeMap<InstanceName, KeeperState>,
     pub subscribers: Vec<Sender<()>>,
@@ -77,7 +77,7 @@
         Moment(0) + self.start.elapsed()
     }
 
-    /// Names that should be followed and are not yet; they count as followed from here on.
+    /// Returns the seeds and members that are not followed yet, and marks them as followed.
     pub fn claim_unfollowed(&mut self) -> Vec<InstanceName> {
         let wanted = self.seeds.iter().chain(&self.members).cloned();
         let new: Vec<InstanceName> = wanted.filter(|name| !self.keepers.contains_key(name)).collect();
@@ -87,11 +87,12 @@
         new
     }
 
-    /// True while settings or the group name this keeper.
+    /// Returns true if the seeds or the group's members contain this keeper.
     pub fn is_wanted(&self, name: &InstanceName) -> bool {
         self.seeds.contains(name) || self.members.contains(name)
     }
 
+    /// Returns the status of every keeper whose address is known.
     pub fn statuses(&self, directory: &dyn PeerDirectory) -> Vec<KeeperStatus> {
         let statuses = self.keepers.iter().filter_map(|(name, state)| {
             let address = directory.address(name)?;
@@ -108,7 +109,7 @@
         statuses.collect()
     }
 
-    /// Notes whether a keeper is reached and hears a majority.
+    /// Records whether the stream from a keeper is open and whether the keeper has contact with a majority.
     pub fn update_keeper(&mut self, name: &InstanceName, reached: bool, confirmed: bool) {
         let Some(state) = self.keepers.get_mut(name) else { return };
         state.last_message_at = reached.then(BootInstant::now);
@@ -128,7 +129,7 @@
         notify(&mut self.subscribers);
     }
 
-    /// Takes what a keeper tells; true when it named members that are not followed yet.
+    /// Applies an update from a keeper. Returns true if it contains members that are not followed yet.
     pub fn apply(&mut self, from: &InstanceName, update: &v1::FleetNews, format: &dyn PlanFormat) -> bool {
         self.update_keeper(from, true, update.confirmed);
         let mut changed = update.plan.as_ref().is_some_and(|plan| self.apply_plan(from, plan, format));
@@ -144,7 +145,7 @@
         self.apply_members(update)
     }
 
-    /// Puts a plan in force when its number is higher than that in force.
+    /// Puts a plan in force if its number is higher than the current one. Returns true if it was.
     fn apply_plan(
         &mut self,
         from: &InstanceName,
@@ -210,14 +211,14 @@
         if !update.confirmed || update.keepers.is_empty() {
             return false;
         }
-        // Names come from keepers, which checked them when they took the member in.
+        // Keepers validate the names when they add members.
         let parsed = update.keepers.iter().filter_map(|name| InstanceName::parse(name).ok());
         self.members = parsed.collect();
         self.members.iter().any(|name| !self.keepers.contains_key(name))
     }
 
-    /// Forgets endpoints that no keeper heard for `max_silence`. Without a keeper in reach nobody could
-    /// have told of them, so everything stays.
+    /// Removes endpoints without a record for longer than `max_silence`. Nothing is removed without a confirmed keeper,
+    /// since records could not have arrived then.
     pub fn expire_silent(&mut self, max_silence: Duration) {
         if !self.keepers.values().any(|keeper| keeper.confirmed) {
             return;
--- a/crates/micaspool-client/src/keeper.rs
+++ b/crates/micaspool-client/src/keeper.rs
@@ -1,4 +1,4 @@
-//! Calls to whichever keeper leads.
+//! Calls to the leader of the keepers.
 
 use async_std::future::timeout;
 use async_std::sync::Mutex;
@@ -16,20 +16,19 @@
 use tonic::transport::Channel;
 use tonic::Status;
 
-/// How long one try may take.
+/// The timeout of one try.
 const TRY_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after every keeper was tried without success.
+/// The pause after as many unsuccessful tries as there are keepers.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// The largest message, which holds a whole settings tree.
+/// The maximum size of a message in bytes. The largest contains a whole settings tree.
 pub(crate) const MAX_MESSAGE: usize = 64 * 1024 * 1024;
 
-/// Why a call to the keepers gave nothing.
+/// Why a call to the keepers failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
-    /// No keeper that leads was reached in time. `sent` is true when a keeper may have taken the
-    /// call all the same.
+    /// The leader did not answer within the time limit.
     NoLeader {
-        /// True when the call may have taken effect.
+        /// True if the call was sent to a keeper and may have taken effect.
         sent: bool,
     },
 }
@@ -38,10 +37,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CallError::NoLeader { sent: false } => {
-                f.write_str("no keeper that leads was reached; check that a majority of keepers runs, and try again")
+                f.write_str("no leading keeper could be reached; check that a majority of keepers is running, and try again")
             }
             CallError::NoLeader { sent: true } => f.write_str(
-                "no answer from the leading keeper; the call may have taken effect; send it again with the same id",
+                "no answer from the leading keeper; the call may have taken effect; repeat it with the same id",
             ),
         }
     }
@@ -49,24 +48,25 @@
 
 impl std::error::Error for CallError {}
 
-/// An answer that may name another leader instead.
+/// A reply that may name the leader instead of containing a result.
 trait LeaderReply {
-    /// The keeper to ask instead, when this one does not lead.
+    /// Returns the leader that the keeper named because it does not lead itself.
     fn redirect(&self) -> Option<&v1::NotLeader>;
 }
 
-/// Calls keepers, the leader first.
+/// Calls the leader of the keepers, which it finds by trying them and following redirects.
 #[derive(Debug)]
 pub struct KeeperClient {
     keepers: std::sync::RwLock<Vec<PeerAddress>>,
     counter: TrafficCounter,
     channels: Mutex<HashMap<SocketAddr, Channel>>,
-    /// The keeper to ask first: the one that answered last, or that another named as leader.
+    /// The keeper to try next: the one that answered last, the one named as leader, or the next in the list after a
+    /// failure.
     preferred: std::sync::Mutex<Option<SocketAddr>>,
 }
 
 impl KeeperClient {
-    /// A client for these keepers.
+    /// Creates a client for these keepers. Calls to the leader panic if the list is empty.
     pub fn new(keepers: Vec<PeerAddress>, counter: TrafficCounter) -> KeeperClient {
         KeeperClient {
             keepers: std::sync::RwLock::new(keepers),
@@ -76,23 +76,23 @@
         }
     }
 
-    /// The keepers.
+    /// Returns the keepers.
     pub fn keepers(&self) -> Vec<PeerAddress> {
         self.read_keepers().clone()
     }
 
-    /// Replaces the keepers; an empty list is ignored, since it would leave nobody to ask.
+    /// Replaces the keepers. An empty list is ignored, since it would leave no keeper to call.
     pub fn set_keepers(&self, keepers: Vec<PeerAddress>) {
         if !keepers.is_empty() {
-            *self.keepers.write().expect("no holder of the keepers panics") = keepers;
+            *self.keepers.write().expect("the lock of the keepers is not poisoned") = keepers;
         }
     }
 
     fn read_keepers(&self) -> std::sync::RwLockReadGuard<'_, Vec<PeerAddress>> {
-        self.keepers.read().expect("no holder of the keepers panics")
+        self.keepers.read().expect("the lock of the keepers is not poisoned")
     }
 
-    /// Offers a route plan. A resend does no harm.
+    /// Publishes a route plan. Idempotent.
     pub async fn publish(
         &self,
         request: v1::PublishRequest,
@@ -105,7 +105,7 @@
         .await
     }
 
-    /// Reads the route plan as a majority knows it.
+    /// Reads the route plan, confirmed by a majority.
     pub async fn plan_confirmed(&self, limit: Duration) -> Result<v1::PlanReply, CallError> {
         self.call(limit, |mut client| async move {
             client.plan(v1::PlanRequest {}).await.map(tonic::Response::into_inner)
@@ -113,7 +113,7 @@
         .await
     }
 
-    /// Orders that a data hall be evacuated or taken back. A resend does no harm.
+    /// Orders the evacuation of a data hall, or its return to use. Idempotent.
     pub async fn order_hall(
         &self,
         request: v1::OrderHallRequest,
@@ -126,7 +126,7 @@
         .await
     }
 
-    /// Reads the orders about data halls as a majority knows them.
+    /// Reads the orders about data halls, confirmed by a majority.
     pub async fn halls_confirmed(&self, limit: Duration) -> Result<v1::HallsReply, CallError> {
         self.call(limit, |mut client| async move {
             client.halls(v1::HallsRequest {}).await.map(tonic::Response::into_inner)
@@ -134,7 +134,7 @@
         .await
     }
 
-    /// Asks for a settings change. A resend after a lost answer has the same change id.
+    /// Requests a settings change. A retry after a lost answer has the same change id.
     pub async fn apply(
         &self,
         request: v1::ApplyRequest,
@@ -147,7 +147,7 @@
         .await
     }
 
-    /// Reads the settings as a majority knows them.
+    /// Reads the settings, confirmed by a majority.
     pub async fn get_confirmed(&self, limit: Duration) -> Result<v1::GetReply, CallError> {
         let request = v1::GetRequest { confirmed: true };
         self.call(
@@ -157,7 +157,7 @@
         .await
     }
 
-    /// Reads the settings that one keeper has.
+    /// Reads the settings of one keeper, which may be outdated.
     pub async fn get_local(&self, keeper: &PeerAddress) -> Option<v1::SettingsUpdate> {
         let mut client = self.client(keeper.address).await?;
         let reply = timeout(TRY_TIMEOUT, client.get(v1::GetRequest { confirmed: false })).await.ok()?.ok()?;
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Claims a call. A resend has the same token.
+    /// Claims an idempotency key. A retry has the same token.
     pub async fn claim(
         &self,
         request: v1::ClaimRequest,
@@ -180,7 +180,7 @@
         .await
     }
 
-    /// Records how a claimed call ended.
+    /// Records the outcome of a claimed call.
     pub async fn finish(
         &self,
         request: v1::FinishRequest,
@@ -193,7 +193,7 @@
         .await
     }
 
-    /// A client for one keeper, if it can be reached.
+    /// Returns a client for one keeper, or `None` if no connection can be opened.
     pub async fn client(&self, address: SocketAddr) -> Option<WireClient<Channel>> {
         let mut channels = self.channels.lock().await;
         let channel = match channels.get(&address) {
@@ -211,11 +211,12 @@
         )
     }
 
-    /// Forgets the connection to a keeper, so that the next call opens a new one.
+    /// Drops the connection to a keeper, so that the next call opens a new one.
     pub async fn forget(&self, address: SocketAddr) {
         self.channels.lock().await.remove(&address);
     }
 
+    /// Tries keepers until the leader answers or `limit` has passed.
     async fn call<T, F>(
         &self,
         limit: Duration,
@@ -226,7 +227,7 @@
         F: Future<Output = Result<T, Status>>,
     {
         let deadline = BootInstant::now() + limit;
-        // A keeper that is silent must leave time for another.
+        // Leaves time to try another keeper if this one does not answer.
         let max_try = limit * 2 / 3;
         let mut sent = false;
         let mut tries = 0;
@@ -254,8 +255,8 @@
         Err(CallError::NoLeader { sent })
     }
 
-    /// The address of a leader: the one that this process lists for its name, since the other
-    /// keeper may see it elsewhere, else the one that was named.
+    /// Returns the address of a named leader. The address in this process's list takes precedence, since the leader may
+    /// have another address from the point of view of the keeper that named it.
     fn address_of(&self, leader: &v1::NotLeader) -> Option<SocketAddr> {
         let keepers = self.read_keepers();
         let listed = keepers.iter().find(|keeper| keeper.name.as_str() == leader.name);
@@ -263,15 +264,15 @@
     }
 
     fn preferred_address(&self) -> SocketAddr {
-        let preferred = self.preferred.lock().expect("no holder of the choice panics");
+        let preferred = self.preferred.lock().expect("the lock of the preferred keeper is not poisoned");
         preferred.unwrap_or_else(|| self.read_keepers()[0].address)
     }
 
     fn set_preferred(&self, address: SocketAddr) {
-        *self.preferred.lock().expect("no holder of the choice panics") = Some(address);
+        *self.preferred.lock().expect("the lock of the preferred keeper is not poisoned") = Some(address);
     }
 
-    /// The keeper that is listed after this one; the first after one that is not listed.
+    /// Returns the keeper listed after this one, or the first if this one is not listed.
     fn next_keeper(&self, address: SocketAddr) -> SocketAddr {
         let keepers = self.read_keepers();
         let position = keepers.iter().position(|keeper| keeper.address == address);
@@ -299,9 +300,12 @@
     }
 }
 
+/// The outcome of a call to one keeper.
 enum TryOutcome<T> {
     Replied(T),
+    /// No connection could be opened, so nothing was sent.
     Unreachable,
+    /// The call failed or timed out, and may have taken effect.
     Failed,
 }
 
--- a/crates/micaspool-client/src/lib.rs
+++ b/crates/micaspool-client/src/lib.rs
@@ -1,9 +1,9 @@
-//! How a process reaches the keepers and keeps the newest state of the fleet at hand.
+//! Client of the keepers, with local copies of the settings and of the fleet's state.
 //!
-//! * [`KeeperClient`] finds the leader and repeats calls that may be repeated,
-//! * [`SettingsMirror`] follows the settings tree and only ever moves to a higher revision,
-//! * [`FleetMirror`] follows every keeper at once: route plan, endpoints and members,
-//! * [`PeerDirectory`] is the border to how instances are found by name.
+//! * [`KeeperClient`] finds the leader and retries calls, all of which are idempotent,
+//! * [`SettingsMirror`] tracks the settings tree and never returns to a lower revision,
+//! * [`FleetMirror`] tracks the route plan, endpoints, data halls and members, from all keepers at once,
+//! * [`PeerDirectory`] resolves the names of instances to addresses.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-client/src/mirror.rs
+++ b/crates/micaspool-client/src/mirror.rs
@@ -1,4 +1,4 @@
-//! The newest settings that this process knows.
+//! A local copy of the newest settings.
 
 use crate::keeper::KeeperClient;
 use async_std::channel::{bounded, Receiver, Sender};
@@ -16,24 +16,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a process that starts empty asks for a majority's settings before it takes the
-/// newest that any keeper has.
+/// How long a starting process tries to read settings confirmed by a majority before it uses the newest of any keeper.
 const MAJORITY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The pause between two tries to watch.
+/// The pause before the next keeper is watched.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// For how long a keeper that heard no majority is watched before another is tried.
+/// How long to wait for a message from a keeper without a majority before another is watched.
 const MAX_UNCONFIRMED_WATCH: Duration = Duration::from_secs(2);
 
-/// What a process knows about its settings.
+/// The settings of a process and whether they are confirmed.
 #[derive(Debug, Clone)]
 pub struct MirrorState {
     /// The policy in force.
     pub policy: SharedPolicy,
-    /// Since when no keeper with a majority was heard; `None` while one is.
+    /// Since when the watched keepers have had no majority; `None` while the settings are confirmed.
     pub unconfirmed_since: Option<BootInstant>,
 }
 
-/// Follows the settings that the keepers hold.
+/// Tracks the settings held by the keepers, by watching one keeper at a time.
 #[derive(Debug)]
 pub struct SettingsMirror {
     client: Arc<KeeperClient>,
@@ -49,7 +48,7 @@
 }
 
 impl SettingsMirror {
-    /// Starts to follow; `watcher` names this process in the keepers' logs.
+    /// Creates a mirror and starts to track the settings. `watcher` is the name of this process in the keepers' logs.
     pub fn start(client: Arc<KeeperClient>, watcher: &str) -> Arc<SettingsMirror> {
         let state = MirrorState {
             policy: Arc::new(FleetPolicy::default()),
@@ -62,22 +61,22 @@
         mirror
     }
 
-    /// The settings in force, and whether a majority confirms them.
+    /// Returns the policy in force and whether a majority confirms it.
     pub fn state(&self) -> MirrorState {
         self.lock().state.clone()
     }
 
-    /// The policy in force.
+    /// Returns the policy in force.
     pub fn policy(&self) -> SharedPolicy {
         self.lock().state.policy.clone()
     }
 
-    /// True once any settings are in force.
+    /// Returns true once any settings are in force.
     pub fn is_ready(&self) -> bool {
         self.policy().revision > Revision(0)
     }
 
-    /// A channel that gets a message after newer settings came into force.
+    /// Returns a channel that receives a message after newer settings have come into force.
     pub fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = bounded(1);
         self.lock().subscribers.push(sender);
@@ -85,7 +84,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, MirrorContent> {
-        self.content.lock().expect("no holder of the mirror's state panics")
+        self.content.lock().expect("the lock of the mirror is not poisoned")
     }
 
     async fn follow(self: Arc<Self>) {
@@ -98,8 +97,8 @@
         }
     }
 
-    /// A process that starts empty takes a majority's settings, or failing that the newest that
-    /// it can reach, so that a stale keeper does not take it back.
+    /// Reads the first settings: those confirmed by a majority, or else the newest of any reachable keeper. Otherwise a
+    /// restarted process could return to the old settings of a keeper that lags behind.
     async fn start_from_majority(&self) {
         if let Ok(reply) = self.client.get_confirmed(MAJORITY_TIMEOUT).await {
             if let Some(v1::get_reply::Outcome::Settings(update)) = reply.outcome {
@@ -114,8 +113,8 @@
         }
     }
 
-    /// Takes updates from one keeper until its stream ends or it has been without a majority for
-    /// too long.
+    /// Applies updates from one keeper until its stream ends, an update cannot be applied, or the keeper sends nothing
+    /// for [`MAX_UNCONFIRMED_WATCH`] while it has no majority.
     async fn watch(&self, keeper: &PeerAddress) {
         let Some(mut client) = self.client.client(keeper.address).await else { return };
         let revision = self.policy().revision.0;
@@ -150,7 +149,7 @@
         }
     }
 
-    /// Takes an update; false when it does not fit what this process holds.
+    /// Applies an update. Returns false if it is invalid or is based on another revision than the current one.
     fn apply(&self, update: v1::SettingsUpdate) -> bool {
         self.set_confirmed(update.confirmed);
         let mut content = self.lock();
@@ -190,12 +189,13 @@
     }
 }
 
-/// Spreads watchers over the keepers by their names.
+/// Returns the index of the keeper to watch first, chosen by the watcher's name to distribute watchers.
 fn first_keeper(watcher: &str, count: usize) -> usize {
     let sum: usize = watcher.bytes().map(usize::from).sum();
     sum % count.max(1)
 }
 
+/// Returns the tree after an update, or `None` if the update is malformed or is based on another revision.
 fn updated_tree(tree: &Value, current: Revision, update: &v1::SettingsUpdate) -> Option<Value> {
     if !update.tree.is_empty() {
         return serde_json::from_str(&update.tree).ok();
