--- a/crates/micaspool-daemon/src/arguments.rs
+++ b/crates/micaspool-daemon/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Arguments and settings of a daemon.
+//! The command line and settings of a daemon.
 
 use crate::{EXIT_FAILED, EXIT_USAGE};
 use argh::FromArgs;
@@ -21,17 +21,17 @@
     check: bool,
 }
 
-/// What a daemon starts with.
+/// The settings and identity with which a daemon starts.
 #[derive(Debug)]
 pub struct DaemonStart {
-    /// Its checked settings.
+    /// The validated settings.
     pub settings: ProcessSettings,
-    /// A random number for this life of the process.
+    /// A random number that distinguishes restarts of the process.
     pub incarnation: Incarnation,
 }
 
-/// Reads arguments and settings and sets the log up; call it before the first task runs. Ends the process with code 2 when the
-/// settings have a fault, and with code 0 after `--check`.
+/// Parses the arguments, reads the settings and starts logging. Must be called before the first task runs. Exits with
+/// code 2 if the settings are invalid, with code 1 if logging cannot be started, and with code 0 after `--check`.
 pub fn start(role: ProcessRole) -> DaemonStart {
     let arguments: DaemonArguments = argh::from_env();
     let settings = match read_file(&arguments.settings, role) {
@@ -60,14 +60,15 @@
     DaemonStart { settings, incarnation: Incarnation(rand::random()) }
 }
 
-/// Tells both runtimes how many threads to start; they read it when the first task runs.
+/// Sets the number of worker threads of both runtimes, which read these variables when the first task runs.
 fn set_thread_counts(count: usize) {
     for variable in ["ASYNC_STD_THREAD_COUNT", "TOKIO_WORKER_THREADS"] {
         std::env::set_var(variable, count.to_string());
     }
 }
 
-/// Prints the one line that says that the daemon is ready, with its bound addresses.
+/// Prints the line that reports the daemon as ready, with its bound addresses, logs it and starts to watch for
+/// suspensions of the machine.
 pub fn report_ready(process: &str, addresses: &[(&str, SocketAddr)]) {
     let formatted: Vec<String> = addresses.iter().map(|(key, address)| format!(" {key}={address}")).collect();
     println!("ready {process}{}", formatted.concat());
--- a/crates/micaspool-daemon/src/error.rs
+++ b/crates/micaspool-daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a daemon cannot start.
+//! Errors that prevent a daemon from starting.
 
 use micaspool_settings::process::ProcessSettings;
 use micaspool_telemetry::spans::SpanSink;
@@ -16,7 +16,7 @@
 }
 
 impl StartError {
-    /// Turns an error of binding this address into a reason.
+    /// Returns a function that converts an error of binding this address.
     pub fn bind(address: SocketAddr) -> impl Fn(io::Error) -> StartError {
         move |error| StartError::Bind(address, error)
     }
@@ -37,7 +37,7 @@
 
 impl std::error::Error for StartError {}
 
-/// Opens the file of spans that the settings name, if any.
+/// Opens the trace file if the settings have one.
 pub fn open_spans(settings: &ProcessSettings) -> Result<SpanSink, StartError> {
     SpanSink::open(settings.trace_file.as_deref(), settings.instance.as_str()).map_err(StartError::Trace)
 }
--- a/crates/micaspool-daemon/src/lib.rs
+++ b/crates/micaspool-daemon/src/lib.rs
@@ -1,5 +1,4 @@
-//! What the daemons share: arguments, the settings file, logs, spans, signals, the ready line, and
-//! why one cannot start.
+//! Common parts of the daemons: arguments, the settings file, logs, spans, signals, the ready line and start errors.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
@@ -15,5 +14,5 @@
 
 /// The exit code for wrong arguments and settings.
 pub const EXIT_USAGE: i32 = 2;
-/// The exit code for a daemon that could not start or had to stop.
+/// The exit code for a daemon that failed to start or had to stop.
 pub const EXIT_FAILED: i32 = 1;
--- a/crates/micaspool-daemon/src/signals.rs
+++ b/crates/micaspool-daemon/src/signals.rs
@@ -1,21 +1,21 @@
-//! Waiting for the order to stop.
+//! Signals to stop and to reload the settings.
 
 use async_std::channel::{bounded, Receiver};
 use micaspool_telemetry::events::{self, field, record};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// Set once the process is told to stop.
+/// Set once the process has received SIGTERM or SIGINT.
 #[derive(Debug, Clone)]
 pub struct StopSignal {
-    /// Closed by the thread that waits for signals.
+    /// Closed by the signal thread at the first signal to stop.
     closed: Receiver<()>,
 }
 
-/// Gets a message each time the process is told to read its settings file again.
+/// Receives a message when SIGHUP asks the process to reload its settings file.
 pub type ReloadSignal = Receiver<()>;
 
-/// Takes SIGTERM, SIGINT and SIGHUP over.
+/// Installs handlers for SIGTERM, SIGINT and SIGHUP.
 pub fn watch_signals() -> std::io::Result<(StopSignal, ReloadSignal)> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let (stop_sender, closed) = bounded(1);
@@ -26,15 +26,15 @@
                 stop_sender.close();
                 return;
             }
-            // One reload that waits covers those that come meanwhile.
+            // If a reload is already pending, it covers this one.
             let _ = reload_sender.try_send(());
         }
     });
     Ok((StopSignal { closed }, reload_signal))
 }
 
-/// Takes SIGTERM and SIGINT over, for a process that reads its settings once. It goes on after a
-/// SIGHUP and says so.
+/// Installs handlers for SIGTERM and SIGINT in a process that reads its settings only once. After a SIGHUP it continues
+/// and logs that the settings stay.
 pub fn watch_stop_signals() -> std::io::Result<StopSignal> {
     let (stop, reload_signal) = watch_signals()?;
     std::thread::spawn(move || {
@@ -46,12 +46,12 @@
 }
 
 impl StopSignal {
-    /// True once the process is told to stop.
+    /// Returns true once the process has received a signal to stop.
     pub fn is_set(&self) -> bool {
         self.closed.is_closed()
     }
 
-    /// Waits until the process is told to stop.
+    /// Waits for a signal to stop.
     pub async fn wait(&self) {
         let _ = self.closed.recv().await;
     }
--- a/crates/micaspool-daemon/src/suspension.rs
+++ b/crates/micaspool-daemon/src/suspension.rs
@@ -1,14 +1,14 @@
-//! Noticing that the machine was suspended.
+//! Detects suspensions of the machine.
 
 use async_std::task;
 use micaspool_clock::{counts_suspended_time, ClockPair, SuspensionWatch};
 use micaspool_telemetry::events::{self, field, record};
 use std::time::Duration;
 
-/// How often the clocks are compared; a reading of both takes some 150 ns.
+/// The interval between comparisons of the clocks. Reading both takes about 150 ns.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Logs each suspension of the machine with its length, and once where the system can't tell of them.
+/// Logs each suspension of the machine with its length. Logs a warning once if the system cannot detect them.
 pub fn watch_suspensions() {
     if !counts_suspended_time() {
         record(&events::SUSPENSIONS_UNSEEN, &[]);
