--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -165,7 +165,7 @@
 
     /// Replaces the seeds and follows the new ones. A keeper that is neither a seed nor a member is no longer
     /// followed some time after its stream has ended.
-    pub fn add_seeds(self: &Arc<Self>, seeds: Vec<InstanceName>) {
+    pub fn set_seeds(self: &Arc<Self>, seeds: Vec<InstanceName>) {
         self.lock().seeds = seeds;
         self.follow_new_keepers();
     }
