--- a/crates/micaspool-client/src/fleet/halls.rs
+++ b/crates/micaspool-client/src/fleet/halls.rs
@@ -40,6 +40,6 @@
     /// of the hall's evacuation. A process that was started later counts from when it learnt of it.
     pub fn presumed_cold(&self, hall: &HallName, start: Duration) -> Duration {
         let since_reopening = self.reopened_at.get(hall).map(BootInstant::elapsed);
-        since_reopening.map_or(Duration::ZERO, |elapsed| start.saturating_sub(elapsed))
+        since_reopening.map_or(Duration::ZERO, |age| start.saturating_sub(age))
     }
 }
--- a/crates/micaspool-client/src/mirror.rs
+++ b/crates/micaspool-client/src/mirror.rs
@@ -37,38 +37,38 @@
 pub struct SettingsMirror {
     client: Arc<KeeperClient>,
     watcher: String,
-    content: Mutex<MirrorContent>,
+    inner: Mutex<MirrorContent>,
 }
 
 #[derive(Debug)]
 struct MirrorContent {
     tree: Value,
-    state: MirrorState,
+    published: MirrorState,
     subscribers: Vec<Sender<()>>,
 }
 
 impl SettingsMirror {
     /// Creates a mirror and starts to track the settings. `watcher` is the name of this process in the keepers' logs.
     pub fn start(client: Arc<KeeperClient>, watcher: &str) -> Arc<SettingsMirror> {
-        let state = MirrorState {
+        let published = MirrorState {
             policy: Arc::new(FleetPolicy::default()),
             unconfirmed_since: Some(BootInstant::now()),
         };
-        let content = MirrorContent { tree: Value::Null, state, subscribers: Vec::new() };
+        let content = MirrorContent { tree: Value::Null, published, subscribers: Vec::new() };
         let mirror =
-            Arc::new(SettingsMirror { client, watcher: watcher.to_owned(), content: Mutex::new(content) });
+            Arc::new(SettingsMirror { client, watcher: watcher.to_owned(), inner: Mutex::new(content) });
         task::spawn(mirror.clone().follow());
         mirror
     }
 
     /// Returns the policy in force and whether a majority confirms it.
     pub fn state(&self) -> MirrorState {
-        self.lock().state.clone()
+        self.lock().published.clone()
     }
 
     /// Returns the policy in force.
     pub fn policy(&self) -> SharedPolicy {
-        self.lock().state.policy.clone()
+        self.lock().published.policy.clone()
     }
 
     /// Returns true once any settings are in force.
@@ -84,7 +84,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, MirrorContent> {
-        self.content.lock().expect("the lock of the mirror is not poisoned")
+        self.inner.lock().expect("the lock of the mirror is not poisoned")
     }
 
     async fn follow(self: Arc<Self>) {
@@ -125,7 +125,7 @@
         };
         let mut updates = reply.into_inner();
         loop {
-            let confirmed = self.lock().state.unconfirmed_since.is_none();
+            let confirmed = self.lock().published.unconfirmed_since.is_none();
             let next = updates.message();
             let update = if confirmed {
                 next.await
@@ -153,7 +153,7 @@
     fn apply(&self, update: v1::SettingsUpdate) -> bool {
         self.set_confirmed(update.confirmed);
         let mut content = self.lock();
-        let current = content.state.policy.revision;
+        let current = content.published.policy.revision;
         if update.revision <= current.0 {
             return true;
         }
@@ -161,7 +161,7 @@
         match compile_tree(Revision(update.revision), &tree) {
             Ok(policy) => {
                 content.tree = tree;
-                content.state.policy = Arc::new(policy);
+                content.published.policy = Arc::new(policy);
                 content.subscribers.retain(|subscriber| !subscriber.is_closed());
                 for subscriber in &content.subscribers {
                     let _ = subscriber.try_send(());
@@ -179,7 +179,7 @@
 
     fn set_confirmed(&self, confirmed: bool) {
         let mut content = self.lock();
-        let since = &mut content.state.unconfirmed_since;
+        let since = &mut content.published.unconfirmed_since;
         if confirmed {
             *since = None;
         } else if since.is_none() {
