--- a/crates/micaspool-dispatcher/src/constraints.rs
+++ b/crates/micaspool-dispatcher/src/constraints.rs
@@ -59,8 +59,8 @@
     pub fn sample(&mut self, status: &ShardStatus) {
         for endpoint in status.endpoints.iter().filter(|endpoint| endpoint.slots > 0) {
             let constraint = EndpointConstraint::of(endpoint);
-            let position = CONSTRAINTS.iter().position(|(listed, _)| *listed == constraint);
-            self.counts[position.expect("every constraint is listed")] += 1;
+            let index = CONSTRAINTS.iter().position(|(listed, _)| *listed == constraint);
+            self.counts[index.expect("every constraint is listed")] += 1;
         }
     }
 
