--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -49,12 +49,12 @@
 
 /// The state of the stream from a keeper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum KeeperReach {
+pub enum KeeperConnection {
     /// The first try to open the stream has not ended.
     #[default]
     Pending,
     /// The stream is open.
-    Reached,
+    Connected,
     /// The stream could not be opened or has ended.
     Lost,
 }
@@ -65,7 +65,7 @@
     /// The name and address of the keeper.
     pub peer: PeerAddress,
     /// The state of the stream from it.
-    pub reach: KeeperReach,
+    pub connection: KeeperConnection,
     /// True if its latest message is overdue but the stream has not timed out yet.
     pub unresponsive: bool,
     /// True while its stream is open and it has contact with a majority.
@@ -78,8 +78,8 @@
 
 impl KeeperStatus {
     /// Returns true while its stream is open.
-    pub fn is_reached(&self) -> bool {
-        self.reach == KeeperReach::Reached
+    pub fn is_connected(&self) -> bool {
+        self.connection == KeeperConnection::Connected
     }
 }
 
--- a/crates/micaspool-client/src/fleet/table.rs
+++ b/crates/micaspool-client/src/fleet/table.rs
@@ -1,7 +1,7 @@
 //! The merged state that keepers have reported.
 
 use super::halls::HallTable;
-use super::{notify, KeeperReach, KeeperStatus};
+use super::{notify, KeeperConnection, KeeperStatus};
 use crate::directory::PeerDirectory;
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
@@ -26,7 +26,7 @@
 /// The state of one followed keeper.
 #[derive(Debug, Default)]
 pub(super) struct KeeperState {
-    pub reach: KeeperReach,
+    pub connection: KeeperConnection,
     pub confirmed: bool,
     /// When it last reported contact with a majority on the current stream.
     confirmed_at: Option<BootInstant>,
@@ -99,7 +99,7 @@
             let peer = PeerAddress { name: name.clone(), address };
             Some(KeeperStatus {
                 peer,
-                reach: state.reach,
+                connection: state.connection,
                 unresponsive: state.is_unresponsive(),
                 confirmed: state.confirmed,
                 recently_confirmed: state.recently_confirmed(),
@@ -113,18 +113,18 @@
     pub fn update_keeper(&mut self, name: &InstanceName, reached: bool, confirmed: bool) {
         let Some(state) = self.keepers.get_mut(name) else { return };
         state.last_message_at = reached.then(BootInstant::now);
-        let reach = if reached { KeeperReach::Reached } else { KeeperReach::Lost };
+        let connection = if reached { KeeperConnection::Connected } else { KeeperConnection::Lost };
         state.confirmed_at = match (reached, confirmed) {
             (true, true) => Some(BootInstant::now()),
             (true, false) => state.confirmed_at,
             (false, _) => None,
         };
-        if state.reach == reach && state.confirmed == confirmed {
+        if state.connection == connection && state.confirmed == confirmed {
             return;
         }
         let kind = if reached { &events::KEEPER_FOLLOWED } else { &events::KEEPER_LOST };
         record(kind, &[field("keeper", name), field("hears_majority", confirmed)]);
-        state.reach = reach;
+        state.connection = connection;
         state.confirmed = confirmed;
         notify(&mut self.subscribers);
     }
--- a/crates/micaspool-client/src/lib.rs
+++ b/crates/micaspool-client/src/lib.rs
@@ -13,6 +13,6 @@
 mod mirror;
 
 pub use directory::{AddressDirectory, PeerDirectory, StaticDirectory};
-pub use fleet::{FleetMirror, FleetMirrorOptions, KeeperReach, KeeperStatus, MAX_ENDPOINT_SILENCE};
+pub use fleet::{FleetMirror, FleetMirrorOptions, KeeperConnection, KeeperStatus, MAX_ENDPOINT_SILENCE};
 pub use keeper::{CallError, KeeperClient};
 pub use mirror::{MirrorState, SettingsMirror};
--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -190,7 +190,7 @@
     fn list_keepers(&self) {
         let sights = self.mirror.keepers();
         let others = |reached: bool| {
-            let matching = sights.iter().filter(move |sight| sight.is_reached() == reached);
+            let matching = sights.iter().filter(move |sight| sight.is_connected() == reached);
             matching.map(|sight| sight.peer.clone()).filter(|peer| peer.name != self.own.name)
         };
         let own = std::iter::once(self.own.clone());
--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -341,7 +341,7 @@
         let keepers = self.mirror.keepers().into_iter().map(|sight| {
             json!({
                 "name": sight.peer.name.as_str(),
-                "reached": sight.is_reached(),
+                "reached": sight.is_connected(),
                 "hears_majority": sight.confirmed,
             })
         });
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -2,7 +2,7 @@
 
 use async_std::channel::Receiver;
 use async_trait::async_trait;
-use micaspool_client::{FleetMirror, KeeperReach, KeeperStatus, PeerDirectory};
+use micaspool_client::{FleetMirror, KeeperConnection, KeeperStatus, PeerDirectory};
 use micaspool_dispatch::{rank_distinct, CandidateHealth, CandidateKind};
 use micaspool_dispatcher::FleetDispatcher;
 use micaspool_router::{
@@ -49,11 +49,11 @@
     /// shows whether it responds.
     fn candidate(&self, sight: &KeeperStatus) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
-        let reach = match sight.reach {
-            KeeperReach::Pending => CandidateHealth::Pending,
-            KeeperReach::Reached if sight.unresponsive => CandidateHealth::Unresponsive,
-            KeeperReach::Reached => CandidateHealth::Answering,
-            KeeperReach::Lost => CandidateHealth::Lost,
+        let reach = match sight.connection {
+            KeeperConnection::Pending => CandidateHealth::Pending,
+            KeeperConnection::Connected if sight.unresponsive => CandidateHealth::Unresponsive,
+            KeeperConnection::Connected => CandidateHealth::Answering,
+            KeeperConnection::Lost => CandidateHealth::Lost,
         };
         Some(DispatcherCandidate {
             address: DispatcherAddress::Remote(address),
@@ -70,7 +70,7 @@
     sights: &'a [KeeperStatus],
 ) -> Vec<&'a KeeperStatus> {
     let ranked = |lacks_majority: bool| {
-        let is_cut_off = |sight: &KeeperStatus| sight.is_reached() && !sight.recently_confirmed;
+        let is_cut_off = |sight: &KeeperStatus| sight.is_connected() && !sight.recently_confirmed;
         let chosen = sights.iter().filter(|sight| sight.wanted && is_cut_off(sight) == lacks_majority);
         let names: Vec<InstanceName> = chosen.map(|sight| sight.peer.name.clone()).collect();
         rank_distinct(service, services, &names)
