--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -214,7 +214,7 @@
 impl ShardDriver {
     /// Starts a probe of an endpoint if it is among the probed ones. The result becomes an input of the shard.
     fn probe(&self, endpoint: &EndpointName) {
-        let probed = self.source.probed(&self.service);
+        let probed = self.source.probed_endpoints(&self.service);
         let Some(probed) = probed.into_iter().find(|probed| probed.name == *endpoint) else { return };
         let options = self.options.clone();
         tokio::spawn(probe_endpoint(self.clock, options, probed, self.inputs.clone()));
@@ -271,7 +271,7 @@
         let is_used = status.lock().expect("the lock of the status is not poisoned").routers > 0;
         let mut pause = options.probe_interval;
         if is_used {
-            let probed = source.probed(&service);
+            let probed = source.probed_endpoints(&service);
             pause = pause.max(MIN_PROBE_SPACING * u32::try_from(probed.len()).unwrap_or(u32::MAX));
             stop_followers(&mut followers, &probed);
             for endpoint in probed {
@@ -314,7 +314,7 @@
 ) {
     let requested_at = clock.now();
     let endpoint = probed.name.clone();
-    let Some(answer) = options.probe.ask(&probed).await else {
+    let Some(answer) = options.probe.load(&probed).await else {
         if !options.reports_unreachable {
             return;
         }
--- a/crates/micaspool-dispatcher/src/fleet_source.rs
+++ b/crates/micaspool-dispatcher/src/fleet_source.rs
@@ -104,7 +104,7 @@
     }
 
     /// Returns only engines, since the load of other endpoints affects no decision, and none in evacuated halls.
-    fn probed(&self, service: &ServiceName) -> Vec<ProbedEndpoint> {
+    fn probed_endpoints(&self, service: &ServiceName) -> Vec<ProbedEndpoint> {
         let plan = self.mirror.plan().plan;
         let is_engine = plan.service(service.as_str()).is_some_and(|rule| rule.engine.is_some());
         let mut records = if is_engine { self.engines_of(service) } else { Vec::new() };
--- a/crates/micaspool-dispatcher/src/policy_source.rs
+++ b/crates/micaspool-dispatcher/src/policy_source.rs
@@ -18,7 +18,7 @@
     fn subscribe(&self) -> Receiver<()>;
 
     /// Returns the endpoints of a service whose load is probed.
-    fn probed(&self, service: &ServiceName) -> Vec<ProbedEndpoint>;
+    fn probed_endpoints(&self, service: &ServiceName) -> Vec<ProbedEndpoint>;
 }
 
 /// A policy source that reads the settings tree.
@@ -34,7 +34,7 @@
         self.0.subscribe()
     }
 
-    fn probed(&self, service: &ServiceName) -> Vec<ProbedEndpoint> {
+    fn probed_endpoints(&self, service: &ServiceName) -> Vec<ProbedEndpoint> {
         let policy = self.0.policy();
         let Some(index) = policy.service_index(service.as_str()) else { return Vec::new() };
         let endpoints = policy.services[index].endpoints.iter();
--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -97,7 +97,7 @@
 pub trait EndpointProbe: std::fmt::Debug + Send + Sync + 'static {
     /// Requests the load report of an endpoint. Returns `None` if it does not answer in time or asked not to be
     /// contacted for now.
-    async fn ask(&self, endpoint: &ProbedEndpoint) -> Option<ProbeAnswer>;
+    async fn load(&self, endpoint: &ProbedEndpoint) -> Option<ProbeAnswer>;
 
     /// Requests the prompt parts that an engine has cached. Called when a shard first uses the engine, which may have
     /// served another dispatcher before, and after changes were lost. Returns `None` if the engine does not report
@@ -128,7 +128,7 @@
 
 #[async_trait]
 impl EndpointProbe for HttpEndpointProbe {
-    async fn ask(&self, endpoint: &ProbedEndpoint) -> Option<ProbeAnswer> {
+    async fn load(&self, endpoint: &ProbedEndpoint) -> Option<ProbeAnswer> {
         let body = fetch(endpoint.address, LOAD_PATH, self.limits, MAX_REPORT).await?;
         serde_json::from_slice(&body).ok()
     }
