--- a/crates/micaspool-client/src/fleet/table.rs
+++ b/crates/micaspool-client/src/fleet/table.rs
@@ -110,11 +110,11 @@
     }
 
     /// Records whether the stream from a keeper is open and whether the keeper has contact with a majority.
-    pub fn update_keeper(&mut self, name: &InstanceName, reached: bool, confirmed: bool) {
+    pub fn update_keeper(&mut self, name: &InstanceName, connected: bool, confirmed: bool) {
         let Some(state) = self.keepers.get_mut(name) else { return };
-        state.last_message_at = reached.then(BootInstant::now);
-        let connection = if reached { KeeperConnection::Connected } else { KeeperConnection::Lost };
-        state.confirmed_at = match (reached, confirmed) {
+        state.last_message_at = connected.then(BootInstant::now);
+        let connection = if connected { KeeperConnection::Connected } else { KeeperConnection::Lost };
+        state.confirmed_at = match (connected, confirmed) {
             (true, true) => Some(BootInstant::now()),
             (true, false) => state.confirmed_at,
             (false, _) => None,
@@ -122,7 +122,7 @@
         if state.connection == connection && state.confirmed == confirmed {
             return;
         }
-        let kind = if reached { &events::KEEPER_FOLLOWED } else { &events::KEEPER_LOST };
+        let kind = if connected { &events::KEEPER_FOLLOWED } else { &events::KEEPER_LOST };
         record(kind, &[field("keeper", name), field("hears_majority", confirmed)]);
         state.connection = connection;
         state.confirmed = confirmed;
