--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -190,6 +190,8 @@
         }
     }
 
+    /// Passes an event to the core and carries out the resulting actions. The stream of a router that cannot keep up is
+    /// closed.
     fn step(&mut self, event: ShardEvent) {
         let mut actions = std::mem::take(&mut self.actions);
         self.core.step(self.clock.now(), event, &mut actions);
@@ -236,6 +238,7 @@
     }
 }
 
+/// Sends the shard its current policy, and again after each change.
 async fn feed_policy(
     service: ServiceName,
     source: Arc<dyn PolicySource>,
@@ -306,6 +309,7 @@
     });
 }
 
+/// Probes one endpoint and sends the shard its load report. A report of another start at the same address is discarded.
 async fn probe_endpoint(
     clock: ShardClock,
     options: HostOptions,
--- a/crates/micaspool-dispatcher/src/objectives.rs
+++ b/crates/micaspool-dispatcher/src/objectives.rs
@@ -15,9 +15,7 @@
 #[derive(Debug, Default)]
 struct ObjectiveCounts {
     grants: u64,
-    /// Refused on arrival.
     refused_on_arrival: u64,
-    /// Refused after a wait.
     refused_after_wait: u64,
 }
 
@@ -25,7 +23,7 @@
 #[derive(Debug)]
 pub(crate) struct ObjectiveTally {
     service: ServiceName,
-    /// Keys are objectives in milliseconds, rounded to two significant digits.
+    /// Keys are objectives in milliseconds, rounded up to two significant digits.
     counts: BTreeMap<u64, ObjectiveCounts>,
 }
 
