--- a/crates/micaspool-client/src/fleet/halls.rs
+++ b/crates/micaspool-client/src/fleet/halls.rs
@@ -1,4 +1,4 @@
-//! Which data halls this process sends into.
+//! The orders about data halls known to this process.
 
 use micaspool_clock::BootInstant;
 use micaspool_halls::{HallOrder, HallOrders, HallUse};
@@ -7,16 +7,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The orders about halls, and when this process heard that one was taken back.
+/// The orders about halls, and when this process learnt that the evacuation of a hall had ended.
 #[derive(Debug, Default)]
 pub(super) struct HallTable {
     pub orders: HallOrders,
-    returned: BTreeMap<HallName, BootInstant>,
+    reopened_at: BTreeMap<HallName, BootInstant>,
 }
 
 impl HallTable {
-    /// Takes over what a keeper tells of a hall; true when it is news.
-    pub fn take(&mut self, from: &InstanceName, hall: HallName, order: HallOrder) -> bool {
+    /// Applies an order that a keeper reports. Returns true if it is newer than the known one.
+    pub fn apply(&mut self, from: &InstanceName, hall: HallName, order: HallOrder) -> bool {
         let fields = [
             field("hall", &hall),
             field("use", order.wanted.as_str()),
@@ -30,16 +30,16 @@
         }
         record(&events::HALL_USE_CHANGED, &fields);
         match wanted {
-            HallUse::Open => self.returned.insert(hall, BootInstant::now()),
-            HallUse::Evacuated => self.returned.remove(&hall),
+            HallUse::Open => self.reopened_at.insert(hall, BootInstant::now()),
+            HallUse::Evacuated => self.reopened_at.remove(&hall),
         };
         true
     }
 
-    /// How much longer the endpoints of a hall are taken for cold, if each is for `start` after the hall was taken
-    /// back. A process that was not there then counts from when it first heard of it.
+    /// Returns how much longer the endpoints of a hall are assumed to be cold if each is cold for `start` after the end
+    /// of the hall's evacuation. A process that was started later counts from when it learnt of it.
     pub fn presumed_cold(&self, hall: &HallName, start: Duration) -> Duration {
-        let returned = self.returned.get(hall).map(BootInstant::elapsed);
-        returned.map_or(Duration::ZERO, |ago| start.saturating_sub(ago))
+        let since_reopening = self.reopened_at.get(hall).map(BootInstant::elapsed);
+        since_reopening.map_or(Duration::ZERO, |age| start.saturating_sub(age))
     }
 }
--- a/crates/micaspool-client/src/fleet/table.rs
+++ b/crates/micaspool-client/src/fleet/table.rs
@@ -1,7 +1,7 @@
-//! What the keepers told, merged.
+//! The merged state that keepers have reported.
 
 use super::halls::HallTable;
-use super::{notify, KeeperReach, KeeperSight};
+use super::{notify, KeeperConnection, KeeperStatus};
 use crate::directory::PeerDirectory;
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
@@ -15,35 +15,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a keeper counts as one that hears a majority after it last said so. An election takes up
-/// to 1.5 s, two tries; the keepers of a group lose and regain their majority at different moments
-/// in it, and none of them is cut off for that.
-const MAJORITY_MEMORY: Duration = Duration::from_secs(3);
+/// How long a keeper still counts as confirmed after it last reported contact with a majority. An election takes up to
+/// 1.5 s, or two tries. In its course the keepers of a group lose and regain their majority at different moments,
+/// without being cut off.
+const CONFIRMATION_RETENTION: Duration = Duration::from_secs(3);
 
-/// A keeper that has not spoken for this long is quiet; it speaks once a second.
-const QUIET_LIMIT: Duration = Duration::from_millis(1_300);
+/// A keeper without a message for this long is unresponsive. Keepers send a message once a second.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_300);
 
-/// What is known of one keeper.
+/// The state of one followed keeper.
 #[derive(Debug, Default)]
 pub(super) struct KeeperState {
-    pub reach: KeeperReach,
+    pub connection: KeeperConnection,
     pub confirmed: bool,
-    /// When it last said that it hears a majority, on the stream that is open now.
+    /// When it last reported contact with a majority on the current stream.
     confirmed_at: Option<BootInstant>,
-    heard_at: Option<BootInstant>,
+    last_message_at: Option<BootInstant>,
 }
 
 impl KeeperState {
-    fn is_quiet(&self) -> bool {
-        self.heard_at.is_some_and(|at| at.elapsed() > QUIET_LIMIT)
+    fn is_unresponsive(&self) -> bool {
+        self.last_message_at.is_some_and(|at| at.elapsed() > UNRESPONSIVE_AFTER)
     }
 
-    fn confirmed_lately(&self) -> bool {
-        self.confirmed || self.confirmed_at.is_some_and(|at| at.elapsed() < MAJORITY_MEMORY)
+    fn recently_confirmed(&self) -> bool {
+        self.confirmed || self.confirmed_at.is_some_and(|at| at.elapsed() < CONFIRMATION_RETENTION)
     }
 }
 
-/// Plan, endpoints and keepers.
+/// The plan, endpoints, data halls and keepers as reported so far.
 #[derive(Debug)]
 pub(super) struct FleetTable {
     start: BootInstant,
@@ -52,10 +52,10 @@
     pub halls: Vec<HallName>,
     pub hall_table: HallTable,
     pub seeds: Vec<InstanceName>,
-    /// The members as a confirmed keeper last named them.
+    /// The group's members according to the latest report of a confirmed keeper.
     members: Vec<InstanceName>,
     pub keepers: BTreeMap<InstanceName, KeeperState>,
-    pub listeners: Vec<Sender<()>>,
+    pub subscribers: Vec<Sender<()>>,
 }
 
 impl FleetTable {
@@ -69,7 +69,7 @@
             seeds,
             members: Vec::new(),
             keepers: BTreeMap::new(),
-            listeners: Vec::new(),
+            subscribers: Vec::new(),
         }
     }
 
@@ -77,8 +77,8 @@
         Moment(0) + self.start.elapsed()
     }
 
-    /// Names that should be followed and are not yet; they count as followed from here on.
-    pub fn take_unfollowed(&mut self) -> Vec<InstanceName> {
+    /// Returns the seeds and members that are not followed yet, and marks them as followed.
+    pub fn claim_unfollowed(&mut self) -> Vec<InstanceName> {
         let wanted = self.seeds.iter().chain(&self.members).cloned();
         let new: Vec<InstanceName> = wanted.filter(|name| !self.keepers.contains_key(name)).collect();
         for name in &new {
@@ -87,79 +87,80 @@
         new
     }
 
-    /// True while settings or the group name this keeper.
+    /// Returns true if the seeds or the group's members contain this keeper.
     pub fn is_wanted(&self, name: &InstanceName) -> bool {
         self.seeds.contains(name) || self.members.contains(name)
     }
 
-    pub fn sights(&self, directory: &dyn PeerDirectory) -> Vec<KeeperSight> {
-        let sights = self.keepers.iter().filter_map(|(name, state)| {
+    /// Returns the status of every keeper whose address is known.
+    pub fn statuses(&self, directory: &dyn PeerDirectory) -> Vec<KeeperStatus> {
+        let statuses = self.keepers.iter().filter_map(|(name, state)| {
             let address = directory.address(name)?;
             let peer = PeerAddress { name: name.clone(), address };
-            Some(KeeperSight {
+            Some(KeeperStatus {
                 peer,
-                reach: state.reach,
-                quiet: state.is_quiet(),
+                connection: state.connection,
+                unresponsive: state.is_unresponsive(),
                 confirmed: state.confirmed,
-                confirmed_lately: state.confirmed_lately(),
+                recently_confirmed: state.recently_confirmed(),
                 wanted: self.is_wanted(name),
             })
         });
-        sights.collect()
+        statuses.collect()
     }
 
-    /// Notes whether a keeper is reached and hears a majority.
-    pub fn note_keeper(&mut self, name: &InstanceName, reached: bool, confirmed: bool) {
+    /// Records whether the stream from a keeper is open and whether the keeper has contact with a majority.
+    pub fn update_keeper(&mut self, name: &InstanceName, connected: bool, confirmed: bool) {
         let Some(state) = self.keepers.get_mut(name) else { return };
-        state.heard_at = reached.then(BootInstant::now);
-        let reach = if reached { KeeperReach::Reached } else { KeeperReach::Lost };
-        state.confirmed_at = match (reached, confirmed) {
+        state.last_message_at = connected.then(BootInstant::now);
+        let connection = if connected { KeeperConnection::Connected } else { KeeperConnection::Lost };
+        state.confirmed_at = match (connected, confirmed) {
             (true, true) => Some(BootInstant::now()),
             (true, false) => state.confirmed_at,
             (false, _) => None,
         };
-        if state.reach == reach && state.confirmed == confirmed {
+        if state.connection == connection && state.confirmed == confirmed {
             return;
         }
-        let kind = if reached { &events::KEEPER_FOLLOWED } else { &events::KEEPER_LOST };
+        let kind = if connected { &events::KEEPER_FOLLOWED } else { &events::KEEPER_LOST };
         record(kind, &[field("keeper", name), field("hears_majority", confirmed)]);
-        state.reach = reach;
+        state.connection = connection;
         state.confirmed = confirmed;
-        notify(&mut self.listeners);
+        notify(&mut self.subscribers);
     }
 
-    /// Takes what a keeper tells; true when it named members that are not followed yet.
-    pub fn take(&mut self, from: &InstanceName, news: &v1::FleetNews, format: &dyn PlanFormat) -> bool {
-        self.note_keeper(from, true, news.confirmed);
-        let mut changed = news.plan.as_ref().is_some_and(|plan| self.take_plan(from, plan, format));
-        for hall in &news.halls {
-            changed |= self.take_hall(from, hall);
+    /// Applies an update from a keeper. Returns true if it contains members that are not followed yet.
+    pub fn apply(&mut self, from: &InstanceName, update: &v1::FleetNews, format: &dyn PlanFormat) -> bool {
+        self.update_keeper(from, true, update.confirmed);
+        let mut changed = update.plan.as_ref().is_some_and(|plan| self.apply_plan(from, plan, format));
+        for hall in &update.halls {
+            changed |= self.apply_hall(from, hall);
         }
-        for endpoint in &news.endpoints {
-            changed |= self.take_endpoint(from, endpoint);
+        for endpoint in &update.endpoints {
+            changed |= self.apply_endpoint(from, endpoint);
         }
         if changed {
-            notify(&mut self.listeners);
+            notify(&mut self.subscribers);
         }
-        self.take_members(news)
+        self.apply_members(update)
     }
 
-    /// Puts a plan in force when its number is higher than that in force.
-    fn take_plan(
+    /// Puts a plan in force if its number is higher than the current one. Returns true if it was.
+    fn apply_plan(
         &mut self,
         from: &InstanceName,
         document: &v1::PlanDocument,
         format: &dyn PlanFormat,
     ) -> bool {
-        let before = self.plan.number;
-        if document.number <= before {
+        let previous = self.plan.number;
+        if document.number <= previous {
             return false;
         }
         match format.decode(&document.document) {
             Ok(plan) => {
                 self.plan = NumberedPlan { number: document.number, ..plan };
                 let fields =
-                    [field("number", document.number), field("before", before), field("keeper", from)];
+                    [field("number", document.number), field("before", previous), field("keeper", from)];
                 record(&events::PLAN_IN_FORCE, &fields);
                 true
             }
@@ -171,9 +172,9 @@
         }
     }
 
-    fn take_hall(&mut self, from: &InstanceName, message: &v1::HallNews) -> bool {
+    fn apply_hall(&mut self, from: &InstanceName, message: &v1::HallNews) -> bool {
         match hall_order(message) {
-            Ok((hall, order)) => self.hall_table.take(from, hall, order),
+            Ok((hall, order)) => self.hall_table.apply(from, hall, order),
             Err(error) => {
                 record(&events::WIRE_MALFORMED, &[field("keeper", from), field("error", error)]);
                 false
@@ -181,7 +182,7 @@
         }
     }
 
-    fn take_endpoint(&mut self, from: &InstanceName, message: &v1::EndpointNews) -> bool {
+    fn apply_endpoint(&mut self, from: &InstanceName, message: &v1::EndpointNews) -> bool {
         let endpoint = match endpoint_record(message) {
             Ok(endpoint) => endpoint,
             Err(error) => {
@@ -206,19 +207,19 @@
         changed
     }
 
-    fn take_members(&mut self, news: &v1::FleetNews) -> bool {
-        if !news.confirmed || news.keepers.is_empty() {
+    fn apply_members(&mut self, update: &v1::FleetNews) -> bool {
+        if !update.confirmed || update.keepers.is_empty() {
             return false;
         }
-        // Names come from keepers, which checked them when they took the member in.
-        let named = news.keepers.iter().filter_map(|name| InstanceName::parse(name).ok());
-        self.members = named.collect();
+        // Keepers validate the names when they add members.
+        let parsed = update.keepers.iter().filter_map(|name| InstanceName::parse(name).ok());
+        self.members = parsed.collect();
         self.members.iter().any(|name| !self.keepers.contains_key(name))
     }
 
-    /// Forgets endpoints that no keeper heard for `life`. Without a keeper in reach nobody could
-    /// have told of them, so everything stays.
-    pub fn forget_silent(&mut self, life: Duration) {
+    /// Removes endpoints without a record for longer than `max_silence`. Nothing is removed without a confirmed keeper,
+    /// since records could not have arrived then.
+    pub fn expire_silent(&mut self, max_silence: Duration) {
         if !self.keepers.values().any(|keeper| keeper.confirmed) {
             return;
         }
@@ -227,14 +228,14 @@
             .registry
             .iter()
             .filter(|endpoint| endpoint.stage != EndpointStage::Left)
-            .filter(|endpoint| self.registry.age(now, &endpoint.name).is_some_and(|age| age > life))
+            .filter(|endpoint| self.registry.age(now, &endpoint.name).is_some_and(|age| age > max_silence))
             .map(|endpoint| endpoint.name.to_string())
             .collect();
-        self.registry.expire(now, life);
+        self.registry.expire(now, max_silence);
         if silent.is_empty() {
             return;
         }
         record(&events::ENDPOINT_EXPIRED, &[field("endpoints", silent.join(","))]);
-        notify(&mut self.listeners);
+        notify(&mut self.subscribers);
     }
 }
--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -193,7 +193,7 @@
     fn refresh_keepers(&self) {
         let peers = self.mirror.keepers();
         let others = |reached: bool| {
-            let matching = peers.iter().filter(move |keeper| keeper.is_reached() == reached);
+            let matching = peers.iter().filter(move |keeper| keeper.is_connected() == reached);
             matching.map(|keeper| keeper.peer.clone()).filter(|peer| peer.name != self.own.name)
         };
         let own = std::iter::once(self.own.clone());
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -1,4 +1,4 @@
-//! Drives one shard core: streams, time, settings and probes in, messages out.
+//! Runs one shard core: passes it messages, timers, settings and load reports, and sends its messages to routers.
 
 use crate::cache_follower::CacheFollower;
 use crate::host::HostOptions;
@@ -23,57 +23,57 @@
 use tokio::time::timeout;
 use tonic::Status;
 
-/// How often the core looks at the time.
+/// The interval of [`ShardEvent::Tick`] and of status updates.
 const TICK: Duration = Duration::from_millis(50);
-/// The least time between two policies, in which changes of plan and endpoints are gathered: a policy names every
-/// endpoint and customer.
-const POLICY_GATHERING: Duration = Duration::from_millis(50);
-/// Timers go off a little early at times; this keeps a wake-up from coming twice.
+/// The minimum time between two policies. Changes of the plan and endpoints in between are combined, since a policy
+/// contains every endpoint and customer.
+const MIN_POLICY_INTERVAL: Duration = Duration::from_millis(50);
+/// Added to wake-ups, since timers sometimes fire slightly early and would have to be set a second time.
 const WAKE_MARGIN: Duration = Duration::from_micros(200);
-/// The least time an endpoint that is asked for its load adds to the interval: at most a hundred
-/// are asked a second. Each costs this process some 100 us, and endpoints count it as a health check.
-const SHORTEST_PROBE_GAP: Duration = Duration::from_millis(10);
-/// How many messages may wait for one router; a router that reads more slowly loses its stream.
-const STREAM_QUEUE: usize = 65_536;
-/// The most spans of waiting requests; further ones are left out.
+/// The minimum probe interval per probed endpoint, which limits probes to 100 a second. Each takes this process
+/// about 100 us, and endpoints count it as a health check.
+const MIN_PROBE_SPACING: Duration = Duration::from_millis(10);
+/// The maximum number of queued messages for one router. The stream of a slower router is closed.
+const MAX_STREAM_QUEUE: usize = 65_536;
+/// The maximum number of open spans of waiting requests; requests beyond it have none.
 const MAX_SPANS: usize = 10_000;
 
-/// What goes to a router's stream.
+/// An item of the response stream to a router.
 pub(crate) type StreamItem = Result<DispatcherMessage, Status>;
 
-/// What goes into a shard.
+/// An input of a shard.
 #[derive(Debug)]
 pub(crate) enum ShardInput {
-    /// A stream has opened; its messages go to this queue.
+    /// A session has opened; messages to its router go to this queue.
     Open(SessionId, Sender<StreamItem>),
-    /// A request that is about to be submitted belongs to this trace.
+    /// The `traceparent` of a request that is about to be submitted.
     Traced(RequestId, String),
-    /// An event of the core.
+    /// An event for the core.
     Event(ShardEvent),
 }
 
-/// How the rest of the process reaches a shard.
+/// Gives other tasks access to a shard.
 #[derive(Debug, Clone)]
 pub(crate) struct ShardHandle {
     pub inputs: Sender<ShardInput>,
     pub status: Arc<Mutex<ShardStatus>>,
-    /// What the shard has delivered, for other regions.
+    /// What the shard has delivered to each customer, for other regions.
     pub totals: Arc<Mutex<Vec<CustomerTotal>>>,
 }
 
 impl ShardHandle {
     /// True while routers use the shard.
     pub fn is_used(&self) -> bool {
-        self.status.lock().expect("no holder of the status panics").routers > 0
+        self.status.lock().expect("the lock of the status is not poisoned").routers > 0
     }
 
-    /// What the shard has delivered so far.
+    /// Returns what the shard has delivered to each customer so far.
     pub fn totals(&self) -> Vec<CustomerTotal> {
-        self.totals.lock().expect("no holder of the totals panics").clone()
+        self.totals.lock().expect("the lock of the totals is not poisoned").clone()
     }
 }
 
-/// A monotonic clock as moments since the start of the shard.
+/// A monotonic clock that counts from the start of the shard.
 #[derive(Debug, Clone, Copy)]
 struct ShardClock(BootInstant);
 
@@ -88,10 +88,10 @@
     core: ShardCore,
     service: ServiceName,
     source: Arc<dyn PolicySource>,
-    /// Where what the driver asks for comes back.
+    /// The sender of the shard's own inputs, for the results of probes.
     inputs: Sender<ShardInput>,
     options: HostOptions,
-    /// The spans of waiting requests that belong to a trace.
+    /// The spans of waiting requests that have a trace.
     spans: HashMap<RequestId, HopSpan>,
     streams: HashMap<SessionId, Sender<StreamItem>>,
     actions: Vec<ShardAction>,
@@ -100,7 +100,7 @@
     tally: ShardTally,
 }
 
-/// Starts a shard; it runs until its handle is gone.
+/// Starts a shard and the tasks that feed it with policies, load reports and totals of other regions.
 pub(crate) fn start_shard(
     service: ServiceName,
     options: HostOptions,
@@ -126,11 +126,11 @@
         tally: ShardTally::new(service.clone()),
     };
     record(&events::SHARD_STARTED, &[field("service", &service)]);
-    let changes = source.listen();
+    let changes = source.subscribe();
     tokio::spawn(feed_policy(service.clone(), source.clone(), changes, inputs.clone()));
     let handle = ShardHandle { inputs: inputs.clone(), status: status.clone(), totals };
     tokio::spawn(share_totals(service.clone(), options.clone(), handle.clone()));
-    tokio::spawn(feed_probes(clock, service, options, source, inputs, status));
+    tokio::spawn(poll_endpoints(clock, service, options, source, inputs, status));
     tokio::spawn(driver.run(receiver));
     handle
 }
@@ -139,8 +139,8 @@
     async fn run(mut self, inputs: Receiver<ShardInput>) {
         let mut next_tick = BootInstant::now() + TICK;
         loop {
-            match timeout(self.wait_before(next_tick), inputs.recv()).await {
-                Ok(Ok(input)) => self.take(input),
+            match timeout(self.time_until_due(next_tick), inputs.recv()).await {
+                Ok(Ok(input)) => self.handle(input),
                 Ok(Err(_)) => return,
                 Err(_) if BootInstant::now() < next_tick => self.step(ShardEvent::Wake),
                 Err(_) => {}
@@ -148,22 +148,22 @@
             if BootInstant::now() >= next_tick {
                 self.step(ShardEvent::Tick);
                 let status = self.core.status(self.clock.now());
-                self.tally.tell(&status);
-                *self.status.lock().expect("no holder of the status panics") = status;
-                *self.totals.lock().expect("no holder of the totals panics") = self.core.totals();
+                self.tally.report(&status);
+                *self.status.lock().expect("the lock of the status is not poisoned") = status;
+                *self.totals.lock().expect("the lock of the totals is not poisoned") = self.core.totals();
                 next_tick = BootInstant::now() + TICK;
             }
         }
     }
 
-    /// How long nothing is due.
-    fn wait_before(&self, next_tick: BootInstant) -> Duration {
+    /// Returns the time until the next tick or the core's next wake-up, whichever is first.
+    fn time_until_due(&self, next_tick: BootInstant) -> Duration {
         let tick = next_tick.saturating_duration_since(BootInstant::now());
         let wake = self.core.next_wake().map(|at| at.since(self.clock.now()) + WAKE_MARGIN);
         wake.map_or(tick, |wake| wake.min(tick))
     }
 
-    fn take(&mut self, input: ShardInput) {
+    fn handle(&mut self, input: ShardInput) {
         match input {
             ShardInput::Open(session, stream) => {
                 self.streams.insert(session, stream);
@@ -178,18 +178,20 @@
                 if let ShardEvent::Cancel(_, request) = &event {
                     self.spans.remove(request);
                 }
-                let ended = match &event {
+                let closed_session = match &event {
                     ShardEvent::Left(session) => Some(*session),
                     _ => None,
                 };
                 self.step(event);
-                if let Some(session) = ended {
+                if let Some(session) = closed_session {
                     self.streams.remove(&session);
                 }
             }
         }
     }
 
+    /// Passes an event to the core and carries out the resulting actions. The stream of a router that cannot keep up is
+    /// closed.
     fn step(&mut self, event: ShardEvent) {
         let mut actions = std::mem::take(&mut self.actions);
         self.core.step(self.clock.now(), event, &mut actions);
@@ -197,13 +199,12 @@
             self.end_span(&action);
             self.tally.count(&action);
             if let ShardAction::ProbeEndpoint { endpoint } = &action {
-                self.ask(endpoint);
+                self.probe(endpoint);
             }
             let Some((session, message)) = action_message(action, self.options.incarnation) else { continue };
-            let delivered = self
-                .streams
-                .get(&session)
-                .is_some_and(|stream| stream.len() < STREAM_QUEUE && stream.try_send(Ok(message)).is_ok());
+            let delivered = self.streams.get(&session).is_some_and(|stream| {
+                stream.len() < MAX_STREAM_QUEUE && stream.try_send(Ok(message)).is_ok()
+            });
             if !delivered {
                 self.streams.remove(&session);
             }
@@ -213,15 +214,15 @@
 }
 
 impl ShardDriver {
-    /// Asks an endpoint for its load now, if it is one that is asked at all. The shard hears of an answer.
-    fn ask(&self, endpoint: &EndpointName) {
-        let probed = self.source.probed(&self.service);
+    /// Starts a probe of an endpoint if it is among the probed ones. The result becomes an input of the shard.
+    fn probe(&self, endpoint: &EndpointName) {
+        let probed = self.source.probed_endpoints(&self.service);
         let Some(probed) = probed.into_iter().find(|probed| probed.name == *endpoint) else { return };
         let options = self.options.clone();
         tokio::spawn(probe_endpoint(self.clock, options, probed, self.inputs.clone()));
     }
 
-    /// Ends the span of a request whose wait is over.
+    /// Ends the span of a request that was granted or refused.
     fn end_span(&mut self, action: &ShardAction) {
         match action {
             ShardAction::Grant { request, endpoint, .. } => {
@@ -237,6 +238,7 @@
     }
 }
 
+/// Sends the shard its current policy, and again after each change.
 async fn feed_policy(
     service: ServiceName,
     source: Arc<dyn PolicySource>,
@@ -244,21 +246,22 @@
     inputs: Sender<ShardInput>,
 ) {
     loop {
-        // What changed while the last policy was made is in this one.
+        // The policy made next includes all changes notified so far.
         while changes.try_recv().is_ok() {}
         let policy = source.policy(&service);
         if inputs.send(ShardInput::Event(ShardEvent::Policy(policy))).await.is_err() {
             return;
         }
-        tokio::time::sleep(POLICY_GATHERING).await;
+        tokio::time::sleep(MIN_POLICY_INTERVAL).await;
         if changes.recv().await.is_err() {
             return;
         }
     }
 }
 
-/// Asks endpoints and the platform while routers use the shard.
-async fn feed_probes(
+/// Probes the endpoints and reads the platform's list at intervals, and runs a cache follower for each probed endpoint,
+/// while routers use the shard.
+async fn poll_endpoints(
     clock: ShardClock,
     service: ServiceName,
     options: HostOptions,
@@ -268,12 +271,12 @@
 ) {
     let mut followers: HashMap<EndpointName, JoinHandle<()>> = HashMap::new();
     loop {
-        let used = status.lock().expect("no holder of the status panics").routers > 0;
+        let is_used = status.lock().expect("the lock of the status is not poisoned").routers > 0;
         let mut pause = options.probe_interval;
-        if used {
-            let probed = source.probed(&service);
-            pause = pause.max(SHORTEST_PROBE_GAP * u32::try_from(probed.len()).unwrap_or(u32::MAX));
-            forget_followers(&mut followers, &probed);
+        if is_used {
+            let probed = source.probed_endpoints(&service);
+            pause = pause.max(MIN_PROBE_SPACING * u32::try_from(probed.len()).unwrap_or(u32::MAX));
+            stop_followers(&mut followers, &probed);
             for endpoint in probed {
                 let follow = || {
                     let follower = CacheFollower::new(&options, endpoint.clone(), inputs.clone());
@@ -286,7 +289,7 @@
                 let _ = inputs.send(ShardInput::Event(ShardEvent::Listed(leaving))).await;
             }
         } else {
-            forget_followers(&mut followers, &[]);
+            stop_followers(&mut followers, &[]);
         }
         tokio::time::sleep(pause).await;
         if inputs.is_closed() {
@@ -295,17 +298,18 @@
     }
 }
 
-/// Ends the followers of engines that are not asked any more.
-fn forget_followers(followers: &mut HashMap<EndpointName, JoinHandle<()>>, probed: &[ProbedEndpoint]) {
+/// Stops the cache followers of endpoints that are no longer probed.
+fn stop_followers(followers: &mut HashMap<EndpointName, JoinHandle<()>>, probed: &[ProbedEndpoint]) {
     followers.retain(|name, follower| {
-        let stays = probed.iter().any(|other| other.name == *name);
-        if !stays {
+        let is_probed = probed.iter().any(|other| other.name == *name);
+        if !is_probed {
             follower.abort();
         }
-        stays
+        is_probed
     });
 }
 
+/// Probes one endpoint and sends the shard its load report. A report of another start at the same address is discarded.
 async fn probe_endpoint(
     clock: ShardClock,
     options: HostOptions,
@@ -314,14 +318,14 @@
 ) {
     let requested_at = clock.now();
     let endpoint = probed.name.clone();
-    let Some(answer) = options.probe.ask(&probed).await else {
-        if !options.silence_counts {
+    let Some(answer) = options.probe.load(&probed).await else {
+        if !options.reports_unreachable {
             return;
         }
         let _ = inputs.send(ShardInput::Event(ShardEvent::Unreachable(endpoint))).await;
         return;
     };
-    if !probed.may_have_said(&answer) {
+    if !probed.matches_start(&answer) {
         record(&events::REPORT_OF_ANOTHER, &[field("endpoint", &endpoint), field("address", probed.address)]);
         return;
     }
@@ -334,13 +338,13 @@
     };
     let _ = inputs.send(ShardInput::Event(ShardEvent::Load(report))).await;
     if !answer.stored.is_empty() || !answer.dropped.is_empty() {
-        let news = CacheUpdate {
+        let update = CacheUpdate {
             endpoint,
             stored: answer.stored,
             dropped: answer.dropped,
             kept: Vec::new(),
             whole: false,
         };
-        let _ = inputs.send(ShardInput::Event(ShardEvent::Cache(news))).await;
+        let _ = inputs.send(ShardInput::Event(ShardEvent::Cache(update))).await;
     }
 }
--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -6,7 +6,7 @@
 use crate::proxy::{Gateway, GatewayParts};
 use async_std::task;
 use micaspool_backpressure::SharedAdvice;
-use micaspool_client::{AddressNamed, FleetMirror, FleetMirrorOptions, PeerDirectory, ENDPOINT_LIFE};
+use micaspool_client::{AddressDirectory, FleetMirror, FleetMirrorOptions, PeerDirectory, MAX_ENDPOINT_SILENCE};
 use micaspool_clock::BootInstant;
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{
@@ -82,8 +82,8 @@
             callers: loopback,
             status: vec![loopback],
             seeds: Vec::new(),
-            keepers: Arc::new(AddressNamed { port: 7_400 }),
-            dispatchers: Arc::new(AddressNamed { port: 7_401 }),
+            keepers: Arc::new(AddressDirectory { port: 7_400 }),
+            dispatchers: Arc::new(AddressDirectory { port: 7_401 }),
             dialect: Arc::new(NativeDialect),
             format: Arc::new(JsonFormat),
             probe: Arc::new(HttpEndpointProbe::default()),
@@ -206,7 +206,7 @@
         directory: options.keepers.clone(),
         format: options.format.clone(),
         counter: counters.keepers.clone(),
-        endpoint_life: ENDPOINT_LIFE,
+        max_endpoint_silence: MAX_ENDPOINT_SILENCE,
     });
     let spans = SpanSink::default();
     let local_dispatcher = FleetDispatcher::new(FleetDispatcherOptions {
@@ -339,7 +339,7 @@
         let keepers = self.mirror.keepers().into_iter().map(|sight| {
             json!({
                 "name": sight.peer.name.as_str(),
-                "reached": sight.is_reached(),
+                "reached": sight.is_connected(),
                 "hears_majority": sight.confirmed,
             })
         });
