--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -6,7 +6,9 @@
 use crate::proxy::{Gateway, GatewayParts};
 use async_std::task;
 use micaspool_backpressure::SharedAdvice;
-use micaspool_client::{AddressDirectory, FleetMirror, FleetMirrorOptions, PeerDirectory, MAX_ENDPOINT_SILENCE};
+use micaspool_client::{
+    AddressDirectory, FleetMirror, FleetMirrorOptions, PeerDirectory, MAX_ENDPOINT_SILENCE,
+};
 use micaspool_clock::BootInstant;
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{
