--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -88,7 +88,7 @@
             format: Arc::new(JsonFormat),
             probe: Arc::new(HttpEndpointProbe::default()),
             advice: AdviceBoard::new(),
-            edge: EdgeOptions { turns: true, ..EdgeOptions::default() },
+            edge: EdgeOptions { sheds_load: true, ..EdgeOptions::default() },
         };
         GatewayOptionsBuilder { options }
     }
@@ -152,10 +152,10 @@
     /// Limits the memory of the process, in bytes, by limiting the number of caller connections.
     pub fn memory(mut self, bytes: u64) -> Self {
         let affordable = usize::try_from(bytes.saturating_sub(BASELINE_BYTES) / CONNECTION_BYTES);
-        let maximum = EdgeOptions::default().connections;
+        let maximum = EdgeOptions::default().max_connections;
         let total = affordable.unwrap_or(maximum).clamp(MIN_CONNECTIONS, maximum);
-        self.options.edge.refused = total / REFUSED_DIVISOR;
-        self.options.edge.connections = total - self.options.edge.refused;
+        self.options.edge.max_refused = total / REFUSED_DIVISOR;
+        self.options.edge.max_connections = total - self.options.edge.max_refused;
         self
     }
 
@@ -272,7 +272,7 @@
             prepared = number;
             gateway.prepare_shards();
         }
-        pool.sweep();
+        pool.remove_expired();
         advice.expire();
         task::sleep(MAINTENANCE_INTERVAL).await;
     }
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -279,7 +279,7 @@
         let request = self.build_request(gateway, &context);
         lease.mark_sent();
         let may_send = || parts.advice.may_send(&endpoint.name) && !parts.mirror.is_evacuated(&endpoint.hall);
-        let sent = timeout(time_left, parts.pool.send_while(endpoint.address, request, may_send)).await;
+        let sent = timeout(time_left, parts.pool.send_if(endpoint.address, request, may_send)).await;
         let failure = match sent {
             Ok(Ok(response)) => {
                 let (head, body) = response.into_parts();
@@ -321,7 +321,7 @@
         };
         let Some(advice) = parts.advice.apply(source, parsed.advice) else { return };
         if advice.advice.leaving {
-            parts.pool.close_resting(endpoint.address);
+            parts.pool.close_idle(endpoint.address);
         }
         gateway.shard(&endpoint.service).report_advice(advice);
     }
--- a/crates/micaspool-gateway/src/proxy/mod.rs
+++ b/crates/micaspool-gateway/src/proxy/mod.rs
@@ -204,7 +204,7 @@
         parts.dialect.refuse(id.as_deref(), &refusal)
     }
 
-    fn note_closed(&self, connections: usize) {
+    fn record_closed(&self, connections: usize) {
         if connections > 0 {
             record(&events::CALLERS_CLOSED, &[field("connections", connections)]);
         }
--- a/crates/micaspool-http/src/edge.rs
+++ b/crates/micaspool-http/src/edge.rs
@@ -68,33 +68,33 @@
 
     /// This many connections were closed unread: beyond those that are served, before one that is refused, or while the
     /// server is behind.
-    fn note_closed(&self, _connections: usize) {}
+    fn record_closed(&self, _connections: usize) {}
 }
 
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct EdgeOptions {
     /// The largest head, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// How long a connection may rest, and a head may take.
-    pub idle: Duration,
+    pub idle_limit: Duration,
     /// The most open connections that are served.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How many more are accepted to be refused at once; further ones wait unaccepted.
-    pub refused: usize,
+    pub max_refused: usize,
     /// True where callers may come back elsewhere: while tasks run late, connections are taken in turns between callers
     /// and the others closed unread.
-    pub turns: bool,
+    pub sheds_load: bool,
 }
 
 impl Default for EdgeOptions {
     fn default() -> Self {
         EdgeOptions {
-            head_bytes: 32 * 1024,
-            idle: Duration::from_secs(20),
-            connections: 3_000,
-            refused: 100,
-            turns: false,
+            max_head_bytes: 32 * 1024,
+            idle_limit: Duration::from_secs(20),
+            max_connections: 3_000,
+            max_refused: 100,
+            sheds_load: false,
         }
     }
 }
@@ -148,7 +148,7 @@
     pub async fn listen(&self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address).await?;
         let bound = listener.local_addr()?;
-        if self.shared.options.turns {
+        if self.shared.options.sheds_load {
             tokio::spawn(watch_lag(self.shared.clone()));
         }
         tokio::spawn(accept(self.shared.clone(), listener));
@@ -214,10 +214,10 @@
         }
     }
     let open = shared.open.load(Ordering::SeqCst);
-    let room = shared.options.connections.saturating_sub(open);
+    let room = shared.options.max_connections.saturating_sub(open);
     let callers: Vec<IpAddr> = waiting.iter().map(|(_, caller)| *caller).collect();
     let served = turns.served_places(&callers, most.min(room));
-    shared.handler.note_closed(waiting.len() - served.len());
+    shared.handler.record_closed(waiting.len() - served.len());
     for (place, (stream, _)) in waiting.into_iter().enumerate() {
         if served.binary_search(&place).is_ok() {
             shared.open.fetch_add(1, Ordering::SeqCst);
@@ -231,7 +231,7 @@
     let mut turns = CallerTurns::default();
     let mut observed = BootInstant::now();
     loop {
-        if shared.options.turns && observed.elapsed() >= TURN {
+        if shared.options.sheds_load && observed.elapsed() >= TURN {
             observed = BootInstant::now();
             budget.observe(shared.lag());
         }
@@ -239,7 +239,7 @@
             take_turn(&shared, &listener, &mut turns, most).await;
             continue;
         }
-        if shared.open.load(Ordering::SeqCst) >= shared.options.connections + shared.options.refused {
+        if shared.open.load(Ordering::SeqCst) >= shared.options.max_connections + shared.options.max_refused {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         }
@@ -254,11 +254,11 @@
             Ok((stream, _)) => {
                 let before = shared.open.fetch_add(1, Ordering::SeqCst);
                 let connection = OpenConnection(shared.clone());
-                if before < shared.options.connections {
+                if before < shared.options.max_connections {
                     tokio::spawn(serve(connection, stream));
                 } else {
                     let (newest, closed) = newest_waiting(&listener, stream);
-                    shared.handler.note_closed(closed);
+                    shared.handler.record_closed(closed);
                     tokio::spawn(turn_away(connection, newest));
                     tokio::time::sleep(REFUSAL_PAUSE).await;
                 }
@@ -291,8 +291,8 @@
     let service = service_fn(|request| answer(shared, request));
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(shared.options.idle)
-        .max_buf_size(shared.options.head_bytes.max(MIN_BUFFER))
+        .header_read_timeout(shared.options.idle_limit)
+        .max_buf_size(shared.options.max_head_bytes.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     let closing = shared.closing.1.recv();
     pin_mut!(served, closing);
@@ -317,7 +317,7 @@
         .timer(TokioTimer::new())
         .keep_alive(false)
         .header_read_timeout(REFUSED_REQUEST)
-        .max_buf_size(shared.options.head_bytes.max(MIN_BUFFER))
+        .max_buf_size(shared.options.max_head_bytes.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     // A connection that breaks concerns its caller alone; the handler has logged its request.
     let _ = tokio::time::timeout(REFUSED_REQUEST * 2, served).await;
--- a/crates/micaspool-http/src/pool.rs
+++ b/crates/micaspool-http/src/pool.rs
@@ -31,14 +31,18 @@
     /// How long connecting may take.
     pub connect_limit: Duration,
     /// How long a connection may rest when its endpoint tells no time itself.
-    pub idle: Duration,
+    pub idle_limit: Duration,
     /// The most resting connections to one endpoint.
-    pub kept: usize,
+    pub max_idle: usize,
 }
 
 impl Default for PoolOptions {
     fn default() -> Self {
-        PoolOptions { connect_limit: Duration::from_millis(700), idle: Duration::from_secs(2), kept: 24 }
+        PoolOptions {
+            connect_limit: Duration::from_millis(700),
+            idle_limit: Duration::from_secs(2),
+            max_idle: 24,
+        }
     }
 }
 
@@ -115,12 +119,12 @@
         address: SocketAddr,
         request: WholeRequest,
     ) -> Result<Response<PooledBody>, SendError> {
-        self.send_while(address, request, || true).await
+        self.send_if(address, request, || true).await
     }
 
     /// Sends a request if that is still allowed right before its bytes go out: connecting takes time, and what made
     /// a connection of no use may have changed more.
-    pub async fn send_while(
+    pub async fn send_if(
         self: &Arc<Self>,
         address: SocketAddr,
         mut request: WholeRequest,
@@ -151,15 +155,15 @@
     }
 
     /// How many connections rest, and how many of them could take a request at this moment.
-    pub fn resting(&self) -> (usize, usize) {
-        self.sweep();
+    pub fn idle_counts(&self) -> (usize, usize) {
+        self.remove_expired();
         let idle = self.lock();
         let connections = || idle.values().flatten();
         (connections().count(), connections().filter(|connection| connection.sender.is_ready()).count())
     }
 
     /// Closes connections that rested for too long, and those whose peer has closed.
-    pub fn sweep(&self) {
+    pub fn remove_expired(&self) {
         let now = BootInstant::now();
         let mut idle = self.lock();
         for connections in idle.values_mut() {
@@ -209,7 +213,7 @@
         });
         match seconds {
             Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN).min(LONGEST_IDLE),
-            None => self.options.idle,
+            None => self.options.idle_limit,
         }
     }
 
@@ -224,12 +228,12 @@
 
     /// Keeps a connection on which nothing was sent.
     fn put_back(self: &Arc<Self>, address: SocketAddr, sender: SendRequest<Full<Bytes>>) {
-        let rest = self.options.idle;
+        let rest = self.options.idle_limit;
         self.put_idle(KeptConnection { pool: self.clone(), address, sender, rest });
     }
 
     /// Closes the connections to an address that rest.
-    pub fn close_resting(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
@@ -237,7 +241,7 @@
         let until = BootInstant::now() + connection.rest;
         let mut idle = self.lock();
         let connections = idle.entry(connection.address).or_default();
-        if connections.len() < self.options.kept && !connection.sender.is_closed() {
+        if connections.len() < self.options.max_idle && !connection.sender.is_closed() {
             connections.push(IdleConnection { sender: connection.sender, until });
         }
     }
--- a/crates/micaspool-http/tests/edge_server.rs
+++ b/crates/micaspool-http/tests/edge_server.rs
@@ -127,7 +127,7 @@
 /// unaccepted, without a sign.
 #[test]
 fn a_caller_beyond_the_limit_is_refused_at_once() {
-    let options = EdgeOptions { connections: 2, refused: 2, ..EdgeOptions::default() };
+    let options = EdgeOptions { max_connections: 2, max_refused: 2, ..EdgeOptions::default() };
     let server = EdgeServer::new(Arc::new(PathHandler::default()), options);
     let address = task::block_on(server.listen(([127, 0, 0, 1], 0).into())).expect("a free port");
     let ask = || {
@@ -158,7 +158,7 @@
 #[test]
 fn a_caller_is_refused_at_once_behind_many_that_have_left() {
     const LEFT: usize = 60;
-    let options = EdgeOptions { connections: 1, refused: 4, ..EdgeOptions::default() };
+    let options = EdgeOptions { max_connections: 1, max_refused: 4, ..EdgeOptions::default() };
     let server = EdgeServer::new(Arc::new(PathHandler::default()), options);
     let address = task::block_on(server.listen(([127, 0, 0, 1], 0).into())).expect("a free port");
     let _held = send(address, "/stuck");
--- a/crates/micaspool-http/tests/pool.rs
+++ b/crates/micaspool-http/tests/pool.rs
@@ -128,8 +128,8 @@
 /// Waits until this many connections rest and can take a request.
 fn wait_for_resting(pool: &EndpointPool, count: usize) {
     let end = Instant::now() + Duration::from_secs(10);
-    while pool.resting() != (count, count) {
-        assert!(Instant::now() < end, "{:?} rest instead of {count}", pool.resting());
+    while pool.idle_counts() != (count, count) {
+        assert!(Instant::now() < end, "{:?} rest instead of {count}", pool.idle_counts());
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -171,7 +171,7 @@
     let pool = EndpointPool::new(PoolOptions::default());
     task::block_on(async {
         for _ in 0..2 {
-            let error = pool.send_while(address, request(), || false).await.expect_err("it is withheld");
+            let error = pool.send_if(address, request(), || false).await.expect_err("it is withheld");
             assert!(matches!(error, SendError::Withheld) && error.is_not_sent());
             // A new connection can take a request once its task has run.
             task::sleep(Duration::from_millis(20)).await;
@@ -179,8 +179,8 @@
         assert!(fetch(&pool, address).await.is_ok());
     });
     assert_eq!(connections.load(Ordering::SeqCst), 1);
-    pool.close_resting(address);
-    assert_eq!(pool.resting(), (0, 0));
+    pool.close_idle(address);
+    assert_eq!(pool.idle_counts(), (0, 0));
 }
 
 /// An endpoint that answers before it has read a long body gets the rest of that body, and nothing
