--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -161,7 +161,7 @@
     pub fn refuse(&mut self, refusal: &Refusal) {
         self.metrics.count_refusal(refusal.kind.as_str());
         let suppressed = match refusal.kind {
-            RefusalKind::Throttled => self.metrics.throttled_log_limit.turn(),
+            RefusalKind::Throttled => self.metrics.throttled_log_limit.admit(),
             _ => Some(0),
         };
         let Some(suppressed) = suppressed else {
--- a/crates/micaspool-telemetry/src/limit.rs
+++ b/crates/micaspool-telemetry/src/limit.rs
@@ -28,7 +28,7 @@
     }
 
     /// The turn of a line: how many were left out since the last one that was written, if it may be written.
-    pub fn turn(&self) -> Option<u64> {
+    pub fn admit(&self) -> Option<u64> {
         let mut span = self.span.lock().expect("nobody panics while counting lines");
         if span.since.elapsed() >= SPAN {
             span.since = BootInstant::now();
