--- a/crates/micaspool-backpressure/src/board.rs
+++ b/crates/micaspool-backpressure/src/board.rs
@@ -98,7 +98,7 @@
                 field("lasted_ms", rest.lasted.as_millis()),
                 field("asked", rest.request_count),
             ];
-            record(&events::REST_OVER, &fields);
+            record(&events::REST_ENDED, &fields);
         }
     }
 
@@ -136,8 +136,8 @@
     }
     match change {
         AdviceChange::Same => {}
-        AdviceChange::Began => record(&events::REST_BEGUN, &fields),
-        AdviceChange::Prolonged => record(&events::REST_PROLONGED, &fields),
-        AdviceChange::Left => record(&events::ENDPOINT_SAYS_LEAVING, &fields),
+        AdviceChange::Began => record(&events::REST_STARTED, &fields),
+        AdviceChange::Prolonged => record(&events::REST_EXTENDED, &fields),
+        AdviceChange::Left => record(&events::ENDPOINT_LEAVING, &fields),
     }
 }
--- a/crates/micaspool-client/src/mirror.rs
+++ b/crates/micaspool-client/src/mirror.rs
@@ -183,7 +183,7 @@
             *since = None;
         } else if since.is_none() {
             *since = Some(BootInstant::now());
-            record(&events::SETTINGS_CUT_OFF, &[]);
+            record(&events::SETTINGS_DISCONNECTED, &[]);
         }
     }
 }
--- a/crates/micaspool-daemon/src/signals.rs
+++ b/crates/micaspool-daemon/src/signals.rs
@@ -39,7 +39,10 @@
     let (stop, reload) = watch_signals()?;
     std::thread::spawn(move || {
         while reload.recv_blocking().is_ok() {
-            record(&events::SETTINGS_KEPT, &[field("remedy", "restart the process to change its settings")]);
+            record(
+                &events::SETTINGS_NOT_RELOADED,
+                &[field("remedy", "restart the process to change its settings")],
+            );
         }
     });
     Ok(stop)
--- a/crates/micaspool-daemon/src/suspension.rs
+++ b/crates/micaspool-daemon/src/suspension.rs
@@ -11,7 +11,7 @@
 /// Logs each suspension of the machine with its length, and once where the system can't tell of them.
 pub fn watch_suspensions() {
     if !counts_suspended_time() {
-        record(&events::SUSPENSIONS_UNSEEN, &[]);
+        record(&events::SUSPENSION_UNDETECTABLE, &[]);
         return;
     }
     task::spawn(follow_clocks());
--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -50,7 +50,7 @@
             };
             failures = 0;
             let fields = [field("endpoint", &self.endpoint.name), field("kept_parts", list.parts.len())];
-            record(&events::ENGINE_MET, &fields);
+            record(&events::ENGINE_SYNCED, &fields);
             let told = self.tell(list.parts, Vec::new(), true).await;
             if told.is_err() || self.follow(list.cursor, pause).await.is_err() {
                 return;
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -322,7 +322,7 @@
         return;
     };
     if !probed.may_have_said(&answer) {
-        record(&events::REPORT_OF_ANOTHER, &[field("endpoint", &endpoint), field("address", probed.address)]);
+        record(&events::REPORT_MISMATCH, &[field("endpoint", &endpoint), field("address", probed.address)]);
         return;
     }
     let report = LoadReport {
--- a/crates/micaspool-dispatcher/src/service.rs
+++ b/crates/micaspool-dispatcher/src/service.rs
@@ -62,7 +62,7 @@
         let digest = lifted_digest(&request.into_inner())
             .map_err(|error| Status::invalid_argument(error.to_string()))?;
         let services = self.host.lift(digest);
-        record(&events::LIFT_ORDERED, &[field("digest", digest), field("services", services.len())]);
+        record(&events::QUARANTINE_LIFTED, &[field("digest", digest), field("services", services.len())]);
         let services = services.iter().map(ToString::to_string).collect();
         Ok(Response::new(v1::LiftReply { services }))
     }
--- a/crates/micaspool-dispatcher/src/standings.rs
+++ b/crates/micaspool-dispatcher/src/standings.rs
@@ -24,7 +24,7 @@
     pub fn renew(&mut self) {
         if self.left_out > 0 {
             record(
-                &events::STANDINGS_LEFT_OUT,
+                &events::STANDINGS_SUPPRESSED,
                 &[field("service", &self.service), field("lines", self.left_out)],
             );
         }
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -178,7 +178,7 @@
                 continue;
             }
             if !lease.is_valid() {
-                record(&events::LEASE_OVER, &[field("request", log.id())]);
+                record(&events::LEASE_EXPIRED, &[field("request", log.id())]);
                 lease.settle(Cost(0), GrantOutcome::Unsent);
                 continue;
             }
--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -177,7 +177,7 @@
         fields.extend(self.ticket.map(|ticket| field("ticket", ticket)));
         fields.extend(self.digest_field());
         fields.extend((suppressed > 0).then(|| field("left_out", suppressed)));
-        self.log_end(&events::REQUEST_TURNED_AWAY, &fields);
+        self.log_end(&events::REQUEST_UNANSWERED, &fields);
     }
 
     /// The digest of the request, logged with failures and refusals so that all copies of a request can be found.
--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -224,7 +224,7 @@
     let opened =
         KeeperFiles::open(folder, &options.instance, StoreOptions::default()).map_err(Error::Store)?;
     if opened.truncated_bytes > 0 {
-        record(&events::STORE_CUT, &[field("bytes", opened.truncated_bytes)]);
+        record(&events::STORE_TRUNCATED, &[field("bytes", opened.truncated_bytes)]);
     }
     let (outgoing, envelopes) = unbounded();
     let reopen = ReopenOptions { folder: folder.clone(), name: options.instance.clone() };
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -105,7 +105,7 @@
             let lease = self.wait_for_grant(plan, watch, &span, state).await?;
             drop(span);
             if !lease.is_valid() {
-                record(&events::LEASE_OVER, &[field("request", plan.request)]);
+                record(&events::LEASE_EXPIRED, &[field("request", plan.request)]);
                 lease.settle(Cost(0), GrantOutcome::Unsent);
                 continue;
             }
--- a/crates/micaspool-telemetry/src/events.rs
+++ b/crates/micaspool-telemetry/src/events.rs
@@ -48,11 +48,12 @@
 /// The machine was suspended; leases and lives have run on meanwhile.
 pub const MACHINE_SUSPENDED: EventKind = kind("MP1004", Level::Warn, "machine was suspended");
 /// The system has no clock that counts while it is suspended, so that leases stand still with it.
-pub const SUSPENSIONS_UNSEEN: EventKind = kind("MP1005", Level::Warn, "suspensions can't be seen");
+pub const SUSPENSION_UNDETECTABLE: EventKind = kind("MP1005", Level::Warn, "suspensions can't be seen");
 /// Newer settings are in force.
 pub const SETTINGS_IN_FORCE: EventKind = kind("MP1101", Level::Info, "settings in force");
 /// No keeper answers the watch.
-pub const SETTINGS_CUT_OFF: EventKind = kind("MP1102", Level::Warn, "no keeper reached, settings may be old");
+pub const SETTINGS_DISCONNECTED: EventKind =
+    kind("MP1102", Level::Warn, "no keeper reached, settings may be old");
 /// A settings update could not be used.
 pub const SETTINGS_UNUSABLE: EventKind = kind("MP1103", Level::Error, "settings update not usable");
 /// A router has opened a stream to a dispatcher.
@@ -60,7 +61,7 @@
 /// A router has lost its stream to a dispatcher.
 pub const SESSION_LOST: EventKind = kind("MP1202", Level::Warn, "dispatcher stream lost");
 /// A grant was not used because its lease had ended.
-pub const LEASE_OVER: EventKind = kind("MP1203", Level::Warn, "grant not used, lease over");
+pub const LEASE_EXPIRED: EventKind = kind("MP1203", Level::Warn, "grant not used, lease over");
 /// A grant was not used because newer settings forbid the data hall.
 pub const PLACEMENT_CHANGED: EventKind = kind("MP1204", Level::Warn, "grant not used, placement changed");
 /// An endpoint could not be reached, refused or failed.
@@ -74,7 +75,7 @@
 /// A shard has begun to serve.
 pub const SHARD_STARTED: EventKind = kind("MP1301", Level::Info, "shard started");
 /// A shard has learnt which prompt parts an engine keeps.
-pub const ENGINE_MET: EventKind = kind("MP1303", Level::Info, "engine met");
+pub const ENGINE_SYNCED: EventKind = kind("MP1303", Level::Info, "engine met");
 /// An engine does not tell what its cache keeps, or no longer; the shard goes by what it granted.
 pub const CACHE_UNKNOWN: EventKind = kind("MP1305", Level::Warn, "cache not followed");
 /// Changes of an engine's cache were lost; it is asked for a whole list.
@@ -96,11 +97,11 @@
 /// Less is held against a request than before, or nothing.
 pub const REQUEST_CLEARED: EventKind = kind("MP1313", Level::Info, "request cleared");
 /// More requests changed their standing than get a line each.
-pub const STANDINGS_LEFT_OUT: EventKind = kind("MP1314", Level::Info, "standings of requests left out");
+pub const STANDINGS_SUPPRESSED: EventKind = kind("MP1314", Level::Info, "standings of requests left out");
 /// An operator holds nothing against a request any more.
-pub const LIFT_ORDERED: EventKind = kind("MP1315", Level::Info, "quarantine lifted by operator");
+pub const QUARANTINE_LIFTED: EventKind = kind("MP1315", Level::Info, "quarantine lifted by operator");
 /// A load report came from another start than the one that was asked, and was not used.
-pub const REPORT_OF_ANOTHER: EventKind = kind("MP1316", Level::Info, "load report of another start");
+pub const REPORT_MISMATCH: EventKind = kind("MP1316", Level::Info, "load report of another start");
 /// What a shard granted and refused a customer lately, and how far it stands behind.
 pub const CUSTOMER_DECIDED: EventKind = kind("MP1317", Level::Info, "customer decisions");
 /// A message from another process could not be understood.
@@ -116,7 +117,7 @@
 /// A write or sync failed; the keeper stops.
 pub const STORE_FAILED: EventKind = kind("MP1405", Level::Error, "keeper files failed, keeper stops");
 /// A torn record at the end of the log was cut.
-pub const STORE_CUT: EventKind = kind("MP1406", Level::Warn, "torn record cut from the end of the log");
+pub const STORE_TRUNCATED: EventKind = kind("MP1406", Level::Warn, "torn record cut from the end of the log");
 /// A settings change was accepted.
 pub const CHANGE_ACCEPTED: EventKind = kind("MP1407", Level::Info, "settings change accepted");
 /// A settings change was rejected.
@@ -162,11 +163,11 @@
 pub const SETTINGS_RELOADED: EventKind = kind("MP1507", Level::Info, "process settings read again");
 
 /// The process was told to read its settings again, which it does not do.
-pub const SETTINGS_KEPT: EventKind = kind("MP1508", Level::Warn, "process settings kept");
+pub const SETTINGS_NOT_RELOADED: EventKind = kind("MP1508", Level::Warn, "process settings kept");
 /// A request was answered by an endpoint, whole.
 pub const REQUEST_ANSWERED: EventKind = kind("MP1601", Level::Info, "request answered");
 /// A request was refused or given up.
-pub const REQUEST_TURNED_AWAY: EventKind = kind("MP1602", Level::Info, "request turned away");
+pub const REQUEST_UNANSWERED: EventKind = kind("MP1602", Level::Info, "request turned away");
 /// The caller left before the end.
 pub const CALLER_LEFT: EventKind = kind("MP1603", Level::Info, "caller left");
 /// An answer broke after its head had been passed on.
@@ -184,13 +185,13 @@
 /// Callers beyond the limit of connections were closed unread.
 pub const CALLERS_CLOSED: EventKind = kind("MP1609", Level::Info, "callers closed unread");
 /// An endpoint wants nothing from this process for a while.
-pub const REST_BEGUN: EventKind = kind("MP1610", Level::Info, "endpoint asks for rest");
+pub const REST_STARTED: EventKind = kind("MP1610", Level::Info, "endpoint asks for rest");
 /// An endpoint that rests asked for more.
-pub const REST_PROLONGED: EventKind = kind("MP1611", Level::Info, "endpoint asks for more rest");
+pub const REST_EXTENDED: EventKind = kind("MP1611", Level::Info, "endpoint asks for more rest");
 /// An endpoint that asked this process for rest may be sent to again.
-pub const REST_OVER: EventKind = kind("MP1612", Level::Info, "rest of endpoint is over");
+pub const REST_ENDED: EventKind = kind("MP1612", Level::Info, "rest of endpoint is over");
 /// An endpoint said in an answer that it leaves; this process sends it nothing more.
-pub const ENDPOINT_SAYS_LEAVING: EventKind = kind("MP1613", Level::Info, "endpoint says that it leaves");
+pub const ENDPOINT_LEAVING: EventKind = kind("MP1613", Level::Info, "endpoint says that it leaves");
 /// What an endpoint said of when to come back can't be read.
 pub const ADVICE_UNREADABLE: EventKind = kind("MP1614", Level::Warn, "advice of endpoint not readable");
 
@@ -200,13 +201,13 @@
     PROCESS_DRAINING,
     PROCESS_STOPPED,
     MACHINE_SUSPENDED,
-    SUSPENSIONS_UNSEEN,
+    SUSPENSION_UNDETECTABLE,
     SETTINGS_IN_FORCE,
-    SETTINGS_CUT_OFF,
+    SETTINGS_DISCONNECTED,
     SETTINGS_UNUSABLE,
     SESSION_OPEN,
     SESSION_LOST,
-    LEASE_OVER,
+    LEASE_EXPIRED,
     PLACEMENT_CHANGED,
     ENDPOINT_FAILED,
     ANSWER_MISMATCH,
@@ -214,7 +215,7 @@
     REQUEST_DONE,
     SHARD_STARTED,
     WIRE_MALFORMED,
-    ENGINE_MET,
+    ENGINE_SYNCED,
     SHARD_DECIDED,
     CACHE_UNKNOWN,
     CACHE_GAP,
@@ -225,16 +226,16 @@
     REQUEST_SUSPECTED,
     REQUEST_QUARANTINED,
     REQUEST_CLEARED,
-    STANDINGS_LEFT_OUT,
-    LIFT_ORDERED,
-    REPORT_OF_ANOTHER,
+    STANDINGS_SUPPRESSED,
+    QUARANTINE_LIFTED,
+    REPORT_MISMATCH,
     CUSTOMER_DECIDED,
     LEADER_ELECTED,
     LEADER_STEPPED_DOWN,
     GROUP_FORMED,
     GROUP_CHANGED,
     STORE_FAILED,
-    STORE_CUT,
+    STORE_TRUNCATED,
     CHANGE_ACCEPTED,
     CHANGE_REJECTED,
     STORE_REOPENED,
@@ -255,9 +256,9 @@
     KEEPER_FOLLOWED,
     KEEPER_LOST,
     SETTINGS_RELOADED,
-    SETTINGS_KEPT,
+    SETTINGS_NOT_RELOADED,
     REQUEST_ANSWERED,
-    REQUEST_TURNED_AWAY,
+    REQUEST_UNANSWERED,
     CALLER_LEFT,
     ANSWER_BROKEN,
     SEND_FAILED,
@@ -265,9 +266,9 @@
     LINES_DROPPED,
     GRANT_UNUSABLE,
     CALLERS_CLOSED,
-    REST_BEGUN,
-    REST_PROLONGED,
-    REST_OVER,
-    ENDPOINT_SAYS_LEAVING,
+    REST_STARTED,
+    REST_EXTENDED,
+    REST_ENDED,
+    ENDPOINT_LEAVING,
     ADVICE_UNREADABLE,
 ];
