--- a/crates/micaspool-daemon/src/arguments.rs
+++ b/crates/micaspool-daemon/src/arguments.rs
@@ -48,7 +48,7 @@
         std::process::exit(0);
     }
     let options = LogOptions {
-        target: settings.log_file.clone().map_or(LogTarget::Error, LogTarget::File),
+        target: settings.log_file.clone().map_or(LogTarget::Stderr, LogTarget::File),
         level: settings.log_level.clone(),
         instance: settings.instance.to_string(),
     };
--- a/crates/micaspool-telemetry/src/logging.rs
+++ b/crates/micaspool-telemetry/src/logging.rs
@@ -15,10 +15,10 @@
 pub enum LogTarget {
     /// Standard error, written by whoever logs.
     #[default]
-    Error,
+    Stderr,
     /// Standard output, written by a thread of its own. Whoever logs never waits: lines that cannot
     /// be written fast enough are dropped and counted.
-    Output,
+    Stdout,
     /// A file to append to.
     File(PathBuf),
 }
@@ -40,7 +40,7 @@
     /// The log file cannot be opened.
     File(PathBuf, std::io::Error),
     /// The process has a log already.
-    Twice,
+    AlreadyStarted,
 }
 
 impl fmt::Display for Error {
@@ -53,7 +53,7 @@
                     path.display()
                 )
             }
-            Error::Twice => f.write_str("the log was set up before; set it up once in a process"),
+            Error::AlreadyStarted => f.write_str("the log was set up before; set it up once in a process"),
         }
     }
 }
@@ -91,13 +91,13 @@
         });
     let dispatch = match &options.target {
         LogTarget::File(path) => dispatch.chain(open(path)?),
-        LogTarget::Error => dispatch.chain(std::io::stderr()),
-        LogTarget::Output => {
+        LogTarget::Stderr => dispatch.chain(std::io::stderr()),
+        LogTarget::Stdout => {
             let queue = QUEUE.get_or_init(LineQueue::start).clone();
             dispatch.chain(fern::Output::writer(Box::new(queue), "\n"))
         }
     };
-    dispatch.apply().map_err(|_| Error::Twice)
+    dispatch.apply().map_err(|_| Error::AlreadyStarted)
 }
 
 /// Waits until the lines logged so far are written, for a process that ends.
