--- a/crates/micaspool-dispatcher/src/service.rs
+++ b/crates/micaspool-dispatcher/src/service.rs
@@ -8,7 +8,7 @@
 use micaspool_dispatch::{SessionId, ShardEvent};
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_types::{RequestId, ServiceName};
-use micaspool_wire::convert::{lifted_digest, request_id, shard_event, shared_message};
+use micaspool_wire::convert::{lifted_digest, request_id, shard_event, shared_totals_message};
 use micaspool_wire::v1::{self, dispatch_server::Dispatch, router_message::Body};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -55,7 +55,7 @@
         };
         let own = own_totals(self.host.options(), &shard);
         take_totals(&shard, message).await;
-        Ok(Response::new(shared_message(&service, &own)))
+        Ok(Response::new(shared_totals_message(&service, &own)))
     }
 
     async fn lift(&self, request: Request<v1::LiftRequest>) -> Result<Response<v1::LiftReply>, Status> {
--- a/crates/micaspool-dispatcher/src/sharing.rs
+++ b/crates/micaspool-dispatcher/src/sharing.rs
@@ -7,7 +7,7 @@
 use micaspool_dispatch::{rank_candidates, RegionTotals, ShardEvent};
 use micaspool_settings::process::PeerAddress;
 use micaspool_types::{InstanceName, ServiceName};
-use micaspool_wire::convert::{region_totals, shared_message};
+use micaspool_wire::convert::{region_totals, shared_totals_message};
 use micaspool_wire::socket;
 use micaspool_wire::v1::{dispatch_client::DispatchClient, SharedTotals};
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
             continue;
         }
         for address in &addresses {
-            let message = shared_message(&service, &own_totals(&options, &shard));
+            let message = shared_totals_message(&service, &own_totals(&options, &shard));
             match exchange(*address, &mut channels, &options, message).await {
                 Some(answer) => take_totals(&shard, answer).await,
                 None => {
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -16,7 +16,7 @@
     AdviceRecord, Cost, CustomerName, EndpointName, Moment, OrderNumber, Refusal, RefusalKind, RequestId,
 };
 use micaspool_wire::convert::{
-    advice_message, crash_record, release_reason, request_bytes, request_id, settle_message, submit_message,
+    advice_message, crash_record, refusal_reason, request_bytes, request_id, settle_message, submit_message,
 };
 use micaspool_wire::v1::{self, router_message::Body};
 use std::collections::{HashMap, VecDeque};
@@ -338,7 +338,7 @@
     fn handle_refused(&mut self, refused: &v1::Refused) {
         let entry = request_id(&refused.request).ok().and_then(|request| self.waiting.remove(&request));
         let Some(entry) = entry else { return };
-        let kind = match release_reason(&refused.kind) {
+        let kind = match refusal_reason(&refused.kind) {
             RefusalReason::CustomerFull => RefusalKind::CustomerBacklogFull,
             RefusalReason::ShardFull => RefusalKind::FleetBacklogFull,
             RefusalReason::RetryBudget => RefusalKind::RetriesExhausted,
--- a/crates/micaspool-wire/src/convert.rs
+++ b/crates/micaspool-wire/src/convert.rs
@@ -223,7 +223,7 @@
 }
 
 /// What a shard has delivered, as a message.
-pub fn shared_message(service: &ServiceName, totals: &RegionTotals) -> v1::SharedTotals {
+pub fn shared_totals_message(service: &ServiceName, totals: &RegionTotals) -> v1::SharedTotals {
     let each = totals
         .totals
         .iter()
@@ -309,7 +309,7 @@
 }
 
 /// Why a ticket was refused, from text; an unknown text counts as a full shard.
-pub fn release_reason(text: &str) -> RefusalReason {
+pub fn refusal_reason(text: &str) -> RefusalReason {
     match text {
         CUSTOMER_FULL => RefusalReason::CustomerFull,
         RETRY_BUDGET => RefusalReason::RetryBudget,
