--- a/crates/micaspool-http/src/edge.rs
+++ b/crates/micaspool-http/src/edge.rs
@@ -1,11 +1,11 @@
-//! Serving HTTP/1.1 requests on kept connections, by `hyper`.
+//! HTTP/1.1 server with persistent connections, based on `hyper`.
 //!
-//! A caller that closes its connection ends the handling of its request: the handler's future, or the
-//! body that is being sent, is dropped. An answer whose body breaks ends with its connection, never
-//! with what looks like its end.
+//! If a caller closes its connection, the handler's future or the body that is being sent is dropped.
+//! If the body of a response fails, the connection is closed without the final chunk, so that the
+//! response never looks complete.
 
-use crate::pressure::{CallerTurns, TurnBudget};
-use crate::socket::tune;
+use crate::pressure::{CallerRotation, RoundBudget};
+use crate::socket::configure;
 use async_trait::async_trait;
 use bytes::Bytes;
 use futures::future::{select, Either, FutureExt};
@@ -28,27 +28,28 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The pause after accepting failed, for instance for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The least time between two connections that are refused. Refusing each of a flood takes the processor from those who
-/// are served.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(50);
-/// How many waiting connections are taken at once to find the newest; more wait for the next pause.
-const MOST_TAKEN: usize = 256;
-/// How long a connection that is refused may take for its request.
-const REFUSED_REQUEST: Duration = Duration::from_secs(1);
-/// How often it is looked how late tasks run, and how long a turn takes while a server is behind.
-const TURN: Duration = Duration::from_millis(50);
-/// How often a draining server looks whether everything has ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+/// The delay after a failed accept, for instance when file descriptors have run out. Also the delay before checking again
+/// whether the limit on open connections allows an accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The minimum time between two refusals. Refusing every connection of a flood would take processor time from the
+/// connections that are served.
+const REFUSAL_INTERVAL: Duration = Duration::from_millis(50);
+/// The maximum number of pending connections that are accepted at once. Further ones wait for the next round or refusal.
+const MAX_ACCEPT_BATCH: usize = 256;
+/// How long a refused connection may take to send its request head. The whole refusal may take twice as long.
+const REFUSED_REQUEST_LIMIT: Duration = Duration::from_secs(1);
+/// The interval at which the scheduling lag is measured, and the length of an accept round while the server is overloaded.
+const ROUND: Duration = Duration::from_millis(50);
+/// How often a draining server checks whether all connections have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why the body of an answer broke.
+/// Why reading the body of a response failed.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of an answer.
+/// The body of a response.
 pub type EdgeBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body that is there as a whole.
+/// Returns a body that consists of the given bytes.
 pub fn whole_body(bytes: impl Into<Bytes>) -> EdgeBody {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
@@ -56,34 +57,34 @@
 /// Handles requests.
 #[async_trait]
 pub trait EdgeHandler: Send + Sync + 'static {
-    /// The answer to a request. The future is dropped when the caller leaves.
+    /// Returns the response to a request. The future is dropped if the caller closes the connection.
     async fn handle(&self, request: Request<Incoming>) -> Response<EdgeBody>;
 
-    /// The answer to a request on a connection beyond those that are served.
+    /// Returns the response to a request on a connection above [`EdgeOptions::max_connections`].
     async fn refuse(&self, _head: request::Parts) -> Response<EdgeBody> {
         let mut response = Response::new(whole_body(""));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         response
     }
 
-    /// This many connections were closed unread: beyond those that are served, before one that is refused, or while the
-    /// server is behind.
+    /// Called with the number of connections that were closed without reading a request: older ones that were dropped in
+    /// favour of a refusal, or those that were not selected while the server is overloaded.
     fn record_closed(&self, _connections: usize) {}
 }
 
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct EdgeOptions {
-    /// The largest head, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// How long a connection may rest, and a head may take.
+    /// How long a connection may be idle, and how long a request head may take.
     pub idle_limit: Duration,
-    /// The most open connections that are served.
+    /// The maximum number of open connections that are served.
     pub max_connections: usize,
-    /// How many more are accepted to be refused at once; further ones wait unaccepted.
+    /// How many more connections may be open at a time to be refused. Above that, none is accepted.
     pub max_refused: usize,
-    /// True where callers may come back elsewhere: while tasks run late, connections are taken in turns between callers
-    /// and the others closed unread.
+    /// True if the server sheds load: while tasks run late, it serves as many connections as it can keep up with, shared
+    /// evenly by the callers, and closes the others unread. Suitable if callers can retry at another server.
     pub sheds_load: bool,
 }
 
@@ -99,7 +100,7 @@
     }
 }
 
-/// A server and its open connections.
+/// A handle to a server and its open connections.
 #[derive(Clone)]
 pub struct EdgeServer {
     shared: Arc<SharedState>,
@@ -110,8 +111,9 @@
     options: EdgeOptions,
     open: AtomicUsize,
     draining: AtomicBool,
-    /// How late tasks ran at the last look, in microseconds.
+    /// How late tasks ran at the last measurement, in microseconds.
     lag_micros: AtomicU64,
+    /// Closed once idle connections and the listener are to close; nothing is ever sent.
     closing: (async_std::channel::Sender<()>, async_std::channel::Receiver<()>),
 }
 
@@ -121,7 +123,7 @@
     }
 }
 
-/// Counts a connection for as long as it is open.
+/// Counts a connection as open until it is dropped.
 struct OpenConnection(Arc<SharedState>);
 
 impl Drop for OpenConnection {
@@ -131,7 +133,7 @@
 }
 
 impl EdgeServer {
-    /// A server that listens nowhere yet.
+    /// Creates a server that does not listen yet.
     pub fn new(handler: Arc<dyn EdgeHandler>, options: EdgeOptions) -> EdgeServer {
         let shared = SharedState {
             handler,
@@ -144,53 +146,52 @@
         EdgeServer { shared: Arc::new(shared) }
     }
 
-    /// Binds an address and serves it until the process ends; gives the bound address.
+    /// Binds an address, serves it in the background and returns the bound address.
     pub async fn listen(&self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address).await?;
         let bound = listener.local_addr()?;
         if self.shared.options.sheds_load {
-            tokio::spawn(watch_lag(self.shared.clone()));
+            tokio::spawn(measure_lag(self.shared.clone()));
         }
         tokio::spawn(accept(self.shared.clone(), listener));
         Ok(bound)
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections, including those being refused.
     pub fn open(&self) -> usize {
         self.shared.open.load(Ordering::SeqCst)
     }
 
-    /// Ends each connection after its next answer. New ones are still accepted, since balancers learn
-    /// late that this server stops.
+    /// Closes each connection after its next response. New connections are still accepted, because load balancers
+    /// notice with a delay that this server is stopping.
     pub fn drain(&self) {
         self.shared.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Takes nothing more from `close` on: connections that rest are closed, and new ones refused.
-    /// Waits until every connection has ended, from `close` on until `latest` at most; true when
-    /// nothing was left.
-    pub async fn drained(&self, close: BootInstant, latest: BootInstant) -> bool {
+    /// Closes the listener and idle connections at `close_at`, then waits until all connections have ended, until
+    /// `deadline` at most. Returns true if none was left.
+    pub async fn drained(&self, close_at: BootInstant, deadline: BootInstant) -> bool {
         loop {
             let now = BootInstant::now();
-            if now >= close {
+            if now >= close_at {
                 self.shared.closing.0.close();
             }
-            if self.open() == 0 && now >= close {
+            if self.open() == 0 && now >= close_at {
                 return true;
             }
-            if now >= latest {
+            if now >= deadline {
                 return false;
             }
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Notes how late tasks run, until the server ends.
-async fn watch_lag(shared: Arc<SharedState>) {
+/// Measures how late tasks run, until the server closes.
+async fn measure_lag(shared: Arc<SharedState>) {
     while !shared.closing.1.is_closed() {
-        let due = BootInstant::now() + TURN;
-        tokio::time::sleep(TURN).await;
+        let due = BootInstant::now() + ROUND;
+        tokio::time::sleep(ROUND).await;
         let lag = BootInstant::now().saturating_duration_since(due);
         let micros = u64::try_from(lag.as_micros()).unwrap_or(u64::MAX);
         shared.lag_micros.store(micros, Ordering::Relaxed);
@@ -203,23 +204,29 @@
     }
 }
 
-/// Takes what waits at the end of a turn, as far as the server keeps up with it, and closes the others unread.
-async fn take_turn(shared: &Arc<SharedState>, listener: &TcpListener, turns: &mut CallerTurns, most: usize) {
-    tokio::time::sleep(TURN).await;
+/// Waits for the end of a round, accepts the pending connections, serves up to `limit` of them and closes the others
+/// unread.
+async fn accept_round(
+    shared: &Arc<SharedState>,
+    listener: &TcpListener,
+    rotation: &mut CallerRotation,
+    limit: usize,
+) {
+    tokio::time::sleep(ROUND).await;
     let mut waiting: Vec<(TcpStream, IpAddr)> = Vec::new();
-    while waiting.len() < MOST_TAKEN {
+    while waiting.len() < MAX_ACCEPT_BATCH {
         match listener.accept().now_or_never() {
             Some(Ok((stream, caller))) => waiting.push((stream, caller.ip())),
             Some(Err(_)) | None => break,
         }
     }
     let open = shared.open.load(Ordering::SeqCst);
-    let room = shared.options.max_connections.saturating_sub(open);
+    let available = shared.options.max_connections.saturating_sub(open);
     let callers: Vec<IpAddr> = waiting.iter().map(|(_, caller)| *caller).collect();
-    let served = turns.served_places(&callers, most.min(room));
+    let served = rotation.select_served(&callers, limit.min(available));
     shared.handler.record_closed(waiting.len() - served.len());
-    for (place, (stream, _)) in waiting.into_iter().enumerate() {
-        if served.binary_search(&place).is_ok() {
+    for (index, (stream, _)) in waiting.into_iter().enumerate() {
+        if served.binary_search(&index).is_ok() {
             shared.open.fetch_add(1, Ordering::SeqCst);
             tokio::spawn(serve(OpenConnection(shared.clone()), stream));
         }
@@ -227,20 +234,20 @@
 }
 
 async fn accept(shared: Arc<SharedState>, listener: TcpListener) {
-    let mut budget = TurnBudget::default();
-    let mut turns = CallerTurns::default();
+    let mut budget = RoundBudget::default();
+    let mut rotation = CallerRotation::default();
     let mut observed = BootInstant::now();
     loop {
-        if shared.options.sheds_load && observed.elapsed() >= TURN {
+        if shared.options.sheds_load && observed.elapsed() >= ROUND {
             observed = BootInstant::now();
             budget.observe(shared.lag());
         }
-        if let (Some(most), false) = (budget.get(), shared.closing.1.is_closed()) {
-            take_turn(&shared, &listener, &mut turns, most).await;
+        if let (Some(limit), false) = (budget.get(), shared.closing.1.is_closed()) {
+            accept_round(&shared, &listener, &mut rotation, limit).await;
             continue;
         }
         if shared.open.load(Ordering::SeqCst) >= shared.options.max_connections + shared.options.max_refused {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         }
         let accepted = listener.accept();
@@ -257,35 +264,35 @@
                 if before < shared.options.max_connections {
                     tokio::spawn(serve(connection, stream));
                 } else {
-                    let (newest, closed) = newest_waiting(&listener, stream);
+                    let (newest, closed) = newest_pending(&listener, stream);
                     shared.handler.record_closed(closed);
-                    tokio::spawn(turn_away(connection, newest));
-                    tokio::time::sleep(REFUSAL_PAUSE).await;
+                    tokio::spawn(serve_refusal(connection, newest));
+                    tokio::time::sleep(REFUSAL_INTERVAL).await;
                 }
             }
-            // The peer reset before it was accepted, or descriptors ran out; both pass.
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            // The peer reset the connection before it was accepted, or file descriptors ran out. Both are temporary.
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// The newest of the connections that wait; the others are closed unread. Taken oldest first, each of a flood would have
-/// left when its turn came.
-fn newest_waiting(listener: &TcpListener, oldest: TcpStream) -> (TcpStream, usize) {
+/// Returns the newest pending connection and the number of older ones, which are closed unread. In a flood that is
+/// accepted oldest first, each caller would have given up before it is accepted.
+fn newest_pending(listener: &TcpListener, oldest: TcpStream) -> (TcpStream, usize) {
     let mut newest = oldest;
-    for closed in 0..MOST_TAKEN {
+    for closed in 0..MAX_ACCEPT_BATCH {
         match listener.accept().now_or_never() {
             Some(Ok((next, _))) => newest = next,
-            // Nobody waits; or one that was reset, after which the next pause goes on.
+            // No connection is pending, or one was reset; those behind it are left for the next call.
             Some(Err(_)) | None => return (newest, closed),
         }
     }
-    (newest, MOST_TAKEN)
+    (newest, MAX_ACCEPT_BATCH)
 }
 
 async fn serve(connection: OpenConnection, stream: TcpStream) {
     let shared = &connection.0;
-    if tune(&stream).is_err() {
+    if configure(&stream).is_err() {
         return;
     }
     let service = service_fn(|request| answer(shared, request));
@@ -296,7 +303,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let closing = shared.closing.1.recv();
     pin_mut!(served, closing);
-    // A connection that breaks concerns its caller alone; the handler has logged its request.
+    // An error on the connection affects only its caller, and the handler has logged the request.
     match select(served.as_mut(), closing).await {
         Either::Left(_) => {}
         Either::Right(_) => {
@@ -306,21 +313,21 @@
     }
 }
 
-/// Takes one request and refuses it. Left unaccepted, callers of a server that is full would wait in vain.
-async fn turn_away(connection: OpenConnection, stream: TcpStream) {
+/// Reads one request and refuses it. If a full server left its callers unaccepted, they would wait without any response.
+async fn serve_refusal(connection: OpenConnection, stream: TcpStream) {
     let shared = &connection.0;
-    if tune(&stream).is_err() {
+    if configure(&stream).is_err() {
         return;
     }
     let service = service_fn(|request| refuse(shared, request));
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .keep_alive(false)
-        .header_read_timeout(REFUSED_REQUEST)
+        .header_read_timeout(REFUSED_REQUEST_LIMIT)
         .max_buf_size(shared.options.max_head_bytes.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
-    // A connection that breaks concerns its caller alone; the handler has logged its request.
-    let _ = tokio::time::timeout(REFUSED_REQUEST * 2, served).await;
+    // An error on the connection affects only its caller, and the handler has logged the request.
+    let _ = tokio::time::timeout(REFUSED_REQUEST_LIMIT * 2, served).await;
 }
 
 async fn refuse(
@@ -328,12 +335,12 @@
     request: Request<Incoming>,
 ) -> Result<Response<EdgeBody>, Infallible> {
     let (head, mut body) = request.into_parts();
-    // Bytes that nobody reads would reset the connection before the answer is there.
+    // Closing a connection with unread bytes would reset it before the caller has read the response.
     while let Some(Ok(_)) = body.frame().await {}
     Ok(shared.handler.refuse(head).await)
 }
 
-/// The smallest buffer that `hyper` accepts.
+/// The smallest buffer size that `hyper` accepts, in bytes.
 const MIN_BUFFER: usize = 8 * 1024;
 
 async fn answer(
--- a/crates/micaspool-http/src/pressure.rs
+++ b/crates/micaspool-http/src/pressure.rs
@@ -1,74 +1,76 @@
-//! Which waiting connections are served while a server is behind.
+//! Selects which pending connections an overloaded server serves.
 //!
-//! The load this is made for: one caller opens a thousand connections a second at one server, ten times what its share of a
-//! processor serves. Accepted as they come, all of them wait in the server, everyone's answers come later and later, and in
-//! the end nobody is answered in time. So a server that is behind takes only as many connections as it keeps up with,
-//! shared evenly by the callers' addresses and the newest of each first, since its older ones are the likeliest to have
-//! been given up. The others are closed unread, which says to their callers that nothing has run.
+//! This handles a flood such as a single caller that opens a thousand connections a second at one server, ten times what
+//! the server's share of a processor can serve. If all of them were accepted, they would queue in the server and response
+//! times would grow for every caller until none is answered in time. An overloaded server therefore serves only as many
+//! connections as it can keep up with. They are shared evenly between the callers' addresses, the newest connection of
+//! each address first, because older ones are more likely to have been given up. The others are closed unread, which
+//! tells their callers that no request has run.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::ops::Bound;
 use std::time::Duration;
 
-/// A server whose tasks run this much later than they were due is behind.
-const BEHIND: Duration = Duration::from_millis(60);
-/// One whose tasks run no later than this has caught up.
-const CAUGHT_UP: Duration = Duration::from_millis(20);
-/// How many connections are taken in the first turn after a server fell behind.
-const FIRST_BUDGET: usize = 16;
-/// The fewest connections that are taken in a turn.
-const LEAST_BUDGET: usize = 1;
-/// A server that can take this many in a turn is no longer behind.
-const FULL_BUDGET: usize = 64;
+/// A server is overloaded if its tasks run at least this much late.
+const OVERLOAD_LAG: Duration = Duration::from_millis(60);
+/// A server has recovered if its tasks run at most this much late.
+const RECOVERED_LAG: Duration = Duration::from_millis(20);
+/// The budget of the first round after a server became overloaded.
+const INITIAL_BUDGET: usize = 16;
+/// The smallest budget of a round.
+const MIN_BUDGET: usize = 1;
+/// A recovered server whose budget has reached this is no longer limited.
+const MAX_BUDGET: usize = 64;
 
-/// How many connections a server takes in each turn, as it falls behind and catches up.
+/// Limits the number of connections that a server accepts in each round, based on its scheduling lag.
 #[derive(Debug, Default)]
-pub struct TurnBudget {
-    /// `None` while the server keeps up and takes whatever comes.
+pub struct RoundBudget {
+    /// `None` while the server is not overloaded and accepts every connection.
     budget: Option<usize>,
 }
 
-impl TurnBudget {
-    /// Takes in how late tasks run. The budget halves in each turn in which they are late, and grows by one in each
-    /// other.
+impl RoundBudget {
+    /// Updates the budget from the lag of the last round. It halves in each round in which tasks run late, and grows by
+    /// one in every other round.
     pub fn observe(&mut self, lag: Duration) {
         self.budget = match self.budget {
-            None if lag < BEHIND => None,
-            None => Some(FIRST_BUDGET),
-            Some(budget) if lag >= BEHIND => Some((budget / 2).max(LEAST_BUDGET)),
-            Some(budget) if lag <= CAUGHT_UP && budget >= FULL_BUDGET => None,
-            Some(budget) => Some((budget + 1).min(FULL_BUDGET)),
+            None if lag < OVERLOAD_LAG => None,
+            None => Some(INITIAL_BUDGET),
+            Some(budget) if lag >= OVERLOAD_LAG => Some((budget / 2).max(MIN_BUDGET)),
+            Some(budget) if lag <= RECOVERED_LAG && budget >= MAX_BUDGET => None,
+            Some(budget) => Some((budget + 1).min(MAX_BUDGET)),
         };
     }
 
-    /// The most connections that are taken in this turn; `None` for all.
+    /// Returns the maximum number of connections to accept in this round, or `None` for no limit.
     pub fn get(&self) -> Option<usize> {
         self.budget
     }
 }
 
-/// Whose turn it is.
+/// Round-robin over the addresses of callers.
 #[derive(Debug, Default)]
-pub struct CallerTurns {
-    /// The caller that was served last.
+pub struct CallerRotation {
+    /// The address that was served last.
     last: Option<IpAddr>,
 }
 
-impl CallerTurns {
-    /// The places of the connections to serve, of those that wait in this order: `budget` of them, in turns between the
-    /// callers' addresses from the one after the last that was served, the newest of each first.
-    pub fn served_places(&mut self, waiting: &[IpAddr], budget: usize) -> Vec<usize> {
+impl CallerRotation {
+    /// Returns the indices into `waiting` of the connections to serve, in ascending order: at most `budget` of them,
+    /// round-robin over the callers' addresses, starting after the address served last, newest connection first. `waiting`
+    /// lists the connections from oldest to newest.
+    pub fn select_served(&mut self, waiting: &[IpAddr], budget: usize) -> Vec<usize> {
         let mut by_caller: BTreeMap<IpAddr, Vec<usize>> = BTreeMap::new();
-        for (place, caller) in waiting.iter().enumerate() {
-            by_caller.entry(*caller).or_default().push(place);
+        for (index, caller) in waiting.iter().enumerate() {
+            by_caller.entry(*caller).or_default().push(index);
         }
         let mut served = Vec::new();
         while served.len() < budget {
             let Some(caller) = self.next_caller(&by_caller) else { break };
-            let places = by_caller.get_mut(&caller).expect("it is one of them");
-            served.extend(places.pop());
-            if places.is_empty() {
+            let indices = by_caller.get_mut(&caller).expect("`caller` is a key of the map");
+            served.extend(indices.pop());
+            if indices.is_empty() {
                 by_caller.remove(&caller);
             }
             self.last = Some(caller);
@@ -77,7 +79,7 @@
         served
     }
 
-    /// The first caller after the last that was served, in the order of addresses, else the first of all.
+    /// Returns the first address after the one served last, in ascending order, wrapping around at the end.
     fn next_caller(&self, by_caller: &BTreeMap<IpAddr, Vec<usize>>) -> Option<IpAddr> {
         let after = self.last.map_or(Bound::Unbounded, Bound::Excluded);
         let next = by_caller.range((after, Bound::Unbounded)).next().or_else(|| by_caller.iter().next());
--- a/crates/micaspool-http/src/server/mod.rs
+++ b/crates/micaspool-http/src/server/mod.rs
@@ -17,9 +17,9 @@
 use std::time::Duration;
 
 /// How often a draining server counts its requests.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The pause after an error of the listener.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
@@ -151,7 +151,7 @@
             pin_mut!(accepted, stopped);
             match select(accepted, stopped).await {
                 Either::Left((Ok((stream, _)), _)) => self.accept(stream),
-                Either::Left((Err(_), _)) => task::sleep(ACCEPT_PAUSE).await,
+                Either::Left((Err(_), _)) => task::sleep(ACCEPT_RETRY_DELAY).await,
                 Either::Right(_) => return,
             }
         }
@@ -175,7 +175,7 @@
     pub async fn drained(&self, limit: Duration) -> bool {
         let wait = async {
             while self.busy() > 0 {
-                task::sleep(DRAIN_LOOK).await;
+                task::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         timeout(limit, wait).await.is_ok()
--- a/crates/micaspool-http/src/socket.rs
+++ b/crates/micaspool-http/src/socket.rs
@@ -16,7 +16,7 @@
 const PROBES: u32 = 2;
 
 /// Sets a stream up so that a peer that vanished without a word is noticed within seconds.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive =
@@ -30,6 +30,6 @@
     let stream = tokio::time::timeout(limit, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "no connection in time"))??;
-    tune(&stream)?;
+    configure(&stream)?;
     Ok(stream)
 }
