--- a/crates/micaspool-http/src/client.rs
+++ b/crates/micaspool-http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calling endpoints and other HTTP/1.1 servers; each request has its own connection.
+//! HTTP/1.1 client based on `async-h1`; each request has its own connection.
 
 use crate::stall::StallTimer;
 use async_std::future::timeout;
@@ -13,32 +13,32 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Limits of one call.
+/// Time limits of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct CallLimits {
-    /// How long connecting may take.
+    /// The time limit for establishing the connection.
     pub connect: Duration,
-    /// How long the server may be silent, before its head and between parts of its body.
+    /// How long the server may send nothing, before the response head and between parts of the body.
     pub silence: Duration,
 }
 
 /// Why a call failed.
 #[derive(Debug)]
 pub enum Error {
-    /// No connection was made; no byte of the request was sent.
+    /// The connection could not be established, so no byte of the request was sent.
     Unreachable(io::Error),
-    /// The server was silent for too long after the connection was made.
+    /// The server sent nothing for too long after the connection was established.
     Silent,
-    /// The connection broke or the answer was not HTTP.
+    /// The connection failed, or the response was not HTTP.
     Broken,
-    /// The answer's length is missing, doubled or contradicted.
+    /// The length of the response body is missing, ambiguous or malformed.
     Length,
-    /// The server sent an interim answer that nobody asked for.
+    /// The server sent an unsolicited interim response (status 1xx).
     Interim,
 }
 
 impl Error {
-    /// True when no byte of the request can have reached the server.
+    /// Returns true if no byte of the request can have reached the server.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Error::Unreachable(_))
     }
@@ -51,19 +51,21 @@
             Error::Silent => {
                 f.write_str("the server was silent for too long; check its load or raise the limit")
             }
-            Error::Broken => f.write_str("the connection broke before the answer's head; check the server"),
-            Error::Length => f.write_str("the answer has no single body length; mend the server"),
-            Error::Interim => f.write_str("the server sent an interim answer; mend the server"),
+            Error::Broken => {
+                f.write_str("the connection failed before a complete response head; check the server")
+            }
+            Error::Length => f.write_str("the response has no unambiguous body length; fix the server"),
+            Error::Interim => f.write_str("the server sent an interim response; fix the server"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Sends a request on a new connection and gives the answer once its head is there.
+/// Sends a request on a new connection and returns the response as soon as its head has arrived.
 ///
-/// Reading the answer's body fails when it ends before its length, and when the server is silent
-/// for too long.
+/// Reading the body fails if it ends before its declared length, or if the server sends nothing for too
+/// long.
 pub async fn call(address: SocketAddr, request: Request, limits: CallLimits) -> Result<Response, Error> {
     let stream = connect(address, limits.connect).await?;
     let mut response = match timeout(limits.silence, async_h1::connect(stream, request)).await {
@@ -75,21 +77,21 @@
         return Err(Error::Interim);
     }
     let length = answer_length(&response)?;
-    let body = WatchedBody::new(response.take_body(), length, limits.silence);
+    let body = CheckedBody::new(response.take_body(), length, limits.silence);
     let declared = length.and_then(|length| usize::try_from(length).ok());
     response.set_body(Body::from_reader(async_std::io::BufReader::new(body), declared));
     Ok(response)
 }
 
 async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, Error> {
-    let late = || Error::Unreachable(io::ErrorKind::TimedOut.into());
-    let stream = timeout(limit, TcpStream::connect(address)).await.map_err(|_| late())?;
+    let timed_out = || Error::Unreachable(io::ErrorKind::TimedOut.into());
+    let stream = timeout(limit, TcpStream::connect(address)).await.map_err(|_| timed_out())?;
     let stream = stream.map_err(Error::Unreachable)?;
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
 
-/// The length of an answer's body: known, or `None` when it comes in chunks.
+/// Returns the length of the response body, or `None` if it is chunked.
 fn answer_length(response: &Response) -> Result<Option<u64>, Error> {
     if matches!(response.status(), StatusCode::NoContent | StatusCode::NotModified) {
         return Ok(Some(0));
@@ -106,28 +108,28 @@
     }
 }
 
-/// A body that must be whole and must not be silent for too long.
-struct WatchedBody {
+/// A body that checks its length and the time between reads.
+struct CheckedBody {
     body: Body,
-    missing: Option<u64>,
+    remaining: Option<u64>,
     stall: StallTimer,
 }
 
-impl WatchedBody {
-    fn new(body: Body, missing: Option<u64>, silence: Duration) -> WatchedBody {
-        WatchedBody { body, missing, stall: StallTimer::new(silence) }
+impl CheckedBody {
+    fn new(body: Body, remaining: Option<u64>, silence: Duration) -> CheckedBody {
+        CheckedBody { body, remaining, stall: StallTimer::new(silence) }
     }
 
-    fn poll_silence(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         self.stall.poll_stalled(cx).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    fn account(&mut self, count: usize) -> io::Result<usize> {
-        self.stall.moved();
-        match &mut self.missing {
-            Some(missing) if count == 0 && *missing > 0 => Err(io::ErrorKind::UnexpectedEof.into()),
-            Some(missing) => {
-                *missing = missing.saturating_sub(count as u64);
+    fn record_read(&mut self, count: usize) -> io::Result<usize> {
+        self.stall.reset();
+        match &mut self.remaining {
+            Some(remaining) if count == 0 && *remaining > 0 => Err(io::ErrorKind::UnexpectedEof.into()),
+            Some(remaining) => {
+                *remaining = remaining.saturating_sub(count as u64);
                 Ok(count)
             }
             None => Ok(count),
@@ -135,13 +137,13 @@
     }
 }
 
-impl Read for WatchedBody {
+impl Read for CheckedBody {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         match Pin::new(&mut this.body).poll_read(cx, buf) {
-            Poll::Ready(Ok(count)) => Poll::Ready(this.account(count)),
+            Poll::Ready(Ok(count)) => Poll::Ready(this.record_read(count)),
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
-            Poll::Pending => this.poll_silence(cx),
+            Poll::Pending => this.poll_timeout(cx),
         }
     }
 }
--- a/crates/micaspool-http/src/edge.rs
+++ b/crates/micaspool-http/src/edge.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 server with persistent connections, based on `hyper`.
 //!
 //! If a caller closes its connection, the handler's future or the body that is being sent is dropped.
-//! If the body of a response fails, the connection is closed without the final chunk, so that the
-//! response never looks complete.
+//! If the body of a response fails, the connection is closed before the end of the body, so
+//! that the response never looks complete.
 
 use crate::pressure::{CallerRotation, RoundBudget};
 use crate::socket::configure;
@@ -39,7 +39,7 @@
 /// How long a refused connection may take to send its request head. The whole refusal may take twice as long.
 const REFUSED_REQUEST_LIMIT: Duration = Duration::from_secs(1);
 /// The interval at which the scheduling lag is measured, and the length of an accept round while the server is overloaded.
-const ROUND: Duration = Duration::from_millis(50);
+const ROUND_LENGTH: Duration = Duration::from_millis(50);
 /// How often a draining server checks whether all connections have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -190,8 +190,8 @@
 /// Measures how late tasks run, until the server closes.
 async fn measure_lag(shared: Arc<SharedState>) {
     while !shared.closing.1.is_closed() {
-        let due = BootInstant::now() + ROUND;
-        tokio::time::sleep(ROUND).await;
+        let due = BootInstant::now() + ROUND_LENGTH;
+        tokio::time::sleep(ROUND_LENGTH).await;
         let lag = BootInstant::now().saturating_duration_since(due);
         let micros = u64::try_from(lag.as_micros()).unwrap_or(u64::MAX);
         shared.lag_micros.store(micros, Ordering::Relaxed);
@@ -212,7 +212,7 @@
     rotation: &mut CallerRotation,
     limit: usize,
 ) {
-    tokio::time::sleep(ROUND).await;
+    tokio::time::sleep(ROUND_LENGTH).await;
     let mut waiting: Vec<(TcpStream, IpAddr)> = Vec::new();
     while waiting.len() < MAX_ACCEPT_BATCH {
         match listener.accept().now_or_never() {
@@ -238,7 +238,7 @@
     let mut rotation = CallerRotation::default();
     let mut observed = BootInstant::now();
     loop {
-        if shared.options.sheds_load && observed.elapsed() >= ROUND {
+        if shared.options.sheds_load && observed.elapsed() >= ROUND_LENGTH {
             observed = BootInstant::now();
             budget.observe(shared.lag());
         }
--- a/crates/micaspool-http/src/head.rs
+++ b/crates/micaspool-http/src/head.rs
@@ -1,22 +1,22 @@
-//! Checks of a request head before it is decoded.
+//! Checks a request head before it is decoded.
 
 use std::fmt;
 
-/// The most header lines that a head may have.
+/// The maximum number of header lines in a head.
 const MAX_HEADERS: usize = 96;
-/// The two line ends after which a head is over.
+/// The end of a head: an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// How long the body of a request is.
+/// The length of a request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyLength {
     /// This many bytes.
     Known(u64),
-    /// It comes in chunks.
+    /// The body is chunked.
     Chunked,
 }
 
-/// What the checks read from a head.
+/// The parts of a checked head that the server uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
     /// The method in capitals.
@@ -25,13 +25,13 @@
     pub target: String,
     /// The length of the body.
     pub body: BodyLength,
-    /// The value of `Authorization`, if there is one.
+    /// The value of `Authorization`, if the head has exactly one.
     pub authorization: Option<String>,
-    /// False when the caller wants the connection closed.
+    /// True if the connection may stay open: HTTP/1.1 without `Connection: close`.
     pub keep_alive: bool,
 }
 
-/// What is wrong with a head.
+/// Why a head is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Error {
     /// It is not HTTP/1.x.
@@ -40,7 +40,7 @@
     TooManyHeaders,
     /// It has no `Host`, or more than one.
     Host,
-    /// It has lengths that differ or are no numbers, or a length and chunks together.
+    /// It has several lengths, one that is not a number, or both a length and a transfer coding.
     Length,
     /// It has a transfer coding other than `chunked`.
     TransferCoding,
@@ -60,12 +60,12 @@
 
 impl std::error::Error for Error {}
 
-/// The number of bytes of the head at the start of `bytes`, once it is whole.
+/// Returns the length in bytes of the head at the start of `bytes`, or `None` while it is incomplete.
 pub fn head_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(HEAD_END.len()).position(|window| window == HEAD_END).map(|start| start + HEAD_END.len())
 }
 
-/// Checks a whole head.
+/// Parses and checks a complete head.
 pub fn check_head(bytes: &[u8]) -> Result<RequestHead, Error> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut lines);
@@ -76,13 +76,13 @@
     }
     let method = request.method.ok_or(Error::Malformed)?.to_ascii_uppercase();
     let target = request.path.ok_or(Error::Malformed)?.to_owned();
-    let modern = request.version == Some(1);
+    let is_http11 = request.version == Some(1);
     let values = |name: &str| -> Vec<&[u8]> {
         let matching = request.headers.iter().filter(|line| line.name.eq_ignore_ascii_case(name));
         matching.map(|line| line.value).collect()
     };
     let hosts = values("host").len();
-    if hosts > 1 || (modern && hosts == 0) {
+    if hosts > 1 || (is_http11 && hosts == 0) {
         return Err(Error::Host);
     }
     let body = body_length(&values("content-length"), &values("transfer-encoding"))?;
@@ -95,7 +95,7 @@
         target,
         body,
         authorization: (authorizations.len() == 1).then(|| text(authorizations[0])),
-        keep_alive: modern && !connection.contains("close"),
+        keep_alive: is_http11 && !connection.contains("close"),
     })
 }
 
--- a/crates/micaspool-http/src/lib.rs
+++ b/crates/micaspool-http/src/lib.rs
@@ -1,14 +1,13 @@
-//! HTTP/1.1 towards callers, endpoints and operators.
+//! HTTP/1.1 servers and clients for callers, endpoints and operators.
 //!
-//! The fleet's edges stand on `hyper`: [`edge`] serves callers and [`pool`] calls endpoints over
-//! kept connections; both frame bodies exactly and follow a peer that leaves (design 006). [`pressure`] decides
-//! whom a server that is behind serves.
+//! [`edge`] serves callers and [`pool`] calls endpoints over persistent connections. Both are based on `hyper`, frame
+//! bodies exactly and detect a peer that closes its connection (design 006). [`pressure`] selects the connections that
+//! an overloaded server serves.
 //!
-//! The older edges stand on `async-h1`, with the checks it lacks:
-//! `async-h1` takes a body that ends early for a whole one, accepts two different lengths, and
-//! closes without an answer on a bad head. [`head`] checks each head before `async-h1` sees it,
-//! [`server`] and [`client`] count every body against its length, and no connection is used again
-//! after anything went wrong.
+//! [`server`] and [`client`] are older and based on `async-h1`. They add checks that it lacks: `async-h1` treats a body
+//! that ends early as complete, accepts two different lengths, and closes the connection without a response after a
+//! malformed head. [`head`] checks each head before `async-h1` decodes it, [`server`] and [`client`] compare every body
+//! with its length, and no connection is reused after an error.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-http/src/pool.rs
+++ b/crates/micaspool-http/src/pool.rs
@@ -1,8 +1,8 @@
-//! Calling endpoints over kept connections, by `hyper`.
+//! HTTP/1.1 client for endpoints with a connection pool, based on `hyper`.
 //!
-//! A connection carries one request at a time and goes back to the pool only after the whole answer
-//! was read. `hyper` closes one on which bytes arrive that no request asked for. Whether a request
-//! was sent at all is told apart from whether it was answered, since the first proves that it did not
+//! A connection carries one request at a time and returns to the pool only after the whole response
+//! was read. `hyper` closes a connection on which unsolicited bytes arrive. Errors distinguish requests
+//! that were not sent from those that got no response, because a request that was not sent cannot have
 //! run.
 
 use crate::socket;
@@ -22,17 +22,17 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// What is sent to an endpoint: a head and a whole body.
+/// A request whose body is in memory as a whole.
 pub type WholeRequest = Request<Full<Bytes>>;
 
-/// Times and sizes of a pool.
+/// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolOptions {
-    /// How long connecting may take.
+    /// The time limit for establishing a connection.
     pub connect_limit: Duration,
-    /// How long a connection may rest when its endpoint tells no time itself.
+    /// How long a connection may be idle if the endpoint sends no `Keep-Alive` timeout.
     pub idle_limit: Duration,
-    /// The most resting connections to one endpoint.
+    /// The maximum number of idle connections per endpoint.
     pub max_idle: usize,
 }
 
@@ -46,26 +46,26 @@
     }
 }
 
-/// The endpoints tell whole seconds; a connection is left alone this long before its time.
+/// A connection is not reused in this last part of the `Keep-Alive` timeout, which endpoints give in whole seconds.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// The longest rest, whatever an endpoint says.
-const LONGEST_IDLE: Duration = Duration::from_secs(8);
+/// The maximum idle time of a connection, whatever `Keep-Alive` timeout the endpoint sends.
+const MAX_KEEP_ALIVE: Duration = Duration::from_secs(8);
 
-/// Why there is no answer.
+/// Why a request got no response head.
 #[derive(Debug)]
 pub enum SendError {
-    /// No connection came up; the request was not sent.
+    /// The connection could not be established, so the request was not sent.
     Unreachable(std::io::Error),
-    /// The connection ended before the request was written; it was not sent.
+    /// The connection was closed before the request was written, so the request was not sent.
     NotSent,
-    /// It may not be sent any more; it was not.
+    /// The condition for sending no longer held, so the request was not sent. See [`EndpointPool::send_if`].
     Withheld,
-    /// The connection broke after the request may have been sent.
+    /// The connection failed after the request may have been sent.
     Broken(hyper::Error),
 }
 
 impl SendError {
-    /// True when the request provably was not sent.
+    /// Returns true if the request cannot have been sent.
     pub fn is_not_sent(&self) -> bool {
         !matches!(self, SendError::Broken(_))
     }
@@ -77,11 +77,13 @@
             SendError::Unreachable(error) => {
                 write!(f, "no connection ({error}); check that the endpoint runs")
             }
-            SendError::NotSent => {
-                f.write_str("the connection ended before the request was written; send it again")
+            SendError::NotSent => f.write_str(
+                "the connection was closed before the request was written; send the request again",
+            ),
+            SendError::Withheld => {
+                f.write_str("the endpoint accepts no requests at present; send the request to another one")
             }
-            SendError::Withheld => f.write_str("the endpoint wants nothing now; send it elsewhere"),
-            SendError::Broken(error) => write!(f, "the connection broke ({error}); check the endpoint"),
+            SendError::Broken(error) => write!(f, "the connection failed ({error}); check the endpoint"),
         }
     }
 }
@@ -90,10 +92,10 @@
 
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    until: BootInstant,
+    expires_at: BootInstant,
 }
 
-/// Connections to endpoints.
+/// A pool of connections to endpoints.
 pub struct EndpointPool {
     options: PoolOptions,
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
@@ -107,13 +109,13 @@
 }
 
 impl EndpointPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(options: PoolOptions) -> Arc<EndpointPool> {
         Arc::new(EndpointPool { options, idle: Mutex::default(), opened: Default::default() })
     }
 
-    /// Sends a request and gives the head of the answer; the body is read from it. Dropping the
-    /// future, or the body before its end, closes the connection.
+    /// Sends a request and returns the response as soon as its head has arrived. Dropping the future, or the
+    /// body before its end, closes the connection.
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -122,8 +124,8 @@
         self.send_if(address, request, || true).await
     }
 
-    /// Sends a request if that is still allowed right before its bytes go out: connecting takes time, and what made
-    /// a connection of no use may have changed more.
+    /// Sends a request if `may_send` still returns true immediately before the request is written. Connecting takes
+    /// time, and a closed idle connection may be the sign of a change at the endpoint.
     pub async fn send_if(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -132,7 +134,7 @@
     ) -> Result<Response<PooledBody>, SendError> {
         while let Some(sender) = self.take_idle(address) {
             if !may_send() {
-                self.put_back(address, sender);
+                self.return_unused(address, sender);
                 return Err(SendError::Withheld);
             }
             match self.send_on(address, sender, request).await {
@@ -143,18 +145,18 @@
         }
         let sender = self.connect(address).await?;
         if !may_send() {
-            self.put_back(address, sender);
+            self.return_unused(address, sender);
             return Err(SendError::Withheld);
         }
         self.send_on(address, sender, request).await.map_err(|(error, _)| error)
     }
 
-    /// How many connections were opened so far.
+    /// Returns the number of connections opened so far.
     pub fn opened(&self) -> u64 {
         self.opened.load(std::sync::atomic::Ordering::Relaxed)
     }
 
-    /// How many connections rest, and how many of them could take a request at this moment.
+    /// Returns the number of idle connections, and how many of them are ready for a request.
     pub fn idle_counts(&self) -> (usize, usize) {
         self.remove_expired();
         let idle = self.lock();
@@ -162,12 +164,12 @@
         (connections().count(), connections().filter(|connection| connection.sender.is_ready()).count())
     }
 
-    /// Closes connections that rested for too long, and those whose peer has closed.
+    /// Closes connections that were idle for too long and removes those closed by the peer.
     pub fn remove_expired(&self) {
         let now = BootInstant::now();
         let mut idle = self.lock();
         for connections in idle.values_mut() {
-            connections.retain(|connection| connection.until > now && !connection.sender.is_closed());
+            connections.retain(|connection| connection.expires_at > now && !connection.sender.is_closed());
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
@@ -178,12 +180,12 @@
         self.opened.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let (sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|_| SendError::NotSent)?;
-        // How the connection ends shows in the answer that was read from it.
+        // An error of the connection is also reported to the reader of the response.
         tokio::spawn(async move { drop(connection.await) });
         Ok(sender)
     }
 
-    /// Sends on one connection. A request that was not written comes back with the error.
+    /// Sends a request on the given connection. If it was not written, it is returned with the error.
     async fn send_on(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -199,20 +201,20 @@
                 })
             }
         };
-        let rest = self.rest_time(response.headers());
-        let connection = KeptConnection { pool: self.clone(), address, sender, rest };
+        let keep_alive = self.negotiated_keep_alive(response.headers());
+        let connection = PooledConnection { pool: self.clone(), address, sender, keep_alive };
         Ok(response.map(|body| PooledBody { body, connection: Some(connection) }))
     }
 
-    /// How long a connection may rest, by the `Keep-Alive` header of its last answer.
-    fn rest_time(&self, headers: &HeaderMap) -> Duration {
-        let told = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-        let seconds = told.and_then(|text| {
+    /// Returns how long a connection may be idle, from the `Keep-Alive` header of its last response.
+    fn negotiated_keep_alive(&self, headers: &HeaderMap) -> Duration {
+        let header = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+        let seconds = header.and_then(|text| {
             let mut fields = text.split(',').map(str::trim);
             fields.find_map(|field| field.strip_prefix("timeout="))?.parse::<u64>().ok()
         });
         match seconds {
-            Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN).min(LONGEST_IDLE),
+            Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN).min(MAX_KEEP_ALIVE),
             None => self.options.idle_limit,
         }
     }
@@ -221,47 +223,47 @@
         let now = BootInstant::now();
         let mut idle = self.lock();
         let connections = idle.get_mut(&address)?;
-        connections.retain(|connection| connection.until > now && !connection.sender.is_closed());
-        let place = connections.iter().rposition(|connection| connection.sender.is_ready())?;
-        Some(connections.remove(place).sender)
+        connections.retain(|connection| connection.expires_at > now && !connection.sender.is_closed());
+        let index = connections.iter().rposition(|connection| connection.sender.is_ready())?;
+        Some(connections.remove(index).sender)
     }
 
-    /// Keeps a connection on which nothing was sent.
-    fn put_back(self: &Arc<Self>, address: SocketAddr, sender: SendRequest<Full<Bytes>>) {
-        let rest = self.options.idle_limit;
-        self.put_idle(KeptConnection { pool: self.clone(), address, sender, rest });
+    /// Returns a connection to the pool on which nothing was sent.
+    fn return_unused(self: &Arc<Self>, address: SocketAddr, sender: SendRequest<Full<Bytes>>) {
+        let keep_alive = self.options.idle_limit;
+        self.insert_idle(PooledConnection { pool: self.clone(), address, sender, keep_alive });
     }
 
-    /// Closes the connections to an address that rest.
+    /// Closes the idle connections to an address.
     pub fn close_idle(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
-    fn put_idle(&self, connection: KeptConnection) {
-        let until = BootInstant::now() + connection.rest;
+    fn insert_idle(&self, connection: PooledConnection) {
+        let expires_at = BootInstant::now() + connection.keep_alive;
         let mut idle = self.lock();
         let connections = idle.entry(connection.address).or_default();
         if connections.len() < self.options.max_idle && !connection.sender.is_closed() {
-            connections.push(IdleConnection { sender: connection.sender, until });
+            connections.push(IdleConnection { sender: connection.sender, expires_at });
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
-        self.idle.lock().expect("no holder of the pool panics")
+        self.idle.lock().expect("no thread panics while it holds the lock")
     }
 }
 
-struct KeptConnection {
+struct PooledConnection {
     pool: Arc<EndpointPool>,
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    rest: Duration,
+    keep_alive: Duration,
 }
 
-/// The body of an endpoint's answer.
+/// The body of an endpoint's response. Returns its connection to the pool at the end.
 pub struct PooledBody {
     body: Incoming,
-    connection: Option<KeptConnection>,
+    connection: Option<PooledConnection>,
 }
 
 impl fmt::Debug for PooledBody {
@@ -271,20 +273,20 @@
 }
 
 impl PooledBody {
-    /// Gives the connection back once the whole body was read.
-    fn finish(&mut self) {
+    /// Returns the connection to the pool after the whole body was read.
+    fn release(&mut self) {
         if let Some(connection) = self.connection.take() {
             let pool = connection.pool.clone();
-            pool.put_idle(connection);
+            pool.insert_idle(connection);
         }
     }
 }
 
 impl Drop for PooledBody {
     fn drop(&mut self) {
-        // An empty body is at its end without ever being read.
+        // An empty body has reached its end without being polled.
         if self.body.is_end_stream() {
-            self.finish();
+            self.release();
         }
     }
 }
@@ -299,8 +301,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let frame = Pin::new(&mut self.body).poll_frame(cx);
         match &frame {
-            Poll::Ready(None) => self.finish(),
-            Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => self.finish(),
+            Poll::Ready(None) => self.release(),
+            Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => self.release(),
             Poll::Ready(Some(Err(_))) => self.connection = None,
             _ => {}
         }
--- a/crates/micaspool-http/src/replay.rs
+++ b/crates/micaspool-http/src/replay.rs
@@ -1,4 +1,4 @@
-//! A stream that first gives bytes that were read before.
+//! A stream that replays bytes that were already read.
 
 use async_std::io::{Read, Write};
 use async_std::net::TcpStream;
@@ -7,7 +7,8 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
 
-/// Gives `pending` bytes and then those of the stream, up to a budget; writes go to the stream.
+/// A stream that reads the pending bytes first and then from the underlying stream, up to a byte budget. Writes go to
+/// the underlying stream.
 ///
 /// Clones share the pending bytes and the budget.
 #[derive(Clone, Debug)]
@@ -20,25 +21,25 @@
 struct ReplayState {
     pending: Vec<u8>,
     position: usize,
-    /// How many more bytes may be given; `None` is without limit.
+    /// How many more bytes may be read; `None` for no limit.
     budget: Option<u64>,
 }
 
 impl ReplayStream {
-    /// A stream that gives `pending` first, and at most `budget` bytes in all.
+    /// Creates a stream that reads `pending` first, and at most `budget` bytes in total.
     pub fn new(stream: TcpStream, pending: Vec<u8>, budget: Option<u64>) -> ReplayStream {
         let state = ReplayState { pending, position: 0, budget };
         ReplayStream { stream, state: Arc::new(Mutex::new(state)) }
     }
 
-    /// The pending bytes that were not given.
-    pub fn take_rest(&self) -> Vec<u8> {
-        let mut state = self.state.lock().expect("no reader panics while it holds the state");
+    /// Removes and returns the pending bytes that were not read.
+    pub fn take_unread(&self) -> Vec<u8> {
+        let mut state = self.state.lock().expect("no thread panics while it holds the lock");
         let position = state.position;
-        let rest = state.pending.split_off(position);
+        let unread = state.pending.split_off(position);
         state.pending.clear();
         state.position = 0;
-        rest
+        unread
     }
 }
 
@@ -50,18 +51,18 @@
         }
     }
 
-    fn spend(&mut self, bytes: usize) {
+    fn consume(&mut self, bytes: usize) {
         if let Some(budget) = &mut self.budget {
             *budget = budget.saturating_sub(bytes as u64);
         }
     }
 
-    fn give_pending(&mut self, buf: &mut [u8]) -> usize {
-        let left = &self.pending[self.position..];
-        let count = left.len().min(buf.len());
-        buf[..count].copy_from_slice(&left[..count]);
+    fn read_pending(&mut self, buf: &mut [u8]) -> usize {
+        let remaining = &self.pending[self.position..];
+        let count = remaining.len().min(buf.len());
+        buf[..count].copy_from_slice(&remaining[..count]);
         self.position += count;
-        self.spend(count);
+        self.consume(count);
         count
     }
 }
@@ -69,17 +70,17 @@
 impl Read for ReplayStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        let mut state = this.state.lock().expect("no reader panics while it holds the state");
+        let mut state = this.state.lock().expect("no thread panics while it holds the lock");
         let allowed = state.allowed(buf.len());
         if allowed == 0 {
             return Poll::Ready(Ok(0));
         }
         if state.position < state.pending.len() {
-            return Poll::Ready(Ok(state.give_pending(&mut buf[..allowed])));
+            return Poll::Ready(Ok(state.read_pending(&mut buf[..allowed])));
         }
         let result = Pin::new(&mut this.stream).poll_read(cx, &mut buf[..allowed]);
         if let Poll::Ready(Ok(count)) = &result {
-            state.spend(*count);
+            state.consume(*count);
         }
         result
     }
--- a/crates/micaspool-http/src/server/connection.rs
+++ b/crates/micaspool-http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: reading heads and bodies, answering, refusing.
+//! Handles one connection: reads request heads and bodies, and writes responses and refusals.
 
 use super::{CallerRequest, CallerWatch, CountGuard, HttpServer};
 use crate::head::{check_head, head_end, BodyLength, RequestHead};
@@ -18,14 +18,15 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// How much is read from a connection at once.
+/// The size of a read from a connection, in bytes.
 const READ_BYTES: usize = 8 * 1024;
-/// How much unread input is thrown away before a connection closes, so that the caller reads the
-/// answer instead of a reset.
+/// How much unread input is discarded before a connection is closed, in bytes. Closing with unread input
+/// would reset the connection, and the caller would see the reset instead of the response.
 const DISCARD_BYTES: usize = 16 * 1024 * 1024;
+/// How long discarding may take.
 const DISCARD_LIMIT: Duration = Duration::from_secs(2);
 
-/// How a connection goes on after a request.
+/// What happens to a connection after a request.
 #[derive(PartialEq, Eq)]
 enum AfterRequest {
     KeepOpen,
@@ -37,7 +38,7 @@
         let mut pending = Vec::new();
         loop {
             match self.read_head(&stream, &mut pending).await {
-                HeadResult::Whole(end) => {
+                HeadResult::Complete(end) => {
                     let _busy = CountGuard::new(&self.busy);
                     if self.run_request(&stream, &mut pending, end).await == AfterRequest::Close {
                         return;
@@ -60,23 +61,23 @@
                 return if end > self.options.max_head_bytes {
                     HeadResult::Refused(RefusalKind::HeadTooLarge)
                 } else {
-                    HeadResult::Whole(end)
+                    HeadResult::Complete(end)
                 };
             }
             if pending.len() > self.options.max_head_bytes {
                 return HeadResult::Refused(RefusalKind::HeadTooLarge);
             }
-            let fresh = pending.is_empty();
+            let is_idle = pending.is_empty();
             match self.read_some(stream, pending, limit.saturating_sub(started.elapsed())).await {
-                ReadResult::Some if fresh => {
+                ReadResult::Data if is_idle => {
                     limit = self.options.head_limit;
                     started = micaspool_clock::BootInstant::now();
                 }
-                ReadResult::Some => {}
-                ReadResult::End if fresh => return HeadResult::Closed,
+                ReadResult::Data => {}
+                ReadResult::End if is_idle => return HeadResult::Closed,
                 ReadResult::End => return HeadResult::Refused(RefusalKind::MalformedRequest),
-                ReadResult::Late if fresh => return HeadResult::Closed,
-                ReadResult::Late => return HeadResult::Refused(RefusalKind::SlowRequest),
+                ReadResult::TimedOut if is_idle => return HeadResult::Closed,
+                ReadResult::TimedOut => return HeadResult::Refused(RefusalKind::SlowRequest),
             }
         }
     }
@@ -84,18 +85,18 @@
     async fn read_some(&self, stream: &TcpStream, pending: &mut Vec<u8>, limit: Duration) -> ReadResult {
         let mut chunk = [0; READ_BYTES];
         let mut reader = stream;
-        let fresh = pending.is_empty();
+        let is_idle = pending.is_empty();
         let result = {
             let read = reader.read(&mut chunk);
             let stopped = async {
-                match fresh {
+                match is_idle {
                     true => self.stop.1.recv().await.is_ok(),
                     false => std::future::pending().await,
                 }
             };
             pin_mut!(read, stopped);
             match timeout(limit, select(read, stopped)).await {
-                Err(_) => return ReadResult::Late,
+                Err(_) => return ReadResult::TimedOut,
                 Ok(Either::Left((Ok(count), _))) => count,
                 Ok(_) => 0,
             }
@@ -103,7 +104,7 @@
         pending.extend_from_slice(&chunk[..result]);
         match result {
             0 => ReadResult::End,
-            _ => ReadResult::Some,
+            _ => ReadResult::Data,
         }
     }
 
@@ -154,7 +155,7 @@
         if matches!(head.body, BodyLength::Known(length) if length != body.len() as u64) {
             return Err(malformed());
         }
-        *pending = replay.take_rest();
+        *pending = replay.take_unread();
         Ok(CallerRequest {
             id: self.handler.next_id(),
             request,
@@ -167,20 +168,20 @@
     async fn answer(&self, stream: &TcpStream, head: &RequestHead, request: CallerRequest) -> AfterRequest {
         let method = request.request.method();
         let mut response = self.handler.handle(request).await;
-        let reusable = head.keep_alive && head.body != BodyLength::Chunked && !self.is_stopping();
-        if !reusable {
+        let is_reusable = head.keep_alive && head.body != BodyLength::Chunked && !self.is_stopping();
+        if !is_reusable {
             response.insert_header("connection", "close");
         }
-        let written = self.write_response(stream, response, method).await;
-        if written && reusable {
+        let is_written = self.write_response(stream, response, method).await;
+        if is_written && is_reusable {
             AfterRequest::KeepOpen
         } else {
             AfterRequest::Close
         }
     }
 
-    /// Writes a response; false when the caller left or the body broke. A broken body leaves no
-    /// last chunk, so that the caller sees it.
+    /// Writes a response. Returns false if the caller closed the connection or the body failed. After a failed body
+    /// no last chunk is sent, so that the caller detects the failure.
     async fn write_response(&self, stream: &TcpStream, response: Response, method: Method) -> bool {
         let mut encoder = async_h1::server::Encoder::new(response, method);
         let mut chunk = vec![0; READ_BYTES];
@@ -194,7 +195,7 @@
                     return false;
                 }
             };
-            stall.moved();
+            stall.reset();
             if write_all(stream, &chunk[..count], &mut stall).await.is_err() {
                 return false;
             }
@@ -210,39 +211,39 @@
     }
 }
 
-/// Writes all bytes, unless the caller takes nothing for too long.
+/// Writes all bytes. Fails if no progress is made for the limit of `stall`.
 async fn write_all(stream: &TcpStream, mut bytes: &[u8], stall: &mut StallTimer) -> io::Result<()> {
     while !bytes.is_empty() {
-        let written = poll_fn(|cx| {
+        let write = poll_fn(|cx| {
             let mut writer = stream;
             match Pin::new(&mut writer).poll_write(cx, bytes) {
                 Poll::Pending => stall.poll_stalled(cx).map(|()| Err(io::ErrorKind::TimedOut.into())),
                 ready => ready,
             }
         });
-        let count = written.await?;
+        let count = write.await?;
         if count == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        stall.moved();
+        stall.reset();
         bytes = &bytes[count..];
     }
     Ok(())
 }
 
 enum HeadResult {
-    Whole(usize),
+    Complete(usize),
     Closed,
     Refused(RefusalKind),
 }
 
 enum ReadResult {
-    Some,
+    Data,
     End,
-    Late,
+    TimedOut,
 }
 
-/// Decodes a request with `async-h1` and reads its body, at most one byte beyond `limit`.
+/// Decodes a request with `async-h1` and reads its body, at most `limit` bytes and one more.
 async fn decode(replay: ReplayStream, limit: u64) -> Option<(Request, Vec<u8>)> {
     let (mut request, _) = async_h1::server::decode(replay).await.ok()??;
     let mut body = Vec::new();
@@ -251,6 +252,7 @@
     Some((request, body))
 }
 
+/// Reads and discards input until the end of the stream, a size limit or a time limit.
 async fn discard(stream: &TcpStream) {
     let mut reader = stream;
     let mut chunk = [0; READ_BYTES];
--- a/crates/micaspool-http/src/server/mod.rs
+++ b/crates/micaspool-http/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP/1.1 callers.
+//! HTTP/1.1 server based on `async-h1`.
 
 mod connection;
 
@@ -16,25 +16,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a draining server counts its requests.
+/// How often a draining server checks whether requests are running.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The pause after an error of the listener.
+/// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerOptions {
-    /// The largest head in bytes.
+    /// The maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// How long a head may take from its first byte.
+    /// How long a request head may take from its first byte.
     pub head_limit: Duration,
-    /// How long a body may take.
+    /// How long a request body may take.
     pub body_limit: Duration,
     /// How long a connection may be idle between requests.
     pub idle_limit: Duration,
-    /// How long one write to the caller may take.
+    /// How long writing a response may go without progress.
     pub write_limit: Duration,
-    /// The most connections at once.
+    /// The maximum number of open connections that are served.
     pub max_connections: usize,
 }
 
@@ -51,34 +51,34 @@
     }
 }
 
-/// A whole request.
+/// A request that was read completely.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// The id that the server gave it.
+    /// The id that the server assigned to the request.
     pub id: RequestId,
     /// The request with its headers; the body is in `body`.
     pub request: Request,
     /// The path with its query.
     pub target: String,
-    /// The whole body.
+    /// The body.
     pub body: Vec<u8>,
-    /// Tells whether the caller is still there.
+    /// Detects that the caller closes the connection.
     pub watch: CallerWatch,
 }
 
-/// Tells whether a caller is still there.
+/// Detects that a caller closes its connection.
 #[derive(Debug, Clone)]
 pub struct CallerWatch {
     stream: Option<TcpStream>,
 }
 
 impl CallerWatch {
-    /// A caller that never leaves, for those that embed a handler.
+    /// A watch that never fires, for code that calls a handler without a connection.
     pub fn detached() -> CallerWatch {
         CallerWatch { stream: None }
     }
 
-    /// Ends when the caller has closed its connection; never when it sends more instead.
+    /// Completes when the caller has closed its connection. Never completes if the caller sends more bytes instead.
     pub async fn hung_up(&self) {
         let mut byte = [0];
         match &self.stream {
@@ -91,27 +91,27 @@
     }
 }
 
-/// What answers requests.
+/// Handles requests.
 #[async_trait]
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Looks at a head before the body is read, and says how large the body may be.
+    /// Checks a request head before the body is read. Returns the maximum size of the body in bytes.
     fn admit(&self, head: &RequestHead) -> Result<u64, Refusal>;
 
-    /// A new request id.
+    /// Returns a new request id.
     fn next_id(&self) -> RequestId;
 
-    /// Answers a request.
+    /// Returns the response to a request.
     async fn handle(&self, request: CallerRequest) -> Response;
 }
 
-/// A server with the number of its open connections.
+/// A handle to a server, with the counts of its open connections and running requests.
 #[derive(Clone)]
 pub struct HttpServer {
     handler: Arc<dyn HttpHandler>,
     options: ServerOptions,
     open: Arc<AtomicUsize>,
     busy: Arc<AtomicUsize>,
-    /// Closed once the server shall stop; nothing is ever sent.
+    /// Closed when the server is to stop; nothing is ever sent.
     stop: (Sender<()>, Receiver<()>),
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-/// Ends the count of a connection or request when dropped.
+/// Counts a connection or request until it is dropped.
 struct CountGuard(Arc<AtomicUsize>);
 
 impl CountGuard {
@@ -138,7 +138,7 @@
 }
 
 impl HttpServer {
-    /// A server that answers with this handler.
+    /// Creates a server with the given handler.
     pub fn new(handler: Arc<dyn HttpHandler>, options: ServerOptions) -> HttpServer {
         HttpServer { handler, options, open: Arc::default(), busy: Arc::default(), stop: bounded(1) }
     }
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Takes no new connection and no new request from now on.
+    /// Stops accepting connections and requests. Running requests go on.
     pub fn stop(&self) {
         self.stop.0.close();
     }
@@ -166,12 +166,12 @@
         self.stop.1.is_closed()
     }
 
-    /// The number of requests that are being answered.
+    /// Returns the number of running requests.
     pub fn busy(&self) -> usize {
         self.busy.load(Ordering::SeqCst)
     }
 
-    /// Waits until no request is being answered, at most for `limit`; true when none is.
+    /// Waits until no request is running, at most for `limit`. Returns true if none is left.
     pub async fn drained(&self, limit: Duration) -> bool {
         let wait = async {
             while self.busy() > 0 {
--- a/crates/micaspool-http/src/socket.rs
+++ b/crates/micaspool-http/src/socket.rs
@@ -1,4 +1,4 @@
-//! Socket options of the fleet's edges.
+//! Socket options for connections to callers and endpoints.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
@@ -6,21 +6,21 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long sent bytes may stay unacknowledged before the peer counts as gone. Shorter than the two
-/// seconds after which callers give a silent stream up.
+/// How long sent bytes may stay unacknowledged before the connection fails (`TCP_USER_TIMEOUT`). It is below the
+/// two seconds after which callers give up a silent stream.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_800);
-/// How long a connection is silent before its peer is probed, the pause between probes, and how many
-/// go unanswered before the peer counts as gone.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
+/// TCP keep-alive: the idle time before the first probe, the interval between probes, and the number of
+/// unanswered probes after which the connection fails.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// Sets a stream up so that a peer that vanished without a word is noticed within seconds.
+/// Sets the options of a stream so that a peer that disappears without closing is detected within seconds.
 pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive =
-        TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_PAUSE).with_retries(PROBES);
+        TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL).with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))
 }
@@ -29,7 +29,7 @@
 pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(limit, TcpStream::connect(address))
         .await
-        .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "no connection in time"))??;
+        .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "connecting timed out"))??;
     configure(&stream)?;
     Ok(stream)
 }
--- a/crates/micaspool-http/src/stall.rs
+++ b/crates/micaspool-http/src/stall.rs
@@ -1,5 +1,4 @@
-//! Noticing that nothing has moved for too long, with a timer for each limit instead of one for
-//! each read or write.
+//! Detects I/O without progress, with one timer per time limit instead of one per read or write.
 
 use async_std::task;
 use micaspool_clock::BootInstant;
@@ -8,10 +7,10 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Tells when nothing has moved for a time limit.
+/// Fires when there was no progress for a time limit.
 pub struct StallTimer {
     limit: Duration,
-    moved: BootInstant,
+    last_progress: BootInstant,
     timer: Option<Pin<Box<dyn Future<Output = ()> + Send + Sync>>>,
 }
 
@@ -22,20 +21,20 @@
 }
 
 impl StallTimer {
-    /// A timer that begins now.
+    /// Creates a timer that starts now.
     pub fn new(limit: Duration) -> StallTimer {
-        StallTimer { limit, moved: BootInstant::now(), timer: None }
+        StallTimer { limit, last_progress: BootInstant::now(), timer: None }
     }
 
-    /// Notes that something has moved.
-    pub fn moved(&mut self) {
-        self.moved = BootInstant::now();
+    /// Records progress and starts the time limit again.
+    pub fn reset(&mut self) {
+        self.last_progress = BootInstant::now();
     }
 
-    /// Ready once nothing has moved for the limit. Call it while something else is pending.
+    /// Ready once there was no progress for the time limit. To be polled whenever the watched I/O is pending.
     pub fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
-            let left = self.limit.saturating_sub(self.moved.elapsed());
+            let left = self.limit.saturating_sub(self.last_progress.elapsed());
             if left.is_zero() {
                 return Poll::Ready(());
             }
--- a/crates/micaspool-http/src/status.rs
+++ b/crates/micaspool-http/src/status.rs
@@ -1,4 +1,4 @@
-//! The status port of a daemon: health, readiness, metrics and its own state as JSON.
+//! The status port of a daemon: health, readiness, metrics and the state of the daemon as JSON.
 
 use crate::head::RequestHead;
 use crate::server::{CallerRequest, HttpHandler, HttpServer, ServerOptions};
@@ -15,19 +15,19 @@
 /// The media type of the metrics text format.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What a daemon shows on its status port.
+/// Provides what a daemon publishes on its status port.
 pub trait StatusSource: Send + Sync + 'static {
-    /// True when the daemon can do its work.
+    /// Returns true if the daemon is ready to serve.
     fn is_ready(&self) -> bool;
 
-    /// All metrics in the OpenMetrics text format.
+    /// Returns all metrics in the OpenMetrics text format.
     fn metrics(&self) -> String;
 
-    /// The state of the daemon as a JSON object.
+    /// Returns the state of the daemon as a JSON object.
     fn state(&self) -> String;
 }
 
-/// Serves the status port until the process ends; gives the bound address.
+/// Binds the status port, serves it in the background and returns the bound address.
 pub async fn serve_status(address: SocketAddr, source: Arc<dyn StatusSource>) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address).await?;
     let bound = listener.local_addr()?;
