--- a/crates/micaspool-http/src/socket.rs
+++ b/crates/micaspool-http/src/socket.rs
@@ -19,8 +19,10 @@
 pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let keepalive =
-        TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL).with_retries(KEEPALIVE_PROBES);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))
 }
--- a/crates/micaspool-http/tests/edge.rs
+++ b/crates/micaspool-http/tests/edge.rs
@@ -1,4 +1,4 @@
-//! The checks that `async-h1` lacks, on both sides.
+//! Tests the checks that the server and the client add to `async-h1`.
 
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::{TcpListener, TcpStream};
@@ -28,7 +28,7 @@
 #[test_case("GET / HTTP/1.1\r\n\r\n", Err(HeadError::Host); "no host")]
 #[test_case("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", Err(HeadError::Host); "two hosts")]
 #[test_case("rubbish\r\n\r\n", Err(HeadError::Malformed); "rubbish")]
-fn heads(text: &str, expected: Result<BodyLength, HeadError>) {
+fn a_head_is_checked(text: &str, expected: Result<BodyLength, HeadError>) {
     assert_eq!(check_head(text.as_bytes()).map(|head| head.body), expected);
 }
 
@@ -57,7 +57,7 @@
 async fn start(options: ServerOptions) -> (SocketAddr, Arc<AtomicUsize>) {
     let handled = Arc::new(AtomicUsize::new(0));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let server = HttpServer::new(Arc::new(Echo { handled: handled.clone() }), options);
     task::spawn(async move { server.serve(listener).await });
     (address, handled)
@@ -75,7 +75,7 @@
 
 async fn raw(address: SocketAddr, text: &str, close: bool) -> String {
     let mut stream = TcpStream::connect(address).await.expect("the server listens");
-    stream.write_all(text.as_bytes()).await.expect("it reads");
+    stream.write_all(text.as_bytes()).await.expect("the server reads");
     if close {
         let _ = stream.shutdown(Shutdown::Write);
     }
@@ -90,7 +90,7 @@
 #[test_case("POST / HTTP/1.1\r\nHost", true, "400"; "cut head")]
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", true, "400"; "cut chunk")]
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1001\r\n\r\n", false, "413"; "large body")]
-fn a_request_that_is_not_whole_is_answered_and_never_handled(text: &str, close: bool, status: &str) {
+fn an_incomplete_request_is_refused_and_never_handled(text: &str, close: bool, status: &str) {
     task::block_on(async {
         let (address, handled) = start(quick()).await;
         let answer = raw(address, text, close).await;
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_caller_that_is_still_sending_a_large_body_reads_its_refusal() {
+fn a_caller_still_sending_a_large_body_reads_its_refusal() {
     task::block_on(async {
         let (address, _) = start(quick()).await;
         let body = "x".repeat(4_000_000);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn requests_on_one_connection_are_answered_in_turn_also_when_sent_together() {
+fn pipelined_requests_are_answered_in_order() {
     task::block_on(async {
         let (address, _) = start(quick()).await;
         let one = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\none";
@@ -123,11 +123,11 @@
 }
 
 #[test]
-fn too_many_connections_are_refused_and_others_go_on() {
+fn connections_above_the_limit_are_refused_and_others_go_on() {
     task::block_on(async {
         let (address, _) = start(ServerOptions { idle_limit: Duration::from_secs(5), ..quick() }).await;
-        let _first = TcpStream::connect(address).await.expect("it listens");
-        let _second = TcpStream::connect(address).await.expect("it listens");
+        let _first = TcpStream::connect(address).await.expect("the server listens");
+        let _second = TcpStream::connect(address).await.expect("the server listens");
         task::sleep(Duration::from_millis(100)).await;
         let refused = raw(address, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", false).await;
         assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
@@ -138,10 +138,11 @@
     });
 }
 
-/// Answers one connection with fixed bytes and closes it.
+/// Starts a server that answers one connection with fixed bytes and closes it. With an empty answer it stays silent for
+/// two seconds.
 async fn fixed(answer: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     task::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a caller");
         let mut head = [0; 1024];
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_whole_answer_is_read() {
+fn a_complete_response_is_read() {
     let body = task::block_on(call_fixed("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"));
     assert_eq!(body.expect("an answer").expect("a whole body"), "abc");
     let body = task::block_on(call_fixed(
@@ -172,7 +173,7 @@
     assert_eq!(body.expect("an answer").expect("a whole body"), "abc");
 }
 
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"; "short of its length")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"; "shorter than its length")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nabc"; "cut chunk")]
 fn a_body_that_ends_early_is_an_error(answer: &'static str) {
     let body = task::block_on(call_fixed(answer)).expect("a head");
@@ -184,16 +185,16 @@
 #[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"; "interim answer")]
 #[test_case("rubbish\r\n\r\n"; "rubbish")]
 #[test_case(""; "silence")]
-fn an_answer_that_is_not_one_is_an_error_that_may_have_run(answer: &'static str) {
+fn a_malformed_response_is_an_error_after_which_the_request_may_have_run(answer: &'static str) {
     let error = task::block_on(call_fixed(answer)).expect_err("no answer");
     assert!(!error.is_unsent(), "{error}");
 }
 
 #[test]
-fn no_connection_means_that_nothing_was_sent() {
+fn a_failed_connection_proves_that_nothing_was_sent() {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         drop(listener);
         let url = Url::parse(&format!("http://{address}/")).expect("a URL");
         let error = call(address, Request::new(Method::Get, url), LIMITS).await.expect_err("nobody listens");
--- a/crates/micaspool-http/tests/edge_server.rs
+++ b/crates/micaspool-http/tests/edge_server.rs
@@ -1,4 +1,4 @@
-//! The server for callers: who leaves, who stays, and what a stop does.
+//! Tests the edge server: callers that disconnect, connections above the limit, and draining.
 
 use async_std::task;
 use async_trait::async_trait;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Answers by path: `/slow` after 400 ms, `/stuck` never, `/broken` with a body that breaks.
+/// Responds by path: `/slow` after 400 ms, `/stuck` never, `/broken` with a body that fails, others at once.
 #[derive(Default)]
 struct PathHandler {
     dropped: Arc<AtomicUsize>,
@@ -63,13 +63,13 @@
 }
 
 fn send(address: SocketAddr, path: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time");
+    let mut stream = TcpStream::connect(address).expect("the server listens");
+    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a valid timeout");
     write!(stream, "GET {path} HTTP/1.1\r\nhost: h\r\n\r\n").expect("sent");
     stream
 }
 
-/// Everything until the server closes.
+/// Reads until the server closes the connection.
 fn read_all(mut stream: TcpStream) -> String {
     let mut text = Vec::new();
     let _ = stream.read_to_end(&mut text);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_handling_of_its_request() {
+fn a_disconnected_caller_ends_the_handling_of_its_request() {
     let (_server, address, dropped) = start();
     let stream = send(address, "/stuck");
     std::thread::sleep(Duration::from_millis(100));
@@ -90,48 +90,48 @@
 }
 
 #[test]
-fn a_body_that_breaks_does_not_look_complete() {
+fn a_failed_body_does_not_look_complete() {
     let (_server, address, _) = start();
     let text = read_all(send(address, "/broken"));
     assert!(text.contains("part") && !text.contains("\r\n0\r\n"), "{text}");
 }
 
 #[test]
-fn a_stop_finishes_what_runs_and_closes_what_rests() {
+fn draining_finishes_running_requests_and_closes_idle_connections() {
     let (server, address, _) = start();
-    let resting = TcpStream::connect(address).expect("it listens");
+    let idle = TcpStream::connect(address).expect("the server listens");
     let running = send(address, "/slow");
     std::thread::sleep(Duration::from_millis(100));
     server.drain();
     let now = BootInstant::now();
     let close = now + Duration::from_millis(200);
-    let whole = task::block_on(server.drained(close, now + Duration::from_secs(5)));
-    assert!(whole);
+    let ended = task::block_on(server.drained(close, now + Duration::from_secs(5)));
+    assert!(ended);
     assert!(now.elapsed() < Duration::from_secs(2), "{:?}", now.elapsed());
     let answer = read_all(running);
     assert!(answer.contains("200 OK") && answer.contains("connection: close"), "{answer}");
-    assert_eq!(read_all(resting), "");
-    assert!(TcpStream::connect(address).is_err(), "nothing new is taken after the close");
+    assert_eq!(read_all(idle), "");
+    assert!(TcpStream::connect(address).is_err(), "no connection is accepted after the close");
 }
 
 #[test]
-fn a_stop_answers_new_requests_until_balancers_had_time_to_notice() {
+fn a_draining_server_still_answers_new_connections() {
     let (server, address, _) = start();
     server.drain();
     let answer = read_all(send(address, "/"));
     assert!(answer.contains("200 OK") && answer.contains("connection: close"), "{answer}");
 }
 
-/// Symptom: a gateway said that it was ready and took none of 992 new connections in 4.4 s. Sequence: one caller's
-/// flood came to it alone, until it had as many connections as fit into its memory. Cause: further ones waited
-/// unaccepted, without a sign.
+/// Guards against a full server that leaves further connections unaccepted without a response. After one caller's flood
+/// had opened as many connections as fit into its memory, a gateway reported ready and accepted none of 992 new
+/// connections in 4.4 s.
 #[test]
-fn a_caller_beyond_the_limit_is_refused_at_once() {
+fn a_caller_above_the_limit_is_refused_at_once() {
     let options = EdgeOptions { max_connections: 2, max_refused: 2, ..EdgeOptions::default() };
     let server = EdgeServer::new(Arc::new(PathHandler::default()), options);
     let address = task::block_on(server.listen(([127, 0, 0, 1], 0).into())).expect("a free port");
     let ask = || {
-        let mut stream = TcpStream::connect(address).expect("it listens");
+        let mut stream = TcpStream::connect(address).expect("the server listens");
         stream.set_read_timeout(Some(Duration::from_millis(700))).expect("a timeout");
         stream.write_all(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nbody").expect("it is open");
         let mut answer = vec![0; 1_024];
@@ -152,19 +152,19 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
 }
 
-/// A gateway that was full took callers beyond its limit twenty a second, the ones that had waited longest first. Of
-/// 220 that came in a second each was taken after it had left, and none of 981 in 4.5 s was answered: lines
-/// `too-many-connections` 0 to 4 a second, beside a bound of twenty.
+/// Guards against refusing the oldest pending connections first. A full gateway accepted twenty callers a second above
+/// its limit, oldest first. At 220 new callers a second each had disconnected before it was accepted: none of 981 in
+/// 4.5 s got a response, and `too-many-connections` was logged 0 to 4 times a second instead of twenty.
 #[test]
-fn a_caller_is_refused_at_once_behind_many_that_have_left() {
-    const LEFT: usize = 60;
+fn a_caller_is_refused_at_once_behind_many_disconnected_ones() {
+    const DISCONNECTED: usize = 60;
     let options = EdgeOptions { max_connections: 1, max_refused: 4, ..EdgeOptions::default() };
     let server = EdgeServer::new(Arc::new(PathHandler::default()), options);
     let address = task::block_on(server.listen(([127, 0, 0, 1], 0).into())).expect("a free port");
     let _held = send(address, "/stuck");
     std::thread::sleep(Duration::from_millis(100));
-    for _ in 0..LEFT {
-        drop(TcpStream::connect(address).expect("it listens"));
+    for _ in 0..DISCONNECTED {
+        drop(TcpStream::connect(address).expect("the server listens"));
     }
     let began = BootInstant::now();
     let answer = read_all(send(address, "/"));
--- a/crates/micaspool-http/tests/pool.rs
+++ b/crates/micaspool-http/tests/pool.rs
@@ -1,4 +1,4 @@
-//! How answers of endpoints are framed, against endpoints written by hand.
+//! Tests response framing and connection reuse of the pool against hand-written endpoints.
 
 use async_std::task;
 use bytes::Bytes;
@@ -12,23 +12,24 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// What an endpoint does on one connection.
+/// What an endpoint does on a connection after a response.
 #[derive(Clone, Copy)]
-enum Ending {
+enum AfterResponse {
     /// Waits for the next request.
     Keep,
-    /// Closes properly.
+    /// Closes the connection normally.
     Close,
-    /// Closes with a reset.
+    /// Resets the connection.
     Reset,
 }
 
+/// Makes closing the stream reset the connection.
 fn reset(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     socket.set_linger(Some(Duration::ZERO)).expect("the option is known");
 }
 
-/// Reads a head and the body that it announces; false at the end of the connection.
+/// Reads a head and a body of the declared length. Returns false at the end of the connection.
 fn read_request(stream: &mut TcpStream) -> bool {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -44,10 +45,10 @@
     stream.read_exact(&mut vec![0; length]).is_ok()
 }
 
-/// An endpoint that gives the same bytes to each request and counts its connections.
-fn endpoint(answer: &'static str, ending: Ending) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts an endpoint that answers each request with the same bytes and counts its connections.
+fn endpoint(answer: &'static str, after: AfterResponse) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let connections = Arc::new(AtomicUsize::new(0));
     let counted = connections.clone();
     std::thread::spawn(move || {
@@ -57,10 +58,10 @@
             std::thread::spawn(move || {
                 while read_request(&mut stream) {
                     let _ = stream.write_all(answer.as_bytes());
-                    match ending {
-                        Ending::Keep => {}
-                        Ending::Close => return drop(stream.shutdown(Shutdown::Both)),
-                        Ending::Reset => {
+                    match after {
+                        AfterResponse::Keep => {}
+                        AfterResponse::Close => return drop(stream.shutdown(Shutdown::Both)),
+                        AfterResponse::Reset => {
                             std::thread::sleep(Duration::from_millis(20));
                             return reset(&stream);
                         }
@@ -76,7 +77,7 @@
     Request::post("/x").header("host", "h").body(Full::new(Bytes::from_static(b"body"))).expect("valid")
 }
 
-/// The status and the whole body, or whether head or body broke.
+/// Returns the status and the complete body, or whether the head or the body failed.
 async fn fetch(pool: &Arc<EndpointPool>, address: SocketAddr) -> Result<(u16, Bytes), &'static str> {
     let response = pool.send(address, request()).await.map_err(|_| "head")?;
     let status = response.status().as_u16();
@@ -84,73 +85,74 @@
     Ok((status, body.to_bytes()))
 }
 
-fn fetched(answer: &'static str, ending: Ending) -> Result<String, &'static str> {
-    let (address, _) = endpoint(answer, ending);
+fn fetched(answer: &'static str, after: AfterResponse) -> Result<String, &'static str> {
+    let (address, _) = endpoint(answer, after);
     let pool = EndpointPool::new(PoolOptions::default());
     let result = task::block_on(fetch(&pool, address));
     result.map(|(status, body)| format!("{status} {}", String::from_utf8_lossy(&body)))
 }
 
-#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", Ending::Keep => Ok("200 abc".into()); "whole")]
-#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc", Ending::Close => Err("body"); "shorter than its length")]
-#[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", Ending::Keep => Ok("200 abc".into()); "chunks")]
-#[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n", Ending::Close => Err("body"); "no last chunk")]
-#[test_case("HTTP/1.1 200 OK\r\n\r\nabc", Ending::Close => Ok("200 abc".into()); "ends with its connection")]
-#[test_case("HTTP/1.1 200 OK\r\n\r\nabc", Ending::Reset => Err("body"); "reset instead of an end")]
-#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabcd", Ending::Keep => Err("head"); "two lengths")]
-#[test_case("HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na", Ending::Keep => Ok("200 a".into()); "an interim answer first")]
-#[test_case("garbage\r\n\r\n", Ending::Close => Err("head"); "no answer")]
-#[test_case("", Ending::Close => Err("head"); "closed without an answer")]
-fn an_answer(answer: &'static str, ending: Ending) -> Result<String, &'static str> {
-    fetched(answer, ending)
+#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", AfterResponse::Keep => Ok("200 abc".into()); "whole")]
+#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc", AfterResponse::Close => Err("body"); "shorter than its length")]
+#[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", AfterResponse::Keep => Ok("200 abc".into()); "chunks")]
+#[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n", AfterResponse::Close => Err("body"); "no final chunk")]
+#[test_case("HTTP/1.1 200 OK\r\n\r\nabc", AfterResponse::Close => Ok("200 abc".into()); "ends with its connection")]
+#[test_case("HTTP/1.1 200 OK\r\n\r\nabc", AfterResponse::Reset => Err("body"); "reset instead of an end")]
+#[test_case("HTTP/1.1 200 OK\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabcd", AfterResponse::Keep => Err("head"); "two lengths")]
+#[test_case("HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na", AfterResponse::Keep => Ok("200 a".into()); "an interim answer first")]
+#[test_case("garbage\r\n\r\n", AfterResponse::Close => Err("head"); "no answer")]
+#[test_case("", AfterResponse::Close => Err("head"); "closed without an answer")]
+fn a_response_is_framed(answer: &'static str, after: AfterResponse) -> Result<String, &'static str> {
+    fetched(answer, after)
 }
 
 #[test]
-fn a_connection_is_used_again_after_a_whole_answer_only() {
+fn a_connection_is_reused_only_after_a_complete_response() {
     let whole = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc";
     let extra =
         "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nx";
-    let leaving = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 3\r\n\r\nabc";
-    let short_rest = "HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\ncontent-length: 3\r\n\r\nabc";
-    for (answer, expected) in [(whole, 1), (extra, 3), (leaving, 3), (short_rest, 3)] {
-        let (address, connections) = endpoint(answer, Ending::Keep);
+    let closing = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 3\r\n\r\nabc";
+    let short_keep_alive = "HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\ncontent-length: 3\r\n\r\nabc";
+    for (answer, expected) in [(whole, 1), (extra, 3), (closing, 3), (short_keep_alive, 3)] {
+        let (address, connections) = endpoint(answer, AfterResponse::Keep);
         let pool = EndpointPool::new(PoolOptions::default());
         for _ in 0..3 {
             let result = task::block_on(fetch(&pool, address)).expect("a whole answer");
             assert_eq!(result, (200, Bytes::from_static(b"abc")), "{answer}");
-            // The connection's task sees what lies behind the answer, or that it ended.
-            wait_for_resting(&pool, usize::from(expected == 1));
+            // The task of the connection detects extra bytes after the response, or that the connection was closed.
+            wait_for_idle(&pool, usize::from(expected == 1));
         }
         assert_eq!(connections.load(Ordering::SeqCst), expected, "{answer}");
     }
 }
 
-/// Waits until this many connections rest and can take a request.
-fn wait_for_resting(pool: &EndpointPool, count: usize) {
+/// Waits until exactly `count` connections are idle and all of them are ready for a request.
+fn wait_for_idle(pool: &EndpointPool, count: usize) {
     let end = Instant::now() + Duration::from_secs(10);
     while pool.idle_counts() != (count, count) {
-        assert!(Instant::now() < end, "{:?} rest instead of {count}", pool.idle_counts());
+        assert!(Instant::now() < end, "idle and ready: {:?}, expected {count} of each", pool.idle_counts());
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Once the end of a kept connection has arrived, nothing is sent on it any more. Before that nobody can
-/// tell, and the request counts as one that may have run.
+/// No request is sent on an idle connection once its close has been detected. Before that, a request may be sent and
+/// counts as one that may have run.
 #[test]
-fn a_kept_connection_that_the_endpoint_closed_costs_no_request() {
-    let (address, connections) = endpoint("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", Ending::Close);
+fn an_idle_connection_closed_by_the_endpoint_fails_no_request() {
+    let (address, connections) =
+        endpoint("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", AfterResponse::Close);
     let pool = EndpointPool::new(PoolOptions::default());
     for _ in 0..20 {
         assert!(task::block_on(fetch(&pool, address)).is_ok());
-        wait_for_resting(&pool, 0);
+        wait_for_idle(&pool, 0);
     }
     assert!(connections.load(Ordering::SeqCst) >= 20);
 }
 
 #[test]
-fn a_port_without_a_listener_proves_that_nothing_was_sent() {
+fn a_refused_connection_proves_that_nothing_was_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     drop(listener);
     let pool = EndpointPool::new(PoolOptions::default());
     let error = task::block_on(pool.send(address, request())).expect_err("nobody listens");
@@ -158,22 +160,23 @@
 }
 
 #[test]
-fn a_break_after_the_request_was_written_proves_nothing() {
-    let (address, _) = endpoint("", Ending::Reset);
+fn a_failure_after_the_request_was_written_proves_nothing() {
+    let (address, _) = endpoint("", AfterResponse::Reset);
     let pool = EndpointPool::new(PoolOptions::default());
     let error = task::block_on(pool.send(address, request())).expect_err("there is no answer");
     assert!(!error.is_not_sent(), "{error}");
 }
 
 #[test]
-fn what_is_withheld_while_it_connects_is_not_sent_and_its_connection_is_kept() {
-    let (address, connections) = endpoint("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", Ending::Keep);
+fn a_request_withheld_while_connecting_is_not_sent_and_its_connection_is_reused() {
+    let (address, connections) =
+        endpoint("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", AfterResponse::Keep);
     let pool = EndpointPool::new(PoolOptions::default());
     task::block_on(async {
         for _ in 0..2 {
             let error = pool.send_if(address, request(), || false).await.expect_err("it is withheld");
             assert!(matches!(error, SendError::Withheld) && error.is_not_sent());
-            // A new connection can take a request once its task has run.
+            // A new connection is ready for a request once its task has run.
             task::sleep(Duration::from_millis(20)).await;
         }
         assert!(fetch(&pool, address).await.is_ok());
@@ -183,13 +186,13 @@
     assert_eq!(pool.idle_counts(), (0, 0));
 }
 
-/// An endpoint that answers before it has read a long body gets the rest of that body, and nothing
-/// else in its place.
+/// If an endpoint responds before it has read a long body, the rest of that body follows on the connection, and no
+/// other request is sent in its place.
 #[test]
-fn the_rest_of_a_body_follows_an_early_answer() {
+fn the_rest_of_a_body_follows_an_early_response() {
     const LENGTH: usize = 8 * 1024 * 1024;
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let reader = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut head = Vec::new();
@@ -212,7 +215,10 @@
             let _ = response.into_body().collect().await;
         }
         let next = async_std::future::timeout(Duration::from_millis(300), fetch(&pool, address)).await;
-        assert!(next.is_err() || next.is_ok_and(|result| result.is_err()), "one connection was accepted");
+        assert!(
+            next.is_err() || next.is_ok_and(|result| result.is_err()),
+            "the endpoint accepts only one connection"
+        );
     });
-    assert!(reader.join().expect("the endpoint ran"), "other bytes came where the body was due");
+    assert!(reader.join().expect("the endpoint ran"), "the endpoint read other bytes in place of the body");
 }
