--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -108,7 +108,7 @@
                     field("known", known),
                     field("error", error),
                 ];
-                record(&events::HALL_ORDER_UNCERTAIN, &fields);
+                record(&events::HALL_ORDER_UNCONFIRMED, &fields);
                 Err(OrderError::NoMajority)
             }
         }
@@ -147,7 +147,7 @@
                 Ok(reply.in_force)
             }
             Err(error) => {
-                record(&events::PLAN_UNCERTAIN, &[field("number", offered.number), field("error", error)]);
+                record(&events::PLAN_UNCONFIRMED, &[field("number", offered.number), field("error", error)]);
                 Err(OrderError::NoMajority)
             }
         }
@@ -157,7 +157,7 @@
     pub async fn read(&self) -> Result<String, OrderError> {
         self.list_keepers();
         let reply = self.client.plan_confirmed(ORDER_LIMIT).await.map_err(|error| {
-            record(&events::PLAN_UNCERTAIN, &[field("order", "read"), field("error", error)]);
+            record(&events::PLAN_UNCONFIRMED, &[field("order", "read"), field("error", error)]);
             OrderError::NoMajority
         })?;
         match reply.plan {
--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -88,7 +88,7 @@
     async fn wait_after(&self, failures: u32) {
         if failures == MOST_FAILURES {
             let fields = [field("endpoint", &self.endpoint.name), field("failures", failures)];
-            record(&events::CACHE_UNKNOWN, &fields);
+            record(&events::CACHE_UNTRACKED, &fields);
         }
         let doublings = failures.saturating_sub(1).min(8);
         tokio::time::sleep((FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE)).await;
--- a/crates/micaspool-keeper/src/service.rs
+++ b/crates/micaspool-keeper/src/service.rs
@@ -318,9 +318,9 @@
 
 fn record_verdict(order: [EventField; 4], verdict: OrderVerdict) {
     let (kind, number) = match verdict {
-        OrderVerdict::InForce(number) => (&events::HALL_ORDER_TAKEN, number),
-        OrderVerdict::Overtaken(number) => (&events::HALL_ORDER_NOT_TAKEN, number),
-        OrderVerdict::TooManyHalls => (&events::HALL_ORDER_NOT_TAKEN, 0),
+        OrderVerdict::InForce(number) => (&events::HALL_ORDER_ACCEPTED, number),
+        OrderVerdict::Overtaken(number) => (&events::HALL_ORDER_REJECTED, number),
+        OrderVerdict::TooManyHalls => (&events::HALL_ORDER_REJECTED, 0),
     };
     let fields: Vec<EventField> = order.into_iter().chain([field("in_force", number)]).collect();
     record(kind, &fields);
--- a/crates/micaspool-telemetry/src/events.rs
+++ b/crates/micaspool-telemetry/src/events.rs
@@ -77,7 +77,7 @@
 /// A shard has learnt which prompt parts an engine keeps.
 pub const ENGINE_SYNCED: EventKind = kind("MP1303", Level::Info, "engine met");
 /// An engine does not tell what its cache keeps, or no longer; the shard goes by what it granted.
-pub const CACHE_UNKNOWN: EventKind = kind("MP1305", Level::Warn, "cache not followed");
+pub const CACHE_UNTRACKED: EventKind = kind("MP1305", Level::Warn, "cache not followed");
 /// Changes of an engine's cache were lost; it is asked for a whole list.
 pub const CACHE_GAP: EventKind = kind("MP1306", Level::Info, "cache changes lost");
 /// What a shard granted and refused lately, and in what state its endpoints are.
@@ -131,13 +131,13 @@
 /// A route plan was refused as faulty.
 pub const PLAN_REFUSED: EventKind = kind("MP1411", Level::Warn, "route plan refused");
 /// An order on the route plan got no clear answer from a majority.
-pub const PLAN_UNCERTAIN: EventKind = kind("MP1412", Level::Warn, "route plan order without a majority");
+pub const PLAN_UNCONFIRMED: EventKind = kind("MP1412", Level::Warn, "route plan order without a majority");
 /// An order about a data hall was taken by a majority.
-pub const HALL_ORDER_TAKEN: EventKind = kind("MP1413", Level::Info, "order about data hall taken");
+pub const HALL_ORDER_ACCEPTED: EventKind = kind("MP1413", Level::Info, "order about data hall taken");
 /// An order about a data hall changed nothing, since the contrary was ordered after it came in.
-pub const HALL_ORDER_NOT_TAKEN: EventKind = kind("MP1414", Level::Warn, "order about data hall not taken");
+pub const HALL_ORDER_REJECTED: EventKind = kind("MP1414", Level::Warn, "order about data hall not taken");
 /// An order about a data hall got no clear answer from a majority.
-pub const HALL_ORDER_UNCERTAIN: EventKind =
+pub const HALL_ORDER_UNCONFIRMED: EventKind =
     kind("MP1415", Level::Warn, "order about data hall without a majority");
 /// An endpoint has registered, or says that it drains or leaves.
 pub const ENDPOINT_STAGE: EventKind = kind("MP1501", Level::Info, "endpoint changed its stage");
@@ -217,7 +217,7 @@
     WIRE_MALFORMED,
     ENGINE_SYNCED,
     SHARD_DECIDED,
-    CACHE_UNKNOWN,
+    CACHE_UNTRACKED,
     CACHE_GAP,
     TICKET_REFUSED,
     ENDPOINT_CLOSED,
@@ -241,10 +241,10 @@
     STORE_REOPENED,
     PLAN_ACCEPTED,
     PLAN_REFUSED,
-    PLAN_UNCERTAIN,
-    HALL_ORDER_TAKEN,
-    HALL_ORDER_NOT_TAKEN,
-    HALL_ORDER_UNCERTAIN,
+    PLAN_UNCONFIRMED,
+    HALL_ORDER_ACCEPTED,
+    HALL_ORDER_REJECTED,
+    HALL_ORDER_UNCONFIRMED,
     ENDPOINT_STAGE,
     ENDPOINT_EXPIRED,
     ENDPOINT_RESTARTED,
