--- a/crates/micaspool-telemetry/src/lib.rs
+++ b/crates/micaspool-telemetry/src/lib.rs
@@ -1,11 +1,11 @@
-//! Numbered log events, spans and the counters that every process has.
+//! Numbered log events, trace spans, and the metrics that all processes share.
 //!
-//! * [`events`] is the catalogue; `docs/EVENTS.md` explains each entry,
-//! * [`limit`] bounds how many lines of a kind are written,
-//! * [`logging`] sets the log output up,
-//! * [`metrics`] writes metrics as text,
+//! * [`events`] is the catalogue of log events; `docs/EVENTS.md` explains each entry,
+//! * [`limit`] limits the rate of log lines of a kind,
+//! * [`logging`] sets up the log output,
+//! * [`metrics`] encodes metrics as text,
 //! * [`spans`] writes a span for each hop of a request as JSON lines,
-//! * [`traffic`] counts control bytes and messages.
+//! * [`traffic`] counts the bytes of control traffic.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-telemetry/src/limit.rs
+++ b/crates/micaspool-telemetry/src/limit.rs
@@ -1,44 +1,48 @@
-//! Bounds how many lines of a kind are written.
+//! Rate limits for log lines.
 
 use micaspool_clock::BootInstant;
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// For how long lines are counted together.
-const SPAN: Duration = Duration::from_secs(1);
+/// The length of the window in which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Bounds the lines of one kind in a second, and counts those that are left out.
+/// Limits the log lines of one kind per second, and counts the suppressed ones.
 #[derive(Debug)]
 pub struct LineLimit {
-    most: u32,
-    span: Mutex<LineSpan>,
+    max_per_second: u32,
+    window: Mutex<LineWindow>,
 }
 
 #[derive(Debug)]
-struct LineSpan {
+struct LineWindow {
     since: BootInstant,
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl LineLimit {
-    /// A limit of so many lines a second.
-    pub fn new(most: u32) -> LineLimit {
-        LineLimit { most, span: Mutex::new(LineSpan { since: BootInstant::now(), written: 0, left_out: 0 }) }
+    /// Creates a limit of `max_per_second` lines per second.
+    pub fn new(max_per_second: u32) -> LineLimit {
+        LineLimit {
+            max_per_second,
+            window: Mutex::new(LineWindow { since: BootInstant::now(), written: 0, suppressed: 0 }),
+        }
     }
 
-    /// The turn of a line: how many were left out since the last one that was written, if it may be written.
+    /// Returns `None` if the line is to be suppressed. Otherwise returns the number of lines suppressed since the last one
+    /// that was written.
     pub fn admit(&self) -> Option<u64> {
-        let mut span = self.span.lock().expect("nobody panics while counting lines");
-        if span.since.elapsed() >= SPAN {
-            span.since = BootInstant::now();
-            span.written = 0;
+        let mut window = self.window.lock().expect("no thread panics while it holds the lock");
+        if window.since.elapsed() >= WINDOW {
+            window.since = BootInstant::now();
+            window.written = 0;
         }
-        if span.written >= self.most {
-            span.left_out += 1;
+        if window.written >= self.max_per_second {
+            window.suppressed += 1;
             return None;
         }
-        span.written += 1;
-        Some(std::mem::take(&mut span.left_out))
+        window.written += 1;
+        Some(std::mem::take(&mut window.suppressed))
     }
 }
--- a/crates/micaspool-telemetry/src/logging.rs
+++ b/crates/micaspool-telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log output as JSON lines, by `fern`.
+//! Log output as JSON lines, based on `fern`.
 
 mod queue;
 
@@ -13,11 +13,11 @@
 /// Where log lines go.
 #[derive(Debug, Clone, Default)]
 pub enum LogTarget {
-    /// Standard error, written by whoever logs.
+    /// Standard error, written synchronously by the logging thread.
     #[default]
     Stderr,
-    /// Standard output, written by a thread of its own. Whoever logs never waits: lines that cannot
-    /// be written fast enough are dropped and counted.
+    /// Standard output, written by a thread of its own. Logging never blocks: lines that cannot be written fast enough
+    /// are dropped and counted.
     Stdout,
     /// A file to append to.
     File(PathBuf),
@@ -26,11 +26,11 @@
 /// Where and how much to log.
 #[derive(Debug, Clone, Default)]
 pub struct LogOptions {
-    /// Where lines go.
+    /// Where log lines go.
     pub target: LogTarget,
-    /// error, warn, info, debug or trace.
+    /// The most verbose level that is logged: off, error, warn, info, debug or trace. Info if it is none of these.
     pub level: String,
-    /// The instance name that each line carries.
+    /// The instance name in each line.
     pub instance: String,
 }
 
@@ -39,7 +39,7 @@
 pub enum Error {
     /// The log file cannot be opened.
     File(PathBuf, std::io::Error),
-    /// The process has a log already.
+    /// The process already has a logger.
     AlreadyStarted,
 }
 
@@ -53,7 +53,7 @@
                     path.display()
                 )
             }
-            Error::AlreadyStarted => f.write_str("the log was set up before; set it up once in a process"),
+            Error::AlreadyStarted => f.write_str("logging is already set up; set it up once per process"),
         }
     }
 }
@@ -69,10 +69,10 @@
     text: String,
 }
 
-/// The queue of the process, when it logs to standard output.
+/// The line queue of the process, if it logs to standard output.
 static QUEUE: OnceLock<LineQueue> = OnceLock::new();
 
-/// Sets the process's log up.
+/// Sets up the logger of the process. Only records of events are logged.
 pub fn start(options: LogOptions) -> Result<(), Error> {
     let level = options.level.parse().unwrap_or(LevelFilter::Info);
     let instance = options.instance;
@@ -100,7 +100,7 @@
     dispatch.apply().map_err(|_| Error::AlreadyStarted)
 }
 
-/// Waits until the lines logged so far are written, for a process that ends.
+/// Waits for a bounded time until all queued lines are written. To be called before the process ends.
 pub fn flush() {
     if let Some(queue) = QUEUE.get() {
         queue.drain();
--- a/crates/micaspool-telemetry/src/logging/queue.rs
+++ b/crates/micaspool-telemetry/src/logging/queue.rs
@@ -1,4 +1,4 @@
-//! Lines on their way to standard output.
+//! Writes log lines to standard output from a thread of its own.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,16 +6,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How many writes may wait; at some 300 bytes a line that is one megabyte.
-const QUEUED: usize = 4_096;
-/// How long lines are collected before they are written together.
-const COLLECT: Duration = Duration::from_millis(200);
-/// The most bytes that are written at once.
+/// The maximum number of queued writes. At about 300 bytes per line they take one megabyte.
+const MAX_QUEUED: usize = 4_096;
+/// How long lines are collected before they are written in one batch.
+const COLLECT_INTERVAL: Duration = Duration::from_millis(200);
+/// The size in bytes at which a batch is written without collecting more lines.
 const BATCH_BYTES: usize = 64 * 1024;
-/// How long a process that ends waits for its last lines.
+/// How long a process waits for the queue to drain before it ends.
 const DRAIN_LIMIT: Duration = Duration::from_millis(300);
 
-/// A bounded queue before standard output. Writing to it never waits.
+/// A bounded queue of lines for standard output. Writing to it never blocks; writes that do not fit are dropped and
+/// counted.
 #[derive(Debug, Clone)]
 pub(super) struct LineQueue {
     lines: SyncSender<Vec<u8>>,
@@ -24,19 +25,19 @@
 }
 
 impl LineQueue {
-    /// Starts the thread that writes.
+    /// Starts the writer thread.
     pub fn start() -> LineQueue {
-        let (lines, receiver) = sync_channel(QUEUED);
+        let (lines, receiver) = sync_channel(MAX_QUEUED);
         let queue = LineQueue { lines, pending: Arc::default(), dropped: Arc::default() };
         let (pending, dropped) = (queue.pending.clone(), queue.dropped.clone());
         std::thread::spawn(move || write_lines(&receiver, &pending, &dropped));
         queue
     }
 
-    /// Waits until the queue is empty, for a bounded time.
+    /// Waits until all queued lines are written, for [`DRAIN_LIMIT`] at most.
     pub fn drain(&self) {
-        let limit = Instant::now() + DRAIN_LIMIT;
-        while self.pending.load(Ordering::SeqCst) > 0 && Instant::now() < limit {
+        let deadline = Instant::now() + DRAIN_LIMIT;
+        while self.pending.load(Ordering::SeqCst) > 0 && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -61,27 +62,27 @@
     let mut batch = Vec::new();
     while let Ok(first) = lines.recv() {
         batch.extend_from_slice(&first);
-        let mut taken = 1;
-        let until = Instant::now() + COLLECT;
+        let mut write_count = 1;
+        let flush_at = Instant::now() + COLLECT_INTERVAL;
         while batch.len() < BATCH_BYTES {
-            match lines.recv_timeout(until.saturating_duration_since(Instant::now())) {
+            match lines.recv_timeout(flush_at.saturating_duration_since(Instant::now())) {
                 Ok(line) => {
                     batch.extend_from_slice(&line);
-                    taken += 1;
+                    write_count += 1;
                 }
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => break,
             }
         }
-        let lost = dropped.swap(0, Ordering::SeqCst);
-        if lost > 0 {
+        let dropped_count = dropped.swap(0, Ordering::SeqCst);
+        if dropped_count > 0 {
             let line = format!(
-                "{{\"level\":\"WARN\",\"event\":\"MP1607\",\"text\":\"log lines dropped count={lost}\"}}\n"
+                "{{\"level\":\"WARN\",\"event\":\"MP1607\",\"text\":\"log lines dropped count={dropped_count}\"}}\n"
             );
             batch.extend_from_slice(line.as_bytes());
         }
-        // Nobody can be told when standard output itself fails.
+        // An error of standard output cannot be reported anywhere.
         let _ = io::stdout().write_all(&batch).and_then(|()| io::stdout().flush());
         batch.clear();
-        pending.fetch_sub(taken, Ordering::SeqCst);
+        pending.fetch_sub(write_count, Ordering::SeqCst);
     }
 }
--- a/crates/micaspool-telemetry/src/spans.rs
+++ b/crates/micaspool-telemetry/src/spans.rs
@@ -1,4 +1,4 @@
-//! A span for each hop of a request, by `opentelemetry`, written as JSON lines.
+//! Trace spans for the hops of a request, based on `opentelemetry` and written as JSON lines.
 
 use opentelemetry::trace::{
     Span, SpanContext, SpanId, SpanKind, TraceContextExt, TraceFlags, TraceId, TraceState, Tracer,
@@ -26,7 +26,7 @@
     instance: Arc<str>,
 }
 
-/// One hop of a request; it ends when dropped.
+/// The span of one hop of a request. It ends when dropped.
 #[derive(Debug)]
 pub struct HopSpan {
     span: opentelemetry_sdk::trace::Span,
@@ -49,14 +49,14 @@
 }
 
 impl Default for SpanSink {
-    /// A sink that writes nothing.
+    /// Creates a sink that writes nothing.
     fn default() -> Self {
-        SpanSink::open(None, "").expect("without a file nothing is opened")
+        SpanSink::open(None, "").expect("no file is opened")
     }
 }
 
 impl SpanSink {
-    /// A sink that appends to a file, or writes nothing when there is none.
+    /// Creates a sink that appends to a file, or writes nothing if there is none.
     pub fn open(file: Option<&Path>, instance: &str) -> std::io::Result<SpanSink> {
         let file = match file {
             Some(path) => Some(Mutex::new(File::options().create(true).append(true).open(path)?)),
@@ -66,7 +66,7 @@
         Ok(SpanSink { tracer: provider.tracer("micaspool"), instance: Arc::from(instance) })
     }
 
-    /// Starts a span below the given `traceparent`, or a new trace when there is none.
+    /// Starts a span as a child of the given `traceparent`. Starts a new trace if there is none or it is malformed.
     pub fn start(&self, hop: &'static str, traceparent: Option<&str>) -> HopSpan {
         let parent = traceparent.and_then(parse_traceparent);
         let context = match parent {
@@ -81,14 +81,14 @@
 }
 
 impl HopSpan {
-    /// The W3C `traceparent` for whatever this hop calls.
+    /// Returns the W3C `traceparent` for the calls of this hop.
     pub fn traceparent(&self) -> String {
         let context = self.span.span_context();
         let flags = context.trace_flags().to_u8();
         format!("{TRACEPARENT_VERSION}-{}-{}-{flags:02x}", context.trace_id(), context.span_id())
     }
 
-    /// Adds a field. Customer keys and bodies must never be fields.
+    /// Sets a field. Customer keys and bodies must never be fields.
     pub fn set(&mut self, key: &'static str, value: impl ToString) {
         self.span.set_attribute(KeyValue::new(key, value.to_string()));
     }
@@ -119,7 +119,7 @@
             serde_json::to_writer(&mut lines, &span_line(data))?;
             lines.push(b'\n');
         }
-        let mut file = file.lock().expect("no writer panics while it holds the file");
+        let mut file = file.lock().expect("no thread panics while it holds the lock");
         file.write_all(&lines)
     }
 }
--- a/crates/micaspool-telemetry/src/traffic.rs
+++ b/crates/micaspool-telemetry/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Control traffic, counted at the sockets.
+//! Counts the bytes of control traffic at the sockets.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// The bytes of the control connections between this process and one kind of peer.
+/// Counts the bytes of the control connections between this process and one kind of peer. Clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficCounter {
     received: Arc<AtomicU64>,
@@ -23,22 +23,22 @@
 }
 
 impl TrafficCounter {
-    /// Counts bytes that came in.
+    /// Counts received bytes.
     pub fn add_received(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts bytes that went out.
+    /// Counts sent bytes.
     pub fn add_sent(&self, bytes: usize) {
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// All bytes received so far.
+    /// Returns the number of bytes received so far.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// All bytes sent so far.
+    /// Returns the number of bytes sent so far.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
@@ -58,21 +58,21 @@
         self
     }
 
-    /// Registers `micaspool_control_bytes`.
+    /// Registers the metric `micaspool_control_bytes`.
     pub fn register(&self, registry: &mut Registry) {
         let help = "Bytes of control traffic, counted at the sockets";
         registry.register("micaspool_control_bytes", help, self.family.clone());
     }
 
-    /// Brings the series up to date before they are read.
+    /// Updates the metrics from the counters. To be called before they are read.
     pub fn refresh(&self) {
         for (role, peer, counter) in &self.counters {
-            self.raise(role, peer, "received", counter.received());
-            self.raise(role, peer, "sent", counter.sent());
+            self.advance_to(role, peer, "received", counter.received());
+            self.advance_to(role, peer, "sent", counter.sent());
         }
     }
 
-    fn raise(&self, role: &'static str, peer: &'static str, direction: &'static str, total: u64) {
+    fn advance_to(&self, role: &'static str, peer: &'static str, direction: &'static str, total: u64) {
         let series = self.family.get_or_create(&TrafficLabels { role, peer, direction });
         series.inc_by(total.saturating_sub(series.get()));
     }
--- a/crates/micaspool-telemetry/tests/catalogue.rs
+++ b/crates/micaspool-telemetry/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events and its page agree both ways; spans are parsed and written.
+//! Tests that the event catalogue and `docs/EVENTS.md` list the same events, and how spans are parsed and written.
 
 use micaspool_telemetry::events::CATALOGUE;
 use micaspool_telemetry::spans::SpanSink;
@@ -12,9 +12,9 @@
 }
 
 #[test]
-fn the_page_and_the_code_list_the_same_events() {
+fn the_page_and_the_catalogue_list_the_same_events() {
     let code: BTreeSet<String> = CATALOGUE.iter().map(|kind| kind.number.to_owned()).collect();
-    assert_eq!(code.len(), CATALOGUE.len(), "a number is used twice");
+    assert_eq!(code.len(), CATALOGUE.len(), "an event number is used twice");
     assert_eq!(code, page_numbers());
 }
 
