--- a/crates/micaspool-http/src/pool.rs
+++ b/crates/micaspool-http/src/pool.rs
@@ -77,12 +77,10 @@
             SendError::Unreachable(error) => {
                 write!(f, "no connection ({error}); check that the endpoint runs")
             }
-            SendError::NotSent => f.write_str(
-                "the connection was closed before the request was written; send the request again",
-            ),
-            SendError::Withheld => {
-                f.write_str("the endpoint accepts no requests at present; send the request to another one")
+            SendError::NotSent => {
+                f.write_str("the connection ended before the request was written; send it again")
             }
+            SendError::Withheld => f.write_str("the endpoint takes no requests now; send it elsewhere"),
             SendError::Broken(error) => write!(f, "the connection failed ({error}); check the endpoint"),
         }
     }
--- a/crates/micaspool-http/src/server/connection.rs
+++ b/crates/micaspool-http/src/server/connection.rs
@@ -76,8 +76,8 @@
                 ReadResult::Data => {}
                 ReadResult::End if is_idle => return HeadResult::Closed,
                 ReadResult::End => return HeadResult::Refused(RefusalKind::MalformedRequest),
-                ReadResult::TimedOut if is_idle => return HeadResult::Closed,
-                ReadResult::TimedOut => return HeadResult::Refused(RefusalKind::SlowRequest),
+                ReadResult::Timeout if is_idle => return HeadResult::Closed,
+                ReadResult::Timeout => return HeadResult::Refused(RefusalKind::SlowRequest),
             }
         }
     }
@@ -96,7 +96,7 @@
             };
             pin_mut!(read, stopped);
             match timeout(limit, select(read, stopped)).await {
-                Err(_) => return ReadResult::TimedOut,
+                Err(_) => return ReadResult::Timeout,
                 Ok(Either::Left((Ok(count), _))) => count,
                 Ok(_) => 0,
             }
@@ -240,7 +240,7 @@
 enum ReadResult {
     Data,
     End,
-    TimedOut,
+    Timeout,
 }
 
 /// Decodes a request with `async-h1` and reads its body, at most `limit` bytes and one more.
--- a/crates/micaspool-http/tests/edge.rs
+++ b/crates/micaspool-http/tests/edge.rs
@@ -32,6 +32,7 @@
     assert_eq!(check_head(text.as_bytes()).map(|head| head.body), expected);
 }
 
+/// Responds with the body of the request and counts the handled requests.
 struct Echo {
     handled: Arc<AtomicUsize>,
 }
@@ -63,7 +64,8 @@
     (address, handled)
 }
 
-fn quick() -> ServerOptions {
+/// Short time limits and at most two connections.
+fn short_limits() -> ServerOptions {
     ServerOptions {
         head_limit: Duration::from_millis(200),
         body_limit: Duration::from_millis(200),
@@ -73,7 +75,8 @@
     }
 }
 
-async fn raw(address: SocketAddr, text: &str, close: bool) -> String {
+/// Sends the text as it is, closes the sending side if `close` is set, and returns everything the server sends.
+async fn exchange(address: SocketAddr, text: &str, close: bool) -> String {
     let mut stream = TcpStream::connect(address).await.expect("the server listens");
     stream.write_all(text.as_bytes()).await.expect("the server reads");
     if close {
@@ -92,8 +95,8 @@
 #[test_case("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1001\r\n\r\n", false, "413"; "large body")]
 fn an_incomplete_request_is_refused_and_never_handled(text: &str, close: bool, status: &str) {
     task::block_on(async {
-        let (address, handled) = start(quick()).await;
-        let answer = raw(address, text, close).await;
+        let (address, handled) = start(short_limits()).await;
+        let answer = exchange(address, text, close).await;
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer}");
         assert_eq!(handled.load(Ordering::SeqCst), 0);
     });
@@ -102,10 +105,10 @@
 #[test]
 fn a_caller_still_sending_a_large_body_reads_its_refusal() {
     task::block_on(async {
-        let (address, _) = start(quick()).await;
+        let (address, _) = start(short_limits()).await;
         let body = "x".repeat(4_000_000);
         let head = format!("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", body.len());
-        let answer = raw(address, &format!("{head}{body}"), false).await;
+        let answer = exchange(address, &format!("{head}{body}"), false).await;
         assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
     });
 }
@@ -113,10 +116,10 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     task::block_on(async {
-        let (address, _) = start(quick()).await;
+        let (address, _) = start(short_limits()).await;
         let one = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\none";
         let two = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nConnection: close\r\n\r\ntwo";
-        let answer = raw(address, &format!("{one}{two}"), false).await;
+        let answer = exchange(address, &format!("{one}{two}"), false).await;
         let (first, second) = (answer.find("one").expect("first"), answer.find("two").expect("second"));
         assert!(first < second);
     });
@@ -125,22 +128,23 @@
 #[test]
 fn connections_above_the_limit_are_refused_and_others_go_on() {
     task::block_on(async {
-        let (address, _) = start(ServerOptions { idle_limit: Duration::from_secs(5), ..quick() }).await;
+        let (address, _) =
+            start(ServerOptions { idle_limit: Duration::from_secs(5), ..short_limits() }).await;
         let _first = TcpStream::connect(address).await.expect("the server listens");
         let _second = TcpStream::connect(address).await.expect("the server listens");
         task::sleep(Duration::from_millis(100)).await;
-        let refused = raw(address, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", false).await;
+        let refused = exchange(address, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", false).await;
         assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
         drop(_first);
         task::sleep(Duration::from_millis(300)).await;
-        let served = raw(address, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", false).await;
+        let served = exchange(address, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", false).await;
         assert!(served.starts_with("HTTP/1.1 200"), "{served}");
     });
 }
 
 /// Starts a server that answers one connection with fixed bytes and closes it. With an empty answer it stays silent for
 /// two seconds.
-async fn fixed(answer: &'static str) -> SocketAddr {
+async fn start_fixed_server(answer: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("the listener is bound");
     task::spawn(async move {
@@ -156,7 +160,7 @@
 }
 
 async fn call_fixed(answer: &'static str) -> Result<Result<String, std::io::Error>, Error> {
-    let address = fixed(answer).await;
+    let address = start_fixed_server(answer).await;
     let url = Url::parse(&format!("http://{address}/")).expect("a URL");
     let mut response = call(address, Request::new(Method::Get, url), LIMITS).await?;
     let mut body = String::new();
--- a/crates/micaspool-http/tests/edge_server.rs
+++ b/crates/micaspool-http/tests/edge_server.rs
@@ -130,25 +130,27 @@
     let options = EdgeOptions { max_connections: 2, max_refused: 2, ..EdgeOptions::default() };
     let server = EdgeServer::new(Arc::new(PathHandler::default()), options);
     let address = task::block_on(server.listen(([127, 0, 0, 1], 0).into())).expect("a free port");
-    let ask = || {
+    let exchange = || {
         let mut stream = TcpStream::connect(address).expect("the server listens");
         stream.set_read_timeout(Some(Duration::from_millis(700))).expect("a timeout");
-        stream.write_all(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nbody").expect("it is open");
+        stream
+            .write_all(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\nbody")
+            .expect("the connection is open");
         let mut answer = vec![0; 1_024];
         let read = stream.read(&mut answer).unwrap_or(0);
         (stream, String::from_utf8_lossy(&answer[..read]).into_owned())
     };
-    let held = [ask(), ask()];
-    assert!(held.iter().all(|(_, answer)| answer.starts_with("HTTP/1.1 200")), "{held:?}");
+    let served = [exchange(), exchange()];
+    assert!(served.iter().all(|(_, answer)| answer.starts_with("HTTP/1.1 200")), "{served:?}");
     for _ in 0..5 {
-        let (mut stream, answer) = ask();
+        let (mut stream, answer) = exchange();
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
         assert!(answer.to_ascii_lowercase().contains("connection: close"), "{answer:?}");
         assert_eq!(stream.read(&mut [0; 16]).expect("closed"), 0);
     }
-    drop(held);
+    drop(served);
     std::thread::sleep(Duration::from_millis(100));
-    let (_stream, answer) = ask();
+    let (_stream, answer) = exchange();
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
 }
 
--- a/crates/micaspool-http/tests/pool.rs
+++ b/crates/micaspool-http/tests/pool.rs
@@ -85,7 +85,7 @@
     Ok((status, body.to_bytes()))
 }
 
-fn fetched(answer: &'static str, after: AfterResponse) -> Result<String, &'static str> {
+fn fetch_from(answer: &'static str, after: AfterResponse) -> Result<String, &'static str> {
     let (address, _) = endpoint(answer, after);
     let pool = EndpointPool::new(PoolOptions::default());
     let result = task::block_on(fetch(&pool, address));
@@ -103,7 +103,7 @@
 #[test_case("garbage\r\n\r\n", AfterResponse::Close => Err("head"); "no answer")]
 #[test_case("", AfterResponse::Close => Err("head"); "closed without an answer")]
 fn a_response_is_framed(answer: &'static str, after: AfterResponse) -> Result<String, &'static str> {
-    fetched(answer, after)
+    fetch_from(answer, after)
 }
 
 #[test]
