--- a/crates/micaspool-gateway/src/native.rs
+++ b/crates/micaspool-gateway/src/native.rs
@@ -7,7 +7,7 @@
 use http::header::{HeaderName, HeaderValue, AUTHORIZATION, CONTENT_TYPE, RETRY_AFTER};
 use http::{request, response, HeaderMap, Response};
 use micaspool_backpressure::{HeaderAdvice, DRAINING_REST};
-use micaspool_http::edge::{whole_body, EdgeBody};
+use micaspool_http::edge::{full_body, EdgeBody};
 use micaspool_types::{stable_hash, Refusal, RequestId};
 use serde_json::json;
 use std::time::Duration;
@@ -75,7 +75,7 @@
         if let Some(wait) = refusal.retry_after {
             response = response.header(RETRY_AFTER, wait.as_secs().max(1));
         }
-        response.body(whole_body(body.to_string())).expect("the headers are valid")
+        response.body(full_body(body.to_string())).expect("the headers are valid")
     }
 
     fn rewrite_headers(&self, headers: &mut HeaderMap, context: &ForwardContext<'_>) {
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -13,7 +13,7 @@
 use micaspool_backpressure::AdviceSource;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{GrantOutcome, RequestTicket};
-use micaspool_http::edge::{whole_body, EdgeBody};
+use micaspool_http::edge::{full_body, EdgeBody};
 use micaspool_http::pool::PooledBody;
 use micaspool_registry::{EndpointRecord, EndpointStage};
 use micaspool_router::GrantLease;
@@ -120,7 +120,7 @@
                 log.set_status(head.status.as_u16());
                 log.record_first_byte();
                 log.finish();
-                return Ok(Response::from_parts(head, whole_body(whole.to_bytes())));
+                return Ok(Response::from_parts(head, full_body(whole.to_bytes())));
             }
             Ok(Err(error)) => (error.to_string(), GrantOutcome::Severed),
             Err(_) => ("response body incomplete at the deadline".to_owned(), GrantOutcome::Broken),
--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -239,7 +239,7 @@
     if relay.body.is_end_stream() {
         let mut relay = relay;
         let _ = relay.finish();
-        return micaspool_http::edge::whole_body(Bytes::new());
+        return micaspool_http::edge::full_body(Bytes::new());
     }
     let chunks = unfold(relay, |mut relay| async move {
         let chunk = relay.next_chunk().await?;
--- a/crates/micaspool-http/src/edge.rs
+++ b/crates/micaspool-http/src/edge.rs
@@ -50,7 +50,7 @@
 pub type EdgeBody = UnsyncBoxBody<Bytes, BodyError>;
 
 /// Returns a body that consists of the given bytes.
-pub fn whole_body(bytes: impl Into<Bytes>) -> EdgeBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> EdgeBody {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
 
@@ -62,7 +62,7 @@
 
     /// Returns the response to a request on a connection above [`EdgeOptions::max_connections`].
     async fn refuse(&self, _head: request::Parts) -> Response<EdgeBody> {
-        let mut response = Response::new(whole_body(""));
+        let mut response = Response::new(full_body(""));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         response
     }
--- a/crates/micaspool-http/src/pool.rs
+++ b/crates/micaspool-http/src/pool.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 /// A request whose body is in memory as a whole.
-pub type WholeRequest = Request<Full<Bytes>>;
+pub type FullRequest = Request<Full<Bytes>>;
 
 /// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
@@ -117,7 +117,7 @@
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
-        request: WholeRequest,
+        request: FullRequest,
     ) -> Result<Response<PooledBody>, SendError> {
         self.send_if(address, request, || true).await
     }
@@ -127,7 +127,7 @@
     pub async fn send_if(
         self: &Arc<Self>,
         address: SocketAddr,
-        mut request: WholeRequest,
+        mut request: FullRequest,
         may_send: impl Fn() -> bool,
     ) -> Result<Response<PooledBody>, SendError> {
         while let Some(sender) = self.take_idle(address) {
@@ -188,8 +188,8 @@
         self: &Arc<Self>,
         address: SocketAddr,
         mut sender: SendRequest<Full<Bytes>>,
-        request: WholeRequest,
-    ) -> Result<Response<PooledBody>, (SendError, Option<WholeRequest>)> {
+        request: FullRequest,
+    ) -> Result<Response<PooledBody>, (SendError, Option<FullRequest>)> {
         let response = match sender.try_send_request(request).await {
             Ok(response) => response,
             Err(mut error) => {
--- a/crates/micaspool-http/tests/edge_server.rs
+++ b/crates/micaspool-http/tests/edge_server.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Incoming;
 use micaspool_clock::BootInstant;
-use micaspool_http::edge::{whole_body, BodyError, EdgeBody, EdgeHandler, EdgeOptions, EdgeServer};
+use micaspool_http::edge::{full_body, BodyError, EdgeBody, EdgeHandler, EdgeOptions, EdgeServer};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -50,7 +50,7 @@
             }
             _ => {}
         }
-        Response::new(whole_body("ok"))
+        Response::new(full_body("ok"))
     }
 }
 
--- a/crates/micaspool-http/tests/pool.rs
+++ b/crates/micaspool-http/tests/pool.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full};
-use micaspool_http::pool::{EndpointPool, PoolOptions, SendError, WholeRequest};
+use micaspool_http::pool::{EndpointPool, FullRequest, PoolOptions, SendError};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -73,7 +73,7 @@
     (address, connections)
 }
 
-fn request() -> WholeRequest {
+fn request() -> FullRequest {
     Request::post("/x").header("host", "h").body(Full::new(Bytes::from_static(b"body"))).expect("valid")
 }
 
