--- a/crates/micaspool-http/src/edge.rs
+++ b/crates/micaspool-http/src/edge.rs
@@ -28,17 +28,19 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The delay after a failed accept, for instance when file descriptors have run out. Also the delay before checking again
-/// whether the limit on open connections allows an accept.
+/// The delay after a failed accept, for instance when file descriptors have run out, and the delay before the limit
+/// on open connections is checked again.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The minimum time between two refusals. Refusing every connection of a flood would take processor time from the
 /// connections that are served.
 const REFUSAL_INTERVAL: Duration = Duration::from_millis(50);
-/// The maximum number of pending connections that are accepted at once. Further ones wait for the next round or refusal.
+/// The maximum number of pending connections that are accepted at once. Further ones wait for the next round or
+/// refusal.
 const MAX_ACCEPT_BATCH: usize = 256;
 /// How long a refused connection may take to send its request head. The whole refusal may take twice as long.
 const REFUSED_REQUEST_LIMIT: Duration = Duration::from_secs(1);
-/// The interval at which the scheduling lag is measured, and the length of an accept round while the server is overloaded.
+/// The interval at which the scheduling lag is measured, and the length of an accept round while the server is
+/// overloaded.
 const ROUND_LENGTH: Duration = Duration::from_millis(50);
 /// How often a draining server checks whether all connections have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -67,8 +69,8 @@
         response
     }
 
-    /// Called with the number of connections that were closed without reading a request: older ones that were dropped in
-    /// favour of a refusal, or those that were not selected while the server is overloaded.
+    /// Called with the number of connections that were closed without reading a request: older ones that were dropped
+    /// in favour of a refusal, or those that were not selected while the server is overloaded.
     fn record_closed(&self, _connections: usize) {}
 }
 
@@ -83,8 +85,8 @@
     pub max_connections: usize,
     /// How many more connections may be open at a time to be refused. Above that, none is accepted.
     pub max_refused: usize,
-    /// True if the server sheds load: while tasks run late, it serves as many connections as it can keep up with, shared
-    /// evenly by the callers, and closes the others unread. Suitable if callers can retry at another server.
+    /// True if the server sheds load: while tasks run late, it serves as many connections as it can keep up with,
+    /// shared evenly by the callers, and closes the others unread. Suitable if callers can retry at another server.
     pub sheds_load: bool,
 }
 
@@ -313,7 +315,8 @@
     }
 }
 
-/// Reads one request and refuses it. If a full server left its callers unaccepted, they would wait without any response.
+/// Reads one request and refuses it. If a full server left its callers unaccepted, they would wait without any
+/// response.
 async fn serve_refusal(connection: OpenConnection, stream: TcpStream) {
     let shared = &connection.0;
     if configure(&stream).is_err() {
--- a/crates/micaspool-http/src/lib.rs
+++ b/crates/micaspool-http/src/lib.rs
@@ -1,13 +1,13 @@
 //! HTTP/1.1 servers and clients for callers, endpoints and operators.
 //!
 //! [`edge`] serves callers and [`pool`] calls endpoints over persistent connections. Both are based on `hyper`, frame
-//! bodies exactly and detect a peer that closes its connection (design 006). [`pressure`] selects the connections that
-//! an overloaded server serves.
+//! bodies exactly and detect a peer that closes its connection (design 006). [`pressure`] selects the connections
+//! that an overloaded server serves.
 //!
-//! [`server`] and [`client`] are older and based on `async-h1`. They add checks that it lacks: `async-h1` treats a body
-//! that ends early as complete, accepts two different lengths, and closes the connection without a response after a
-//! malformed head. [`head`] checks each head before `async-h1` decodes it, [`server`] and [`client`] compare every body
-//! with its length, and no connection is reused after an error.
+//! [`server`] and [`client`] are older and based on `async-h1`. They add checks that it lacks: `async-h1` treats a
+//! body that ends early as complete, accepts two different lengths, and closes the connection without a response
+//! after a malformed head. [`head`] checks each head before `async-h1` decodes it, [`server`] and [`client`] compare
+//! every body with its length, and no connection is reused after an error.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-http/src/pressure.rs
+++ b/crates/micaspool-http/src/pressure.rs
@@ -1,11 +1,11 @@
 //! Selects which pending connections an overloaded server serves.
 //!
-//! This handles a flood such as a single caller that opens a thousand connections a second at one server, ten times what
-//! the server's share of a processor can serve. If all of them were accepted, they would queue in the server and response
-//! times would grow for every caller until none is answered in time. An overloaded server therefore serves only as many
-//! connections as it can keep up with. They are shared evenly between the callers' addresses, the newest connection of
-//! each address first, because older ones are more likely to have been given up. The others are closed unread, which
-//! tells their callers that no request has run.
+//! This handles a flood such as a single caller that opens a thousand connections a second at one server, ten times
+//! what the server's share of a processor can serve. If all of them were accepted, they would queue in the server and
+//! response times would grow for every caller until none is answered in time. An overloaded server therefore serves
+//! only as many connections as it can keep up with. They are shared evenly between the callers' addresses, the newest
+//! connection of each address first, because older ones are more likely to have been given up. The others are closed
+//! unread, which tells their callers that no request has run.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -31,8 +31,8 @@
 }
 
 impl RoundBudget {
-    /// Updates the budget from the lag of the last round. It halves in each round in which tasks run late, and grows by
-    /// one in every other round.
+    /// Updates the budget from the lag of the last round. It halves in each round in which tasks run late, and grows
+    /// by one in every other round.
     pub fn observe(&mut self, lag: Duration) {
         self.budget = match self.budget {
             None if lag < OVERLOAD_LAG => None,
@@ -58,8 +58,8 @@
 
 impl CallerRotation {
     /// Returns the indices into `waiting` of the connections to serve, in ascending order: at most `budget` of them,
-    /// round-robin over the callers' addresses, starting after the address served last, newest connection first. `waiting`
-    /// lists the connections from oldest to newest.
+    /// round-robin over the callers' addresses, starting after the address served last, newest connection first.
+    /// `waiting` lists the connections from oldest to newest.
     pub fn select_served(&mut self, waiting: &[IpAddr], budget: usize) -> Vec<usize> {
         let mut by_caller: BTreeMap<IpAddr, Vec<usize>> = BTreeMap::new();
         for (index, caller) in waiting.iter().enumerate() {
--- a/crates/micaspool-http/tests/edge.rs
+++ b/crates/micaspool-http/tests/edge.rs
@@ -142,8 +142,8 @@
     });
 }
 
-/// Starts a server that answers one connection with fixed bytes and closes it. With an empty answer it stays silent for
-/// two seconds.
+/// Starts a server that answers one connection with fixed bytes and closes it. With an empty answer it stays silent
+/// for two seconds.
 async fn start_fixed_server(answer: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("the listener is bound");
--- a/crates/micaspool-http/tests/edge_server.rs
+++ b/crates/micaspool-http/tests/edge_server.rs
@@ -122,8 +122,8 @@
     assert!(answer.contains("200 OK") && answer.contains("connection: close"), "{answer}");
 }
 
-/// Guards against a full server that leaves further connections unaccepted without a response. After one caller's flood
-/// had opened as many connections as fit into its memory, a gateway reported ready and accepted none of 992 new
+/// Guards against a full server that leaves further connections unaccepted without a response. After one caller's
+/// flood had opened as many connections as fit into its memory, a gateway reported ready and accepted none of 992 new
 /// connections in 4.4 s.
 #[test]
 fn a_caller_above_the_limit_is_refused_at_once() {
@@ -154,9 +154,9 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
 }
 
-/// Guards against refusing the oldest pending connections first. A full gateway accepted twenty callers a second above
-/// its limit, oldest first. At 220 new callers a second each had disconnected before it was accepted: none of 981 in
-/// 4.5 s got a response, and `too-many-connections` was logged 0 to 4 times a second instead of twenty.
+/// Guards against refusing the oldest pending connections first. A full gateway accepted twenty callers a second
+/// above its limit, oldest first. At 220 new callers a second each had disconnected before it was accepted: none of
+/// 981 in 4.5 s got a response, and `too-many-connections` was logged 0 to 4 times a second instead of twenty.
 #[test]
 fn a_caller_is_refused_at_once_behind_many_disconnected_ones() {
     const DISCONNECTED: usize = 60;
--- a/crates/micaspool-telemetry/src/events.rs
+++ b/crates/micaspool-telemetry/src/events.rs
@@ -85,9 +85,9 @@
 pub const SHARD_DECIDED: EventKind = kind("MP1304", Level::Info, "shard decisions");
 /// A shard refused a ticket.
 pub const TICKET_REFUSED: EventKind = kind("MP1307", Level::Info, "ticket refused");
-/// A shard stops sending new requests to an endpoint for now.
+/// A shard grants no new requests to an endpoint for now.
 pub const ENDPOINT_CLOSED: EventKind = kind("MP1308", Level::Info, "endpoint closed");
-/// A shard sends requests to an endpoint again.
+/// A shard grants requests to an endpoint again.
 pub const ENDPOINT_OPENED: EventKind = kind("MP1309", Level::Info, "endpoint opened");
 /// Periodic counts of what a shard granted and refused, for requests with about the same latency objective.
 pub const OBJECTIVE_DECIDED: EventKind = kind("MP1310", Level::Info, "decisions by objective");
@@ -105,8 +105,8 @@
 /// A load report came from another start of the endpoint than the one that was probed, and was not used.
 pub const REPORT_MISMATCH: EventKind =
     kind("MP1316", Level::Info, "load report from another start of the endpoint");
-/// Periodic counts of what a shard granted and refused to a customer, and how far the
-/// level of the customer is below the highest level served in its data halls.
+/// Periodic counts of what a shard granted and refused to a customer, and how far the level of the customer is below
+/// the highest level served in its data halls.
 pub const CUSTOMER_DECIDED: EventKind = kind("MP1317", Level::Info, "customer decisions");
 /// A message from another process could not be decoded.
 pub const WIRE_MALFORMED: EventKind = kind("MP1302", Level::Warn, "malformed message");
@@ -118,8 +118,8 @@
 pub const GROUP_FORMED: EventKind = kind("MP1403", Level::Info, "keeper group formed");
 /// The members of the keeper group have changed.
 pub const GROUP_CHANGED: EventKind = kind("MP1404", Level::Info, "keeper group changed");
-/// A write or sync of the keeper's files failed, or opening them again did. The keeper does no work until they are open
-/// again.
+/// A write or sync of the keeper's files failed, or opening them again did. The keeper does no work until they are
+/// open again.
 pub const STORE_FAILED: EventKind = kind("MP1405", Level::Error, "keeper storage failed, keeper stops work");
 /// A torn record at the end of the log was removed.
 pub const STORE_TRUNCATED: EventKind =
@@ -139,8 +139,8 @@
 pub const PLAN_UNCONFIRMED: EventKind = kind("MP1412", Level::Warn, "route plan not confirmed by a majority");
 /// A majority accepted an order about a data hall.
 pub const HALL_ORDER_ACCEPTED: EventKind = kind("MP1413", Level::Info, "data hall order accepted");
-/// An order about a data hall changed nothing, because a contrary one was ordered after it came in or because orders exist
-/// for too many halls.
+/// An order about a data hall changed nothing, because a contrary one was given after it came in or because orders
+/// exist for too many halls.
 pub const HALL_ORDER_REJECTED: EventKind = kind("MP1414", Level::Warn, "data hall order rejected");
 /// An order about a data hall got no clear answer from a majority.
 pub const HALL_ORDER_UNCONFIRMED: EventKind =
@@ -186,8 +186,8 @@
 /// Log lines were dropped because they could not be written fast enough.
 pub const LINES_DROPPED: EventKind = kind("MP1607", Level::Warn, "log lines dropped");
 
-/// A grant was not used, because this process does not know its endpoint as serving, because the endpoint asked for rest
-/// or is leaving, or because its data hall is evacuated.
+/// A grant was not used, because this process does not know its endpoint as serving, because the endpoint asked for
+/// rest or is leaving, or because its data hall is evacuated.
 pub const GRANT_UNUSABLE: EventKind = kind("MP1608", Level::Info, "grant not used, endpoint not available");
 /// Caller connections above the limit, or more than an overloaded server keeps up with, were closed unread.
 pub const CALLERS_CLOSED: EventKind = kind("MP1609", Level::Info, "caller connections closed unread");
--- a/crates/micaspool-telemetry/src/limit.rs
+++ b/crates/micaspool-telemetry/src/limit.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Returns `None` if the line is to be suppressed. Otherwise returns the number of lines suppressed since the last one
-    /// that was written.
+    /// Returns `None` if the line is to be suppressed. Otherwise returns the number of lines suppressed since the
+    /// last one that was written.
     pub fn admit(&self) -> Option<u64> {
         let mut window = self.window.lock().expect("no thread panics while it holds the lock");
         if window.since.elapsed() >= WINDOW {
--- a/crates/micaspool-wire/src/convert.rs
+++ b/crates/micaspool-wire/src/convert.rs
@@ -248,8 +248,8 @@
     })
 }
 
-/// Encodes the end of a grant. Outcomes that older processes do not know are sent as a known fate and a flag that older
-/// processes ignore.
+/// Encodes the end of a grant. Outcomes that older processes do not know are sent as a known fate and a flag that
+/// older processes ignore.
 pub fn settle_message(request: RequestId, cost: Cost, outcome: GrantOutcome) -> v1::Settle {
     v1::Settle {
         request: request_bytes(request),
@@ -323,7 +323,8 @@
     }
 }
 
-/// Encodes an action and returns it with the session it is to be sent on; `None` if the action is not sent to a router.
+/// Encodes an action and returns it with the session it is to be sent on; `None` if the action is not sent to a
+/// router.
 pub fn action_message(
     action: ShardAction,
     incarnation: Incarnation,
