--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -109,7 +109,7 @@
                     field("known", known),
                     field("error", error),
                 ];
-                record(&events::HALL_ORDER_UNCERTAIN, &fields);
+                record(&events::HALL_ORDER_UNCONFIRMED, &fields);
                 Err(OrderError::NoMajority)
             }
         }
@@ -148,7 +148,7 @@
                 Ok(reply.in_force)
             }
             Err(error) => {
-                record(&events::PLAN_UNCERTAIN, &[field("number", offered.number), field("error", error)]);
+                record(&events::PLAN_UNCONFIRMED, &[field("number", offered.number), field("error", error)]);
                 Err(OrderError::NoMajority)
             }
         }
@@ -158,7 +158,7 @@
     pub async fn read_plan(&self) -> Result<String, OrderError> {
         self.refresh_keepers();
         let reply = self.client.plan_confirmed(ORDER_TIMEOUT).await.map_err(|error| {
-            record(&events::PLAN_UNCERTAIN, &[field("order", "read"), field("error", error)]);
+            record(&events::PLAN_UNCONFIRMED, &[field("order", "read"), field("error", error)]);
             OrderError::NoMajority
         })?;
         match reply.plan {
--- a/crates/micaspool-daemon/src/suspension.rs
+++ b/crates/micaspool-daemon/src/suspension.rs
@@ -11,7 +11,7 @@
 /// Logs each suspension of the machine with its length. Logs a warning once if the system cannot detect them.
 pub fn watch_suspensions() {
     if !counts_suspended_time() {
-        record(&events::SUSPENSIONS_UNSEEN, &[]);
+        record(&events::SUSPENSION_UNDETECTABLE, &[]);
         return;
     }
     task::spawn(compare_clocks());
--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -50,7 +50,7 @@
             };
             failures = 0;
             let fields = [field("endpoint", &self.endpoint.name), field("kept_parts", snapshot.parts.len())];
-            record(&events::ENGINE_MET, &fields);
+            record(&events::ENGINE_SYNCED, &fields);
             let sent = self.send_update(snapshot.parts, Vec::new(), true).await;
             if sent.is_err() || self.follow(snapshot.cursor, pause).await.is_err() {
                 return;
@@ -88,7 +88,7 @@
     async fn back_off(&self, failures: u32) {
         if failures == MAX_FAILURES {
             let fields = [field("endpoint", &self.endpoint.name), field("failures", failures)];
-            record(&events::CACHE_UNKNOWN, &fields);
+            record(&events::CACHE_UNTRACKED, &fields);
         }
         let doublings = failures.saturating_sub(1).min(8);
         tokio::time::sleep((FIRST_PAUSE * (1 << doublings)).min(MAX_PAUSE)).await;
--- a/crates/micaspool-dispatcher/src/standings.rs
+++ b/crates/micaspool-dispatcher/src/standings.rs
@@ -25,7 +25,7 @@
     pub fn start_interval(&mut self) {
         if self.omitted > 0 {
             record(
-                &events::STANDINGS_LEFT_OUT,
+                &events::STANDINGS_SUPPRESSED,
                 &[field("service", &self.service), field("lines", self.omitted)],
             );
         }
