--- a/crates/micaspool-daemon/src/signals.rs
+++ b/crates/micaspool-daemon/src/signals.rs
@@ -39,7 +39,10 @@
     let (stop, reload_signal) = watch_signals()?;
     std::thread::spawn(move || {
         while reload_signal.recv_blocking().is_ok() {
-            record(&events::SETTINGS_NOT_RELOADED, &[field("remedy", "restart the process to change its settings")]);
+            record(
+                &events::SETTINGS_NOT_RELOADED,
+                &[field("remedy", "restart the process to change its settings")],
+            );
         }
     });
     Ok(stop)
