--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -33,21 +33,17 @@
         let gauges = ShardGauges::default();
         registry.register("micaspool_waiting_requests", "Waiting requests", gauges.waiting.clone());
         registry.register("micaspool_running_requests", "Running requests", gauges.running.clone());
-        registry.register("micaspool_open_slots", "Slots of open endpoints", gauges.open_slots.clone());
-        let gap_help = "Largest difference of service levels of waiting customers, in cost at weight 1";
+        registry.register("micaspool_open_slots", "Slots that may take work", gauges.open_slots.clone());
+        let gap_help = "Difference of service levels of waiting customers, in cost at weight 1";
         registry.register("micaspool_fairness_gap", gap_help, gauges.gap.clone());
-        let pace_help = "Lowest learnt prefill rate of an engine, in tokens per second";
+        let pace_help = "Slowest learnt reading pace of an engine, in tokens a second";
         registry.register("micaspool_slowest_engine_pace", pace_help, gauges.slowest_pace.clone());
         let suspected_help =
-            "Requests that are suspected or quarantined because endpoints crashed while running them";
+            "Requests that run apart since several endpoints ended under them, or are shut out";
         registry.register("micaspool_suspected_requests", suspected_help, gauges.suspected.clone());
-        let quarantined_help = "Requests that are quarantined because endpoints crashed while running them";
+        let quarantined_help = "Requests that are shut out since endpoints ended under them";
         registry.register("micaspool_quarantined_requests", quarantined_help, gauges.quarantined.clone());
-        registry.register(
-            "micaspool_settings_revision",
-            "Revision of the settings or number of the plan in force",
-            gauges.revision.clone(),
-        );
+        registry.register("micaspool_settings_revision", "Revision in force", gauges.revision.clone());
         gauges
     }
 
