--- a/crates/micaspool-replay/src/generate.rs
+++ b/crates/micaspool-replay/src/generate.rs
@@ -16,7 +16,7 @@
     /// All customers; the first few are large.
     pub customers: usize,
     /// The large customers, which flood during the middle third.
-    pub large: usize,
+    pub large_customers: usize,
     /// The endpoints.
     pub endpoints: usize,
     /// The routers.
@@ -35,7 +35,7 @@
             seed: 1,
             seconds: 240,
             customers: 16,
-            large: 3,
+            large_customers: 3,
             endpoints: 9,
             routers: 9,
             load_percent: 85,
@@ -50,7 +50,7 @@
             seed: 2,
             seconds: 120,
             customers: 16,
-            large: 3,
+            large_customers: 3,
             endpoints: 9,
             routers: 8,
             load_percent: 80,
@@ -59,28 +59,28 @@
     }
 }
 
-const HALLS: usize = 3;
-const SLOTS: u32 = 8;
+const HALL_COUNT: usize = 3;
+const SLOTS_PER_ENDPOINT: u32 = 8;
 const UNIT_MICROS: u64 = 5_000;
 const WIRE_MICROS: u64 = 500;
 /// The range of costs of long and of short requests.
-const LONG: (u64, u64) = (1_500, 6_000);
-const SHORT: (u64, u64) = (30, 400);
+const LONG_COSTS: (u64, u64) = (1_500, 6_000);
+const SHORT_COSTS: (u64, u64) = (30, 400);
 /// Hints are wrong by up to this factor, either way.
-const HINT_ERROR: f64 = 4.0;
+const MAX_HINT_FACTOR: f64 = 4.0;
 /// The flood: each large customer sends this many times its part.
-const FLOOD: u64 = 5;
-const CONVERSATIONS: u64 = 6;
+const FLOOD_FACTOR: u64 = 5;
+const CONVERSATIONS_PER_CUSTOMER: u64 = 6;
 
 /// Records a trace.
 pub fn generate(options: &GenerateOptions) -> RecordedTrace {
     let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
-    let customers = (0..options.customers).map(|number| customer(options, number)).collect();
+    let customers = (0..options.customers).map(|number| trace_customer(options, number)).collect();
     let header = TraceHeader {
         name: options.name.clone(),
-        halls: HALLS,
+        halls: HALL_COUNT,
         endpoints: options.endpoints,
-        slots: SLOTS,
+        slots: SLOTS_PER_ENDPOINT,
         unit_micros: UNIT_MICROS,
         routers: options.routers,
         wire_micros: WIRE_MICROS,
@@ -88,66 +88,67 @@
     };
     let mut requests = Vec::new();
     for number in 0..options.customers {
-        arrivals(options, number, &mut rng, &mut requests);
+        generate_arrivals(options, number, &mut rng, &mut requests);
     }
     requests.sort_by_key(|request| request.at_millis);
     RecordedTrace { header, requests }
 }
 
 /// Most customers may use every hall; every eighth is bound to one.
-fn customer(options: &GenerateOptions, number: usize) -> TraceCustomer {
-    let every = (1 << HALLS) - 1;
-    let bound = number % 8 == 7;
+fn trace_customer(options: &GenerateOptions, number: usize) -> TraceCustomer {
+    let all_halls = (1 << HALL_COUNT) - 1;
+    let is_restricted = number % 8 == 7;
     TraceCustomer {
         name: format!("{}-{number:03}", options.name),
-        weight: if number < options.large { 2 } else { 1 },
-        halls: if bound { 1 << (number / 8 % HALLS) } else { every },
+        weight: if number < options.large_customers { 2 } else { 1 },
+        halls: if is_restricted { 1 << (number / 8 % HALL_COUNT) } else { all_halls },
     }
 }
 
-fn arrivals(
+fn generate_arrivals(
     options: &GenerateOptions,
     number: usize,
     rng: &mut ChaCha8Rng,
     requests: &mut Vec<TraceRequest>,
 ) {
-    let large = number < options.large;
-    let capacity = options.endpoints as u64 * u64::from(SLOTS) * 1_000_000 / UNIT_MICROS;
-    let shares = (options.customers + 3 * options.large) as u64;
-    let share = if large { 4 } else { 1 };
-    let units_a_second = capacity * options.load_percent * share / (100 * shares);
+    let is_large = number < options.large_customers;
+    let capacity = options.endpoints as u64 * u64::from(SLOTS_PER_ENDPOINT) * 1_000_000 / UNIT_MICROS;
+    let shares = (options.customers + 3 * options.large_customers) as u64;
+    let share = if is_large { 4 } else { 1 };
+    let units_per_second = capacity * options.load_percent * share / (100 * shares);
     let mean_cost = mean_cost(options);
     let end = options.seconds * 1_000;
     let mut at = 0.0;
     loop {
-        let flooding = large && (at as u64) > end / 3 && (at as u64) < end * 2 / 3;
-        let rate = units_a_second as f64 / mean_cost * if flooding { FLOOD as f64 } else { 1.0 };
-        let chance: f64 = rng.random_range(1e-9..1.0);
-        at += -chance.ln() * 1_000.0 / rate;
+        let is_flooding = is_large && (at as u64) > end / 3 && (at as u64) < end * 2 / 3;
+        let rate = units_per_second as f64 / mean_cost * if is_flooding { FLOOD_FACTOR as f64 } else { 1.0 };
+        let uniform: f64 = rng.random_range(1e-9..1.0);
+        at += -uniform.ln() * 1_000.0 / rate;
         if at as u64 >= end {
             return;
         }
-        let range = if rng.random_range(0..100) < options.long_percent { LONG } else { SHORT };
+        let range = if rng.random_range(0..100) < options.long_percent { LONG_COSTS } else { SHORT_COSTS };
         let cost = rng.random_range(range.0..=range.1);
-        let error = HINT_ERROR.powf(rng.random_range(-1.0..1.0));
+        let hint_factor = MAX_HINT_FACTOR.powf(rng.random_range(-1.0..1.0));
         requests.push(TraceRequest {
             at_millis: at as u64,
             customer: number,
-            router: uneven_router(options, number, rng),
-            hint: (cost as f64 * error) as u64,
+            router: skewed_router(options, number, rng),
+            hint: (cost as f64 * hint_factor) as u64,
             cost,
-            conversation: rng.random_range(0..CONVERSATIONS),
+            conversation: rng.random_range(0..CONVERSATIONS_PER_CUSTOMER),
         });
     }
 }
 
 fn mean_cost(options: &GenerateOptions) -> f64 {
     let long = f64::from(options.long_percent) / 100.0;
-    long * (LONG.0 + LONG.1) as f64 / 2.0 + (1.0 - long) * (SHORT.0 + SHORT.1) as f64 / 2.0
+    long * (LONG_COSTS.0 + LONG_COSTS.1) as f64 / 2.0
+        + (1.0 - long) * (SHORT_COSTS.0 + SHORT_COSTS.1) as f64 / 2.0
 }
 
 /// Three in four requests of a customer come to the same two routers.
-fn uneven_router(options: &GenerateOptions, customer: usize, rng: &mut ChaCha8Rng) -> usize {
+fn skewed_router(options: &GenerateOptions, customer: usize, rng: &mut ChaCha8Rng) -> usize {
     if rng.random_range(0..4) < 3 {
         (customer + rng.random_range(0..2)) % options.routers
     } else {
--- a/crates/micaspool-replay/src/report.rs
+++ b/crates/micaspool-replay/src/report.rs
@@ -3,7 +3,7 @@
 use crate::run::ReplayReport;
 
 /// A table of reports, a line each, with a heading.
-pub fn table(reports: &[ReplayReport]) -> String {
+pub fn render_table(reports: &[ReplayReport]) -> String {
     let mut text = format!(
         "{:<8} {:<9} {:>8} {:>8} {:>7} {:>7} {:>6} {:>6} {:>8} {:>8} {:>6} {:>6}\n",
         "trace",
--- a/crates/micaspool-replay/src/run/endpoints.rs
+++ b/crates/micaspool-replay/src/run/endpoints.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// How many prefixes an endpoint's cache holds.
-const CACHE: usize = 48;
+const CACHED_PREFIXES: usize = 48;
 
 #[derive(Debug)]
 struct RunningRequest {
@@ -79,21 +79,21 @@
         self.requests.insert(request, RunningRequest { endpoint, cost, delivered: 0, run });
         let target = &mut self.endpoints[endpoint];
         target.running += 1;
-        let hit = prefixes.last().is_some_and(|prefix| target.cache.contains(prefix));
+        let is_hit = prefixes.last().is_some_and(|prefix| target.cache.contains(prefix));
         target.cache.retain(|cached| !prefixes.contains(cached));
         target.cache.extend(prefixes);
-        let surplus = target.cache.len().saturating_sub(CACHE);
+        let surplus = target.cache.len().saturating_sub(CACHED_PREFIXES);
         let dropped = target.cache.drain(..surplus).collect();
         let (endpoint, stored) = (endpoint_name(endpoint), prefixes.to_vec());
-        (hit, CacheUpdate { endpoint, stored, dropped, kept: Vec::new(), whole: false })
+        (is_hit, CacheUpdate { endpoint, stored, dropped, kept: Vec::new(), whole: false })
     }
 
     /// The number of the present run of a request; zero when it does not run.
-    pub fn run_of(&self, request: RequestId) -> u64 {
+    pub fn run_number(&self, request: RequestId) -> u64 {
         self.requests.get(&request).map_or(0, |running| running.run)
     }
 
-    pub fn left(&self, request: RequestId) -> u64 {
+    pub fn remaining(&self, request: RequestId) -> u64 {
         self.requests.get(&request).map_or(0, |running| running.cost - running.delivered)
     }
 
@@ -102,22 +102,22 @@
     }
 
     /// Delivers a step and gives its size.
-    pub fn deliver(&mut self, request: RequestId, most: u64) -> u64 {
+    pub fn deliver(&mut self, request: RequestId, limit: u64) -> u64 {
         let Some(running) = self.requests.get_mut(&request) else { return 0 };
-        let step = (running.cost - running.delivered).min(most);
+        let step = (running.cost - running.delivered).min(limit);
         running.delivered += step;
         step
     }
 
     /// Ends a request and gives its cost.
-    pub fn end(&mut self, request: RequestId) -> u64 {
+    pub fn finish(&mut self, request: RequestId) -> u64 {
         let Some(running) = self.requests.remove(&request) else { return 0 };
         self.endpoints[running.endpoint].running -= 1;
         running.cost
     }
 
     /// Ends an endpoint and gives the requests that ran there.
-    pub fn lose(&mut self, endpoint: usize) -> Vec<RequestId> {
+    pub fn fail_endpoint(&mut self, endpoint: usize) -> Vec<RequestId> {
         let lost = self.requests.iter().filter(|(_, running)| running.endpoint == endpoint);
         let lost: Vec<RequestId> = lost.map(|(request, _)| *request).collect();
         for request in &lost {
--- a/crates/micaspool-replay/src/run/faults.rs
+++ b/crates/micaspool-replay/src/run/faults.rs
@@ -16,7 +16,7 @@
     DispatcherLost {
         /// True when the next one is rebuilt from what routers hold; false when it takes only
         /// their waiting requests.
-        held: bool,
+        restore_state: bool,
     },
     /// Endpoints end with everything that runs there.
     EndpointsLost {
@@ -26,5 +26,5 @@
         count: usize,
     },
     /// All endpoints are there again.
-    EndpointsBack,
+    EndpointsRestored,
 }
--- a/crates/micaspool-replay/src/run/measure.rs
+++ b/crates/micaspool-replay/src/run/measure.rs
@@ -49,7 +49,7 @@
 pub(super) struct Measures {
     customers: Vec<(Weight, HallMask)>,
     meter: GapMeter,
-    after_loss: Option<GapMeter>,
+    recovery_meter: Option<GapMeter>,
     waiting: Vec<i64>,
     busy_micros: u128,
     slot_micros: u128,
@@ -59,7 +59,7 @@
     pub retries: u64,
     pub sent: u64,
     prefix_hits: u64,
-    prefix_asked: u64,
+    prefix_lookups: u64,
     lost_at: Option<Moment>,
     recovered_at: Option<Moment>,
     recovery_bytes: u64,
@@ -72,7 +72,7 @@
             trace.header.customers.iter().map(|c| (weight(c.weight), HallMask(c.halls))).collect();
         Measures {
             meter: GapMeter::new(&customers),
-            after_loss: None,
+            recovery_meter: None,
             waiting: vec![0; customers.len()],
             customers,
             busy_micros: 0,
@@ -83,7 +83,7 @@
             retries: 0,
             sent: 0,
             prefix_hits: 0,
-            prefix_asked: 0,
+            prefix_lookups: 0,
             lost_at: None,
             recovered_at: None,
             recovery_bytes: 0,
@@ -91,7 +91,7 @@
     }
 
     /// Accounts for the time between two events, in which work waited for these halls.
-    pub fn pass(&mut self, from: Moment, to: Moment, halls: HallMask, endpoints: &FakeEndpoints) {
+    pub fn record_interval(&mut self, from: Moment, to: Moment, halls: HallMask, endpoints: &FakeEndpoints) {
         let (busy, slots) = endpoints.slots_in(halls.0);
         let micros = to.since(from).as_micros();
         self.busy_micros += micros * u128::from(busy);
@@ -99,18 +99,18 @@
     }
 
     /// A customer has more or fewer waiting requests.
-    pub fn waiting(&mut self, customer: usize, change: i64) {
+    pub fn change_waiting(&mut self, customer: usize, change: i64) {
         self.waiting[customer] += change;
         let waits = self.waiting[customer] > 0;
         self.meter.set_waiting(customer, waits);
-        if let Some(meter) = &mut self.after_loss {
+        if let Some(meter) = &mut self.recovery_meter {
             meter.set_waiting(customer, waits);
         }
     }
 
-    pub fn serve(&mut self, customer: usize, cost: Cost) {
+    pub fn record_service(&mut self, customer: usize, cost: Cost) {
         self.meter.record_service(customer, cost);
-        if let Some(meter) = &mut self.after_loss {
+        if let Some(meter) = &mut self.recovery_meter {
             meter.record_service(customer, cost);
         }
     }
@@ -121,28 +121,28 @@
         }
     }
 
-    pub fn prefix(&mut self, hit: bool) {
-        self.prefix_asked += 1;
-        self.prefix_hits += u64::from(hit);
+    pub fn record_prefix(&mut self, is_hit: bool) {
+        self.prefix_lookups += 1;
+        self.prefix_hits += u64::from(is_hit);
     }
 
-    pub fn lose_dispatcher(&mut self, now: Moment) {
+    pub fn record_dispatcher_loss(&mut self, now: Moment) {
         self.lost_at = Some(now);
         self.recovered_at = None;
         let mut meter = GapMeter::new(&self.customers);
         for (customer, count) in self.waiting.iter().enumerate() {
             meter.set_waiting(customer, *count > 0);
         }
-        self.after_loss = Some(meter);
+        self.recovery_meter = Some(meter);
     }
 
-    pub fn granted(&mut self, now: Moment) {
+    pub fn record_grant(&mut self, now: Moment) {
         if self.lost_at.is_some() && self.recovered_at.is_none() {
             self.recovered_at = Some(now);
         }
     }
 
-    pub fn note_hello(&mut self, bytes: u64) {
+    pub fn record_hello(&mut self, bytes: u64) {
         if self.lost_at.is_some() {
             self.recovery_bytes += bytes;
         }
@@ -166,10 +166,10 @@
             unfinished: self.unfinished,
             retries: self.retries,
             sent_ratio: self.sent as f64 / requests,
-            prefix_hits: self.prefix_hits as f64 / self.prefix_asked.max(1) as f64,
-            recovery_millis: recovery.map(|(lost, back)| back.since(lost).as_secs_f64() * 1_000.0),
+            prefix_hits: self.prefix_hits as f64 / self.prefix_lookups.max(1) as f64,
+            recovery_millis: recovery.map(|(lost, granted)| granted.since(lost).as_secs_f64() * 1_000.0),
             recovery_bytes: self.lost_at.map(|_| self.recovery_bytes),
-            recovery_gap: self.after_loss.as_ref().map(|meter| meter.report().largest / unit),
+            recovery_gap: self.recovery_meter.as_ref().map(|meter| meter.report().largest / unit),
         }
     }
 }
--- a/crates/micaspool-replay/src/run/mod.rs
+++ b/crates/micaspool-replay/src/run/mod.rs
@@ -61,19 +61,19 @@
 }
 
 /// How often the core looks at the time.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How often endpoints are asked for their load.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Cost is delivered and measured in steps of this size.
-const CHUNK: u64 = 32;
+const DELIVERY_STEP: u64 = 32;
 /// A router tells of progress after this much more.
 const PROGRESS_STEP: u64 = 128;
 /// How often a router says that it is alive, as real ones do.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long routers take to notice that a dispatcher is gone and to reach the next.
-const DETECTION: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// A replay ends this long after the last arrival, also when requests have no answer.
-const LONGEST_TAIL: Duration = Duration::from_secs(3_600);
+const DRAIN_LIMIT: Duration = Duration::from_secs(3_600);
 /// How often one request is sent at most.
 const MAX_ATTEMPTS: u32 = 3;
 
@@ -92,7 +92,7 @@
     rng: ChaCha8Rng,
     attempts: HashMap<RequestId, u32>,
     actions: Vec<ShardAction>,
-    open: usize,
+    unanswered: usize,
 }
 
 /// Replays a trace and measures it.
@@ -109,69 +109,69 @@
         rng: ChaCha8Rng::seed_from_u64(trace.requests.len() as u64),
         attempts: HashMap::new(),
         actions: Vec::new(),
-        open: trace.requests.len(),
+        unanswered: trace.requests.len(),
         trace,
         options,
     };
-    run.prepare();
-    run.work();
-    run.measures.unfinished = run.open as u64;
+    run.schedule_inputs();
+    run.run_events();
+    run.measures.unfinished = run.unanswered as u64;
     run.measures.report(&run.options, trace, &run.wire)
 }
 
 impl ReplayRun<'_> {
-    fn work(&mut self) {
+    fn run_events(&mut self) {
         let last = self.trace.requests.last().map_or(0, |request| request.at_millis);
-        let end = Moment::from_millis(last) + LONGEST_TAIL;
-        while self.open > 0 && self.now < end {
+        let end = Moment::from_millis(last) + DRAIN_LIMIT;
+        while self.unanswered > 0 && self.now < end {
             let Some(Reverse(next)) = self.queue.pop() else { return };
             let halls = self.core.as_ref().map_or(HallMask::EMPTY, ShardCore::waiting_halls);
-            self.measures.pass(self.now, next.at, halls, &self.endpoints);
+            self.measures.record_interval(self.now, next.at, halls, &self.endpoints);
             self.now = next.at;
-            self.take(next.event);
+            self.handle_event(next.event);
         }
     }
 
-    fn at(&mut self, at: Moment, event: ReplayEvent) {
+    fn schedule_at(&mut self, at: Moment, event: ReplayEvent) {
         self.next_number += 1;
         self.queue.push(Reverse(QueuedEvent { at, number: self.next_number, event }));
     }
 
-    fn after(&mut self, delay: Duration, event: ReplayEvent) {
-        self.at(self.now + delay, event);
+    fn schedule_after(&mut self, delay: Duration, event: ReplayEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
     fn wire_delay(&self) -> Duration {
         Duration::from_micros(self.trace.header.wire_micros)
     }
 
-    fn post_to_shard(&mut self, event: ShardEvent) {
+    fn send_to_shard(&mut self, event: ShardEvent) {
         self.wire.count_event(&event);
-        self.after(self.wire_delay(), ReplayEvent::ToShard(event));
+        self.schedule_after(self.wire_delay(), ReplayEvent::ToShard(event));
     }
 
-    fn take(&mut self, event: ReplayEvent) {
+    fn handle_event(&mut self, event: ReplayEvent) {
         match event {
             ReplayEvent::Arrive(index) => self.arrive(index),
             ReplayEvent::ToShard(event) => self.step(event),
-            ReplayEvent::ToRouter(action) => self.hear(action),
+            ReplayEvent::ToRouter(action) => self.handle_action(action),
             ReplayEvent::Deliver { request, run } => self.deliver(request, run),
-            ReplayEvent::Cache(news) => self.step(ShardEvent::Cache(news)),
+            ReplayEvent::Cache(update) => self.step(ShardEvent::Cache(update)),
             ReplayEvent::Tick => {
                 self.step(ShardEvent::Tick);
                 self.measures.sample();
-                self.after(TICK, ReplayEvent::Tick);
+                self.schedule_after(TICK_INTERVAL, ReplayEvent::Tick);
             }
             ReplayEvent::Probe => self.probe(),
-            ReplayEvent::Beat => {
+            ReplayEvent::Heartbeat => {
                 for router in 0..self.trace.header.routers {
                     let session = self.routers.session(router);
-                    self.post_to_shard(ShardEvent::Heartbeat(session, 1));
+                    self.send_to_shard(ShardEvent::Heartbeat(session, 1));
                 }
-                self.after(HEARTBEAT, ReplayEvent::Beat);
+                self.schedule_after(HEARTBEAT_INTERVAL, ReplayEvent::Heartbeat);
             }
-            ReplayEvent::Fault(kind) => self.fail(kind),
-            ReplayEvent::NewDispatcher { held } => self.start_dispatcher(held),
+            ReplayEvent::Fault(kind) => self.inject_fault(kind),
+            ReplayEvent::NewDispatcher { restore_state } => self.start_dispatcher(restore_state),
         }
     }
 
@@ -182,18 +182,18 @@
         assert!(!core.has_idle_slot(self.now), "a free slot was left to an eligible ticket");
         for action in actions.drain(..) {
             self.wire.count_action(&action);
-            self.after(self.wire_delay(), ReplayEvent::ToRouter(action));
+            self.schedule_after(self.wire_delay(), ReplayEvent::ToRouter(action));
         }
         self.actions = actions;
     }
 
     fn arrive(&mut self, index: usize) {
         let (session, ticket) = self.routers.arrive(self.trace, index);
-        self.measures.waiting(self.trace.requests[index].customer, 1);
-        self.post_to_shard(ShardEvent::Submit(session, ticket));
+        self.measures.change_waiting(self.trace.requests[index].customer, 1);
+        self.send_to_shard(ShardEvent::Submit(session, ticket));
     }
 
-    fn hear(&mut self, action: ShardAction) {
+    fn handle_action(&mut self, action: ShardAction) {
         match action {
             ShardAction::Accepted { request, order, .. } => self.routers.accepted(request, order),
             ShardAction::Grant { session, request, endpoint, estimate, level, order, .. } => {
@@ -203,15 +203,18 @@
             }
             ShardAction::Refuse { request, .. } => {
                 if let Some(index) = self.routers.refused(request) {
-                    self.measures.waiting(self.trace.requests[index].customer, -1);
+                    self.measures.change_waiting(self.trace.requests[index].customer, -1);
                     self.measures.refused += 1;
-                    self.open -= 1;
+                    self.unanswered -= 1;
                 }
             }
             ShardAction::Rejoin { session } => {
                 if let Some(router) = self.routers.router_of(session) {
                     let (session, hello) = self.routers.join(router);
-                    self.after(self.wire_delay(), ReplayEvent::ToShard(ShardEvent::Joined(session, hello)));
+                    self.schedule_after(
+                        self.wire_delay(),
+                        ReplayEvent::ToShard(ShardEvent::Joined(session, hello)),
+                    );
                 }
             }
             // Requests of a trace are told apart by their ids alone, so none is ever in doubt.
@@ -226,8 +229,8 @@
     fn send(&mut self, request: RequestId, endpoint: &EndpointName) {
         let index = self.routers.index_of(request);
         let customer = self.trace.requests[index].customer;
-        self.measures.waiting(customer, -1);
-        self.measures.granted(self.now);
+        self.measures.change_waiting(customer, -1);
+        self.measures.record_grant(self.now);
         let number = endpoint_number(endpoint);
         if !self.endpoints.is_up(number) {
             self.retry(request, GrantOutcome::Unreachable);
@@ -239,48 +242,49 @@
             return;
         }
         let prefixes = self.routers.prefixes_of(self.trace, index);
-        let (hit, news) = self.endpoints.start(number, request, self.trace.requests[index].cost, &prefixes);
-        self.measures.prefix(hit);
+        let (is_hit, update) =
+            self.endpoints.start(number, request, self.trace.requests[index].cost, &prefixes);
+        self.measures.record_prefix(is_hit);
         if self.rng.random_range(0..100) >= self.options.cache_loss_percent {
-            self.after(self.options.report_lag, ReplayEvent::Cache(news));
+            self.schedule_after(self.options.report_lag, ReplayEvent::Cache(update));
         }
-        let run = self.endpoints.run_of(request);
-        self.deliver_later(request, run);
+        let run = self.endpoints.run_number(request);
+        self.schedule_delivery(request, run);
     }
 
-    fn deliver_later(&mut self, request: RequestId, run: u64) {
-        let left = self.endpoints.left(request);
-        let micros = left.min(CHUNK) * self.trace.header.unit_micros;
-        self.after(Duration::from_micros(micros), ReplayEvent::Deliver { request, run });
+    fn schedule_delivery(&mut self, request: RequestId, run: u64) {
+        let remaining = self.endpoints.remaining(request);
+        let micros = remaining.min(DELIVERY_STEP) * self.trace.header.unit_micros;
+        self.schedule_after(Duration::from_micros(micros), ReplayEvent::Deliver { request, run });
     }
 
     fn deliver(&mut self, request: RequestId, run: u64) {
-        if self.endpoints.run_of(request) != run {
+        if self.endpoints.run_number(request) != run {
             return;
         }
         let index = self.routers.index_of(request);
-        let step = self.endpoints.deliver(request, CHUNK);
-        self.measures.serve(self.trace.requests[index].customer, Cost(step));
+        let step = self.endpoints.deliver(request, DELIVERY_STEP);
+        self.measures.record_service(self.trace.requests[index].customer, Cost(step));
         let session = self.routers.session_of(request);
-        if self.endpoints.left(request) == 0 {
-            let cost = self.endpoints.end(request);
+        if self.endpoints.remaining(request) == 0 {
+            let cost = self.endpoints.finish(request);
             self.routers.ended(request);
-            self.post_to_shard(ShardEvent::Settle(session, request, Cost(cost), GrantOutcome::Done));
+            self.send_to_shard(ShardEvent::Settle(session, request, Cost(cost), GrantOutcome::Done));
             self.measures.done += 1;
-            self.open -= 1;
+            self.unanswered -= 1;
             return;
         }
         let delivered = self.endpoints.delivered(request);
         if self.routers.progress_is_due(request, delivered, PROGRESS_STEP) {
-            self.post_to_shard(ShardEvent::Progress(session, request, Cost(delivered)));
+            self.send_to_shard(ShardEvent::Progress(session, request, Cost(delivered)));
         }
-        self.deliver_later(request, run);
+        self.schedule_delivery(request, run);
     }
 
     /// A request that did not end well waits again, or is given up after its last attempt.
-    fn retry(&mut self, request: RequestId, fate: GrantOutcome) {
+    fn retry(&mut self, request: RequestId, outcome: GrantOutcome) {
         let session = self.routers.session_of(request);
-        self.post_to_shard(ShardEvent::Settle(session, request, Cost(0), fate));
+        self.send_to_shard(ShardEvent::Settle(session, request, Cost(0), outcome));
         let attempt = self.attempts.entry(request).or_insert(0);
         *attempt += 1;
         let attempt = *attempt;
@@ -288,13 +292,13 @@
         if attempt >= MAX_ATTEMPTS {
             self.routers.ended(request);
             self.measures.refused += 1;
-            self.open -= 1;
+            self.unanswered -= 1;
             return;
         }
         self.measures.retries += 1;
-        self.measures.waiting(self.trace.requests[index].customer, 1);
-        let ticket = self.routers.again(self.trace, request, attempt);
-        self.post_to_shard(ShardEvent::Submit(session, ticket));
+        self.measures.change_waiting(self.trace.requests[index].customer, 1);
+        let ticket = self.routers.requeue(self.trace, request, attempt);
+        self.send_to_shard(ShardEvent::Submit(session, ticket));
     }
 
     fn probe(&mut self) {
@@ -312,26 +316,26 @@
             } else {
                 ShardEvent::Unreachable(endpoint)
             };
-            self.after(self.options.report_lag, ReplayEvent::ToShard(event));
+            self.schedule_after(self.options.report_lag, ReplayEvent::ToShard(event));
         }
-        self.after(PROBE, ReplayEvent::Probe);
+        self.schedule_after(PROBE_INTERVAL, ReplayEvent::Probe);
     }
 
-    fn fail(&mut self, kind: FaultKind) {
+    fn inject_fault(&mut self, kind: FaultKind) {
         match kind {
-            FaultKind::DispatcherLost { held } => {
+            FaultKind::DispatcherLost { restore_state } => {
                 self.core = None;
-                self.measures.lose_dispatcher(self.now);
-                self.after(DETECTION, ReplayEvent::NewDispatcher { held });
+                self.measures.record_dispatcher_loss(self.now);
+                self.schedule_after(RECONNECT_DELAY, ReplayEvent::NewDispatcher { restore_state });
             }
             FaultKind::EndpointsLost { from, count } => {
                 for number in from..(from + count).min(self.trace.header.endpoints) {
-                    for request in self.endpoints.lose(number) {
+                    for request in self.endpoints.fail_endpoint(number) {
                         self.retry(request, GrantOutcome::Broken);
                     }
                 }
             }
-            FaultKind::EndpointsBack => self.endpoints.restore(),
+            FaultKind::EndpointsRestored => self.endpoints.restore(),
         }
     }
 }
--- a/crates/micaspool-replay/src/run/queue.rs
+++ b/crates/micaspool-replay/src/run/queue.rs
@@ -14,9 +14,9 @@
     Cache(CacheUpdate),
     Tick,
     Probe,
-    Beat,
+    Heartbeat,
     Fault(FaultKind),
-    NewDispatcher { held: bool },
+    NewDispatcher { restore_state: bool },
 }
 
 /// An event with its time; events of one time come in the order in which they were queued.
--- a/crates/micaspool-replay/src/run/routers.rs
+++ b/crates/micaspool-replay/src/run/routers.rs
@@ -23,13 +23,13 @@
 pub(super) struct FakeRouters {
     routers: Vec<FakeRouter>,
     owners: BTreeMap<RequestId, usize>,
-    told: BTreeMap<RequestId, u64>,
+    reported: BTreeMap<RequestId, u64>,
 }
 
 impl FakeRouters {
     pub fn new(trace: &RecordedTrace) -> FakeRouters {
         let routers = (0..trace.header.routers).map(|_| FakeRouter::default()).collect();
-        FakeRouters { routers, owners: BTreeMap::new(), told: BTreeMap::new() }
+        FakeRouters { routers, owners: BTreeMap::new(), reported: BTreeMap::new() }
     }
 
     pub fn names(&self) -> BTreeSet<InstanceName> {
@@ -154,31 +154,31 @@
     pub fn ended(&mut self, request: RequestId) {
         let router = self.owners[&request];
         self.routers[router].running.remove(&request);
-        self.told.remove(&request);
+        self.reported.remove(&request);
     }
 
     /// Takes a failed request back into the queue.
-    pub fn again(&mut self, trace: &RecordedTrace, request: RequestId, attempt: u32) -> RequestTicket {
+    pub fn requeue(&mut self, trace: &RecordedTrace, request: RequestId, attempt: u32) -> RequestTicket {
         let router = self.owners[&request];
         let failed = self.routers[router].running.remove(&request).map(|grant| grant.endpoint);
-        self.told.remove(&request);
+        self.reported.remove(&request);
         let ticket = self.ticket(trace, request, attempt, failed);
         self.routers[router].waiting.insert(request, ticket.clone());
         ticket
     }
 
-    /// Notes what was delivered; true when the dispatcher should be told.
+    /// Notes what was delivered; true when the dispatcher should be reported.
     pub fn progress_is_due(&mut self, request: RequestId, delivered: u64, step: u64) -> bool {
         let router = self.owners[&request];
         if let Some(grant) = self.routers[router].running.get_mut(&request) {
             grant.delivered = Cost(delivered);
         }
-        let told = self.told.entry(request).or_insert(0);
-        let due = delivered - *told >= step;
-        if due {
-            *told = delivered;
+        let reported = self.reported.entry(request).or_insert(0);
+        let is_due = delivered - *reported >= step;
+        if is_due {
+            *reported = delivered;
         }
-        due
+        is_due
     }
 }
 
--- a/crates/micaspool-replay/src/run/setup.rs
+++ b/crates/micaspool-replay/src/run/setup.rs
@@ -1,7 +1,7 @@
 //! How a replay begins: its dispatcher, its settings and the names in them.
 
 use super::queue::ReplayEvent;
-use super::{ReplayRun, HEARTBEAT, PROBE, TICK};
+use super::{ReplayRun, HEARTBEAT_INTERVAL, PROBE_INTERVAL, TICK_INTERVAL};
 use micaspool_dispatch::{
     ColdStartLimits, EndpointSpec, SessionId, ShardCore, ShardCustomer, ShardEvent, ShardOptions, ShardPolicy,
 };
@@ -11,25 +11,25 @@
 
 impl ReplayRun<'_> {
     /// Queues everything that is known beforehand.
-    pub(super) fn prepare(&mut self) {
+    pub(super) fn schedule_inputs(&mut self) {
         self.start_dispatcher(true);
         for (index, request) in self.trace.requests.iter().enumerate() {
-            self.at(Moment::from_millis(request.at_millis + 1_000), ReplayEvent::Arrive(index));
+            self.schedule_at(Moment::from_millis(request.at_millis + 1_000), ReplayEvent::Arrive(index));
         }
         for fault in self.options.faults.clone() {
-            self.at(Moment::from_millis(fault.at_millis + 1_000), ReplayEvent::Fault(fault.kind));
+            self.schedule_at(Moment::from_millis(fault.at_millis + 1_000), ReplayEvent::Fault(fault.kind));
         }
-        self.after(TICK, ReplayEvent::Tick);
-        self.after(PROBE, ReplayEvent::Probe);
-        self.after(HEARTBEAT, ReplayEvent::Beat);
+        self.schedule_after(TICK_INTERVAL, ReplayEvent::Tick);
+        self.schedule_after(PROBE_INTERVAL, ReplayEvent::Probe);
+        self.schedule_after(HEARTBEAT_INTERVAL, ReplayEvent::Heartbeat);
     }
 
     /// Starts a dispatcher that every router joins.
-    pub(super) fn start_dispatcher(&mut self, held: bool) {
+    pub(super) fn start_dispatcher(&mut self, restore_state: bool) {
         let policy = policy_named(&self.options.policy).expect("the caller checked the name of the policy");
         let options = ShardOptions::builder()
             .policy(policy)
-            .use_held_state(held)
+            .use_held_state(restore_state)
             .use_prefixes(self.options.use_prefixes)
             .expected_routers(self.routers.names())
             .cost_ceiling(Cost(self.trace.largest_cost()))
@@ -39,8 +39,8 @@
         for router in 0..self.trace.header.routers {
             let (session, hello) = self.routers.join(router);
             let bytes = self.wire.count_hello(&hello);
-            self.measures.note_hello(bytes);
-            self.after(self.wire_delay(), ReplayEvent::ToShard(ShardEvent::Joined(session, hello)));
+            self.measures.record_hello(bytes);
+            self.schedule_after(self.wire_delay(), ReplayEvent::ToShard(ShardEvent::Joined(session, hello)));
         }
     }
 
--- a/crates/micaspool-replay/src/run/wire.rs
+++ b/crates/micaspool-replay/src/run/wire.rs
@@ -7,7 +7,7 @@
 use prost::Message;
 
 /// What HTTP/2 and gRPC add to each message, in bytes.
-const FRAMING: u64 = 14;
+const FRAMING_BYTES: u64 = 14;
 
 /// Counts control messages between routers and the dispatcher.
 #[derive(Debug, Default)]
@@ -51,6 +51,6 @@
 
     fn add(&mut self, length: usize) {
         self.messages += 1;
-        self.bytes += length as u64 + FRAMING;
+        self.bytes += length as u64 + FRAMING_BYTES;
     }
 }
--- a/crates/micaspool-replay/src/standin/answers.rs
+++ b/crates/micaspool-replay/src/standin/answers.rs
@@ -39,7 +39,7 @@
 }
 
 impl ModelCall {
-    pub fn read(body: &[u8]) -> ModelCall {
+    pub fn parse(body: &[u8]) -> ModelCall {
         let raw: RawCall = serde_json::from_slice(body).unwrap_or_default();
         let prompt: usize = raw.messages.iter().map(|message| message.content.len()).sum();
         ModelCall {
@@ -65,7 +65,7 @@
     let body = json!({ "choices": [{ "index": 0, "message": message }], "usage": call.usage() }).to_string();
     let mut response = Response::new(StatusCode::Ok);
     let length = body.len();
-    if fault == FaultMode::ShortBody {
+    if fault == FaultMode::TruncatedBody {
         let half = body.as_bytes()[..length / 2].to_vec();
         response.set_body(Body::from_reader(futures::io::Cursor::new(half), Some(length)));
     } else {
@@ -76,18 +76,28 @@
 }
 
 /// An answer in events: the echo first, then one token after the other, then the usage.
-pub(super) fn stream_answer(call: ModelCall, time: Duration, slot: SlotGuard, fault: FaultMode) -> Response {
+pub(super) fn stream_answer(
+    call: ModelCall,
+    token_time: Duration,
+    slot: SlotGuard,
+    fault: FaultMode,
+) -> Response {
     let mut events = VecDeque::new();
-    events.push_back(event(&call.echo));
+    events.push_back(sse_event(&call.echo));
     for number in 1..call.tokens {
-        events.push_back(event(&format!(" t{number}")));
+        events.push_back(sse_event(&format!(" t{number}")));
     }
-    if fault == FaultMode::ShortBody {
+    if fault == FaultMode::TruncatedBody {
         events.truncate(events.len() / 2);
     }
     let usage = format!("data: {}\n\n", json!({ "choices": [], "usage": call.usage() }));
-    let state =
-        StreamState { events, last: vec![usage, "data: [DONE]\n\n".to_owned()], time, fault, _slot: slot };
+    let state = StreamState {
+        events,
+        closing_events: vec![usage, "data: [DONE]\n\n".to_owned()],
+        token_time,
+        fault,
+        _slot: slot,
+    };
     let reader = Box::pin(event_stream(state)).into_async_read();
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(Body::from_reader(reader, None));
@@ -95,14 +105,14 @@
     response
 }
 
-fn event(content: &str) -> String {
+fn sse_event(content: &str) -> String {
     format!("data: {}\n\n", json!({ "choices": [{ "index": 0, "delta": { "content": content } }] }))
 }
 
 struct StreamState {
     events: VecDeque<String>,
-    last: Vec<String>,
-    time: Duration,
+    closing_events: Vec<String>,
+    token_time: Duration,
     fault: FaultMode,
     _slot: SlotGuard,
 }
@@ -111,16 +121,16 @@
     stream::unfold(Some(state), |state| async move {
         let mut state = state?;
         if let Some(next) = state.events.pop_front() {
-            task::sleep(state.time).await;
+            task::sleep(state.token_time).await;
             return Some((Ok(next.into_bytes()), Some(state)));
         }
-        if state.fault == FaultMode::ShortBody {
+        if state.fault == FaultMode::TruncatedBody {
             return Some((Err(io::ErrorKind::BrokenPipe.into()), None));
         }
-        if state.last.is_empty() {
+        if state.closing_events.is_empty() {
             return None;
         }
-        let next = state.last.remove(0);
+        let next = state.closing_events.remove(0);
         Some((Ok(next.into_bytes()), Some(state)))
     })
 }
--- a/crates/micaspool-replay/src/standin/handler.rs
+++ b/crates/micaspool-replay/src/standin/handler.rs
@@ -38,13 +38,13 @@
     #[default]
     None,
     /// Answers with another request's id.
-    WrongEcho,
+    WrongRequestId,
     /// Ends bodies before their length.
-    ShortBody,
+    TruncatedBody,
     /// Takes requests and says nothing.
     Silent,
     /// Turns every request away and asks for so many seconds of rest.
-    AskForRest(u32),
+    RetryAfter(u32),
 }
 
 /// A request that was begun.
@@ -68,7 +68,7 @@
     draining: AtomicBool,
     fault: Mutex<FaultMode>,
     /// How many requests were turned away with a time to rest.
-    turned_away: AtomicUsize,
+    retry_after_refusals: AtomicUsize,
     runs: Mutex<Vec<RunRecord>>,
 }
 
@@ -79,7 +79,7 @@
             running: AtomicUsize::new(0),
             draining: AtomicBool::new(false),
             fault: Mutex::default(),
-            turned_away: AtomicUsize::new(0),
+            retry_after_refusals: AtomicUsize::new(0),
             runs: Mutex::default(),
         }
     }
@@ -88,8 +88,8 @@
         self.runs.lock().expect("no holder of the runs panics").clone()
     }
 
-    pub fn turned_away(&self) -> usize {
-        self.turned_away.load(Ordering::SeqCst)
+    pub fn retry_after_refusals(&self) -> usize {
+        self.retry_after_refusals.load(Ordering::SeqCst)
     }
 
     pub fn set_draining(&self, draining: bool) {
@@ -109,7 +109,7 @@
 pub(super) struct SlotGuard(Arc<StandInState>);
 
 impl SlotGuard {
-    fn take(state: &Arc<StandInState>) -> Option<SlotGuard> {
+    fn acquire(state: &Arc<StandInState>) -> Option<SlotGuard> {
         let before = state.running.fetch_add(1, Ordering::SeqCst);
         let guard = SlotGuard(state.clone());
         (before < state.options.slots).then_some(guard)
@@ -124,15 +124,15 @@
 
 pub(super) struct StandInHandler {
     state: Arc<StandInState>,
-    next: AtomicU64,
+    next_id: AtomicU64,
 }
 
 impl StandInHandler {
     pub fn new(state: Arc<StandInState>) -> StandInHandler {
-        StandInHandler { state, next: AtomicU64::new(1) }
+        StandInHandler { state, next_id: AtomicU64::new(1) }
     }
 
-    fn load(&self) -> Response {
+    fn load_response(&self) -> Response {
         let running = self.state.running.load(Ordering::SeqCst);
         let draining = self.state.draining.load(Ordering::SeqCst);
         let mut response = Response::new(StatusCode::Ok);
@@ -141,15 +141,15 @@
         response
     }
 
-    fn refuse(&self) -> Option<Response> {
+    fn refusal(&self) -> Option<Response> {
         let mut response = Response::new(StatusCode::ServiceUnavailable);
         response.insert_header(RUN_HEADER, "not-run");
         if self.state.draining.load(Ordering::SeqCst) {
             response.insert_header("micaspool-draining", "true");
             return Some(response);
         }
-        if let FaultMode::AskForRest(seconds) = self.state.fault() {
-            self.state.turned_away.fetch_add(1, Ordering::SeqCst);
+        if let FaultMode::RetryAfter(seconds) = self.state.fault() {
+            self.state.retry_after_refusals.fetch_add(1, Ordering::SeqCst);
             response.insert_header("retry-after", seconds.to_string());
             return Some(response);
         }
@@ -157,10 +157,10 @@
     }
 
     async fn run(&self, request: CallerRequest) -> Response {
-        if let Some(refusal) = self.refuse() {
+        if let Some(refusal) = self.refusal() {
             return refusal;
         }
-        let Some(slot) = SlotGuard::take(&self.state) else {
+        let Some(slot) = SlotGuard::acquire(&self.state) else {
             let mut response = Response::new(StatusCode::TooManyRequests);
             response.insert_header(RUN_HEADER, "not-run");
             return response;
@@ -176,7 +176,7 @@
         };
         self.state.runs.lock().expect("no holder of the runs panics").push(record);
         let mut response = self.answer(&request, slot).await;
-        let echo = if self.state.fault() == FaultMode::WrongEcho { "0".repeat(32) } else { id };
+        let echo = if self.state.fault() == FaultMode::WrongRequestId { "0".repeat(32) } else { id };
         response.insert_header(REQUEST_HEADER, echo);
         response.insert_header("micaspool-stand-in", self.state.options.name.as_str());
         response
@@ -187,17 +187,17 @@
         if fault == FaultMode::Silent {
             task::sleep(Duration::from_secs(3_600)).await;
         }
-        let time = self.state.options.token_time;
+        let token_time = self.state.options.token_time;
         if request.target.starts_with(CHAT_PATH) {
-            let call = ModelCall::read(&request.body);
+            let call = ModelCall::parse(&request.body);
             return if call.stream {
-                stream_answer(call, time, slot, fault)
+                stream_answer(call, token_time, slot, fault)
             } else {
-                task::sleep(time * u32::try_from(call.tokens).unwrap_or(u32::MAX)).await;
+                task::sleep(token_time * u32::try_from(call.tokens).unwrap_or(u32::MAX)).await;
                 json_answer(&call, fault)
             };
         }
-        task::sleep(time).await;
+        task::sleep(token_time).await;
         let mut response = Response::new(StatusCode::Ok);
         response.set_body(request.body.clone());
         response.insert_header("content-type", "application/json");
@@ -212,12 +212,12 @@
     }
 
     fn next_id(&self) -> RequestId {
-        RequestId(u128::from(self.next.fetch_add(1, Ordering::Relaxed)))
+        RequestId(u128::from(self.next_id.fetch_add(1, Ordering::Relaxed)))
     }
 
     async fn handle(&self, request: CallerRequest) -> Response {
         match request.target.as_str() {
-            LOAD_PATH => self.load(),
+            LOAD_PATH => self.load_response(),
             _ => self.run(request).await,
         }
     }
--- a/crates/micaspool-replay/src/standin/mod.rs
+++ b/crates/micaspool-replay/src/standin/mod.rs
@@ -48,8 +48,8 @@
     }
 
     /// How many requests it turned away with a time to rest.
-    pub fn turned_away(&self) -> usize {
-        self.state.turned_away()
+    pub fn retry_after_refusals(&self) -> usize {
+        self.state.retry_after_refusals()
     }
 
     /// Takes no new work, and says so, from now on.
--- a/crates/micaspool-replay/tests/replay.rs
+++ b/crates/micaspool-replay/tests/replay.rs
@@ -45,17 +45,17 @@
 #[test_case(MILK; "milk")]
 #[test_case(KILNS; "kilns")]
 fn a_lost_dispatcher_costs_no_request(text: &str) {
-    let held = run(text, "progress", at(100, FaultKind::DispatcherLost { held: true }));
-    let empty = run(text, "progress", at(100, FaultKind::DispatcherLost { held: false }));
-    assert_eq!((held.refused, held.retries), (0, 0));
+    let restored = run(text, "progress", at(100, FaultKind::DispatcherLost { restore_state: true }));
+    let empty = run(text, "progress", at(100, FaultKind::DispatcherLost { restore_state: false }));
+    assert_eq!((restored.refused, restored.retries), (0, 0));
     assert!(empty.retries > 0, "the baseline sends to full endpoints");
-    assert!(held.recovery_gap < empty.recovery_gap);
-    assert!(held.recovery_millis < Some(200.0));
+    assert!(restored.recovery_gap < empty.recovery_gap);
+    assert!(restored.recovery_millis < Some(200.0));
 }
 
 #[test]
 fn a_dispatcher_lost_twice_costs_no_request() {
-    let kind = FaultKind::DispatcherLost { held: true };
+    let kind = FaultKind::DispatcherLost { restore_state: true };
     let faults = [100_000, 100_050, 100_150, 130_000].map(|at_millis| ReplayFault { at_millis, kind });
     let report = run(MILK, "progress", faults.to_vec());
     assert_eq!((report.refused, report.retries), (0, 0));
--- a/crates/micaspool/src/cli/endpoint.rs
+++ b/crates/micaspool/src/cli/endpoint.rs
@@ -42,7 +42,7 @@
     match StandInEndpoint::start(command.listen, options).await {
         Ok(endpoint) => {
             if let Some(seconds) = command.ask_for_rest_s {
-                endpoint.set_fault(FaultMode::AskForRest(seconds));
+                endpoint.set_fault(FaultMode::RetryAfter(seconds));
             }
             println!("ready endpoint listen={}", endpoint.address());
             stop.wait().await;
--- a/crates/micaspool/src/cli/replay.rs
+++ b/crates/micaspool/src/cli/replay.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use micaspool::fair::{policy_named, POLICY_NAMES};
 use micaspool::replay::generate::{generate, GenerateOptions};
-use micaspool::replay::report::table;
+use micaspool::replay::report::render_table;
 use micaspool::replay::run::{replay, FaultKind, ReplayFault, ReplayOptions, ReplayReport};
 use micaspool::replay::trace::RecordedTrace;
 use std::fs::File;
@@ -123,7 +123,7 @@
 fn options(command: &RunCommand, policy: &str) -> ReplayOptions {
     let mut faults = Vec::new();
     if let Some(seconds) = command.lose_dispatcher {
-        let kind = FaultKind::DispatcherLost { held: !command.empty_restart };
+        let kind = FaultKind::DispatcherLost { restore_state: !command.empty_restart };
         faults.push(ReplayFault { at_millis: seconds * 1_000, kind });
     }
     if let Some(seconds) = command.lose_third {
@@ -154,7 +154,7 @@
             println!("{}", serde_json::to_string(report).unwrap_or_default());
         }
     } else {
-        print!("{}", table(reports));
+        print!("{}", render_table(reports));
     }
 }
 
--- a/crates/micaspool/tests/dispatch_faults.rs
+++ b/crates/micaspool/tests/dispatch_faults.rs
@@ -222,7 +222,7 @@
     use micaspool::replay::standin::FaultMode;
     task::block_on(async {
         let deployment = Deployment::start(milk(), Duration::from_millis(1)).await;
-        for fault in [FaultMode::WrongEcho, FaultMode::ShortBody] {
+        for fault in [FaultMode::WrongRequestId, FaultMode::TruncatedBody] {
             deployment.endpoints["acopio-1"].set_fault(fault);
             deployment.endpoints["acopio-4"].set_fault(fault);
             for number in 0..30 {
@@ -235,7 +235,7 @@
                         assert!(answer.text().starts_with(&content), "{}", answer.body);
                         let endpoint = answer.endpoint.expect("the endpoint is named");
                         let crossed = ["acopio-1", "acopio-4"].contains(&endpoint.as_str());
-                        assert!(!crossed || fault != FaultMode::WrongEcho, "a crossed answer was taken");
+                        assert!(!crossed || fault != FaultMode::WrongRequestId, "a crossed answer was taken");
                     }
                     Some(answer) => assert!(answer.status >= 500, "{}", answer.body),
                 }
@@ -308,13 +308,13 @@
     task::block_on(async {
         let deployment = Deployment::start(milk(), TOKEN).await;
         let resting = &deployment.endpoints["acopio-1"];
-        resting.set_fault(FaultMode::AskForRest(5));
+        resting.set_fault(FaultMode::RetryAfter(5));
         let ask = |number: usize| {
             let call = Call::chat(deployment.router(0), "farm-01", MODEL, &format!("call {number}"), 2, true);
             async move { call.send().await }
         };
         let mut number = 0;
-        while resting.turned_away() == 0 {
+        while resting.retry_after_refusals() == 0 {
             number += 1;
             assert!(number < 200, "the endpoint is not used");
             let group = (0..8).map(|more| ask(number * 8 + more));
@@ -322,13 +322,13 @@
         }
         let asked = Instant::now();
         task::sleep(Duration::from_millis(100)).await;
-        let before = resting.turned_away();
+        let before = resting.retry_after_refusals();
         while asked.elapsed() < Duration::from_millis(4_500) {
             number += 1;
             let answers = join_all((0..8).map(|more| ask(number * 8 + more))).await;
             assert!(answers.iter().all(|answer| answer.as_ref().is_some_and(|answer| answer.status == 200)));
             task::sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(resting.turned_away(), before, "it got requests while it rested");
+        assert_eq!(resting.retry_after_refusals(), before, "it got requests while it rested");
     });
 }
