--- a/crates/micaspool-replay/src/generate.rs
+++ b/crates/micaspool-replay/src/generate.rs
@@ -1,34 +1,34 @@
-//! Records traces from a seed, at the sizes of the two deployments of today.
+//! Generates traces from a seed, at the sizes of the two example deployments.
 
 use crate::trace::{RecordedTrace, TraceCustomer, TraceHeader, TraceRequest};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What a generated trace looks like.
+/// The parameters of a generated trace.
 #[derive(Clone, Debug)]
 pub struct GenerateOptions {
     /// The name of the trace.
     pub name: String,
-    /// The seed.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Seconds of arrivals.
+    /// The time during which requests arrive, in seconds.
     pub seconds: u64,
-    /// All customers; the first few are large.
+    /// The number of customers, including the large ones, which come first.
     pub customers: usize,
-    /// The large customers, which flood during the middle third.
+    /// The number of large customers. They flood during the middle third: their arrival rate rises fivefold.
     pub large_customers: usize,
-    /// The endpoints.
+    /// The number of endpoints.
     pub endpoints: usize,
-    /// The routers.
+    /// The number of routers.
     pub routers: usize,
-    /// The arriving work as a part of the capacity, in percent, outside the flood.
+    /// The offered load outside the flood, in percent of the capacity.
     pub load_percent: u64,
-    /// How many requests in a hundred are long.
+    /// The share of long requests, in percent.
     pub long_percent: u32,
 }
 
 impl GenerateOptions {
-    /// The milk collector: many long letters, some short questions.
+    /// The milk collector: 30 % long letters, otherwise short questions.
     pub fn milk() -> GenerateOptions {
         GenerateOptions {
             name: "milk".to_owned(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The kiln bookings: mostly short chats, some long schedules.
+    /// The kiln bookings: mostly short chats and 12 % long schedules.
     pub fn kilns() -> GenerateOptions {
         GenerateOptions {
             name: "kilns".to_owned(),
@@ -63,16 +63,17 @@
 const SLOTS_PER_ENDPOINT: u32 = 8;
 const UNIT_MICROS: u64 = 5_000;
 const WIRE_MICROS: u64 = 500;
-/// The range of costs of long and of short requests.
+/// The cost range of long requests, in units.
 const LONG_COSTS: (u64, u64) = (1_500, 6_000);
+/// The cost range of short requests, in units.
 const SHORT_COSTS: (u64, u64) = (30, 400);
-/// Hints are wrong by up to this factor, either way.
+/// Hints are too high or too low by up to this factor.
 const MAX_HINT_FACTOR: f64 = 4.0;
-/// The flood: each large customer sends this many times its part.
+/// The factor by which the arrival rate of a large customer rises during the flood.
 const FLOOD_FACTOR: u64 = 5;
 const CONVERSATIONS_PER_CUSTOMER: u64 = 6;
 
-/// Records a trace.
+/// Generates a trace. Equal options give equal traces.
 pub fn generate(options: &GenerateOptions) -> RecordedTrace {
     let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
     let customers = (0..options.customers).map(|number| trace_customer(options, number)).collect();
@@ -94,7 +95,7 @@
     RecordedTrace { header, requests }
 }
 
-/// Most customers may use every hall; every eighth is bound to one.
+/// Every eighth customer is restricted to one data hall; the others may use all of them.
 fn trace_customer(options: &GenerateOptions, number: usize) -> TraceCustomer {
     let all_halls = (1 << HALL_COUNT) - 1;
     let is_restricted = number % 8 == 7;
@@ -147,7 +148,7 @@
         + (1.0 - long) * (SHORT_COSTS.0 + SHORT_COSTS.1) as f64 / 2.0
 }
 
-/// Three in four requests of a customer come to the same two routers.
+/// Picks a router: three in four requests of a customer go to the same two routers, the rest to any.
 fn skewed_router(options: &GenerateOptions, customer: usize, rng: &mut ChaCha8Rng) -> usize {
     if rng.random_range(0..4) < 3 {
         (customer + rng.random_range(0..2)) % options.routers
--- a/crates/micaspool-replay/src/lib.rs
+++ b/crates/micaspool-replay/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-in endpoints, recorded traces and the measures that they give.
+//! Stand-in endpoints for tests, and a simulator that replays request traces through the shard core.
 //!
-//! * [`standin`] is an endpoint that behaves like a model engine or a plain service,
-//! * [`trace`] is the format of recorded traces, and [`generate`] records them from a seed,
-//! * [`run`] replays a trace through the shard core in virtual time, with faults,
-//! * [`report`] shows the measures: fairness gap, utilisation and control traffic.
+//! * [`standin`] serves HTTP like a model engine or a plain service,
+//! * [`trace`] reads and writes trace files, and [`generate`] creates traces from a seed,
+//! * [`run`] replays a trace in virtual time, optionally with injected faults,
+//! * [`report`] formats the results: fairness gap, utilisation and control traffic.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool-replay/src/report.rs
+++ b/crates/micaspool-replay/src/report.rs
@@ -1,8 +1,8 @@
-//! Reports as a table.
+//! Formats replay reports as a table.
 
 use crate::run::ReplayReport;
 
-/// A table of reports, a line each, with a heading.
+/// Formats reports as a table: a heading, then one line per report with notes on faults and recovery below it.
 pub fn render_table(reports: &[ReplayReport]) -> String {
     let mut text = format!(
         "{:<8} {:<9} {:>8} {:>8} {:>7} {:>7} {:>6} {:>6} {:>8} {:>8} {:>6} {:>6}\n",
--- a/crates/micaspool-replay/src/run/endpoints.rs
+++ b/crates/micaspool-replay/src/run/endpoints.rs
@@ -1,4 +1,4 @@
-//! Fake endpoints: slots, delivery in steps, and a prefix cache in limited memory.
+//! Simulated endpoints: slots, delivery in steps and a prefix cache of limited size.
 
 use super::setup::endpoint_name;
 use crate::trace::TraceHeader;
@@ -6,7 +6,7 @@
 use micaspool_types::RequestId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many prefixes an endpoint's cache holds.
+/// The number of prefixes that the cache of an endpoint holds.
 const CACHED_PREFIXES: usize = 48;
 
 #[derive(Debug)]
@@ -57,7 +57,7 @@
         self.endpoints[endpoint].running
     }
 
-    /// The busy and the usable slots in some halls.
+    /// The number of busy slots and of all slots at the running endpoints of these halls, a bit mask.
     pub fn slots_in(&self, halls: u32) -> (u32, u32) {
         let in_halls =
             self.endpoints.iter().enumerate().filter(|(number, _)| halls & (1 << (number % self.halls)) != 0);
@@ -66,7 +66,7 @@
             .fold((0, 0), |(busy, all), (_, endpoint)| (busy + endpoint.running, all + self.slots))
     }
 
-    /// Starts a request; tells whether its longest prefix was cached, and what the cache changed.
+    /// Starts a request. Returns whether its longest prefix was cached, and the change of the cache.
     pub fn start(
         &mut self,
         endpoint: usize,
@@ -88,7 +88,7 @@
         (is_hit, CacheUpdate { endpoint, stored, dropped, kept: Vec::new(), whole: false })
     }
 
-    /// The number of the present run of a request; zero when it does not run.
+    /// The number of the current run of a request, or zero if it is not running.
     pub fn run_number(&self, request: RequestId) -> u64 {
         self.requests.get(&request).map_or(0, |running| running.run)
     }
@@ -101,7 +101,7 @@
         self.requests.get(&request).map_or(0, |running| running.delivered)
     }
 
-    /// Delivers a step and gives its size.
+    /// Delivers up to `limit` units of a request and returns how many were delivered.
     pub fn deliver(&mut self, request: RequestId, limit: u64) -> u64 {
         let Some(running) = self.requests.get_mut(&request) else { return 0 };
         let step = (running.cost - running.delivered).min(limit);
@@ -109,14 +109,14 @@
         step
     }
 
-    /// Ends a request and gives its cost.
+    /// Finishes a request and returns its cost.
     pub fn finish(&mut self, request: RequestId) -> u64 {
         let Some(running) = self.requests.remove(&request) else { return 0 };
         self.endpoints[running.endpoint].running -= 1;
         running.cost
     }
 
-    /// Ends an endpoint and gives the requests that ran there.
+    /// Takes an endpoint down and returns the requests that ran there.
     pub fn fail_endpoint(&mut self, endpoint: usize) -> Vec<RequestId> {
         let lost = self.requests.iter().filter(|(_, running)| running.endpoint == endpoint);
         let lost: Vec<RequestId> = lost.map(|(request, _)| *request).collect();
--- a/crates/micaspool-replay/src/run/faults.rs
+++ b/crates/micaspool-replay/src/run/faults.rs
@@ -1,30 +1,30 @@
-//! What can go wrong during a replay.
+//! Faults that can be injected into a replay.
 
-/// A fault and when it happens.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplayFault {
-    /// Milliseconds from the start of the trace.
+    /// The time, in milliseconds from the start of the trace.
     pub at_millis: u64,
-    /// What happens.
+    /// The kind of fault.
     pub kind: FaultKind,
 }
 
-/// What happens.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The dispatcher dies and another takes over.
+    /// The dispatcher fails and another one takes over.
     DispatcherLost {
-        /// True when the next one is rebuilt from what routers hold; false when it takes only
-        /// their waiting requests.
+        /// Whether the new dispatcher restores its state from everything that routers report. If false, it
+        /// takes only their waiting requests, which serves as a baseline.
         restore_state: bool,
     },
-    /// Endpoints end with everything that runs there.
+    /// Endpoints fail, and the requests that run there fail with them.
     EndpointsLost {
-        /// The first one.
+        /// The index of the first endpoint that fails.
         from: usize,
-        /// How many.
+        /// The number of endpoints that fail.
         count: usize,
     },
-    /// All endpoints are there again.
+    /// All failed endpoints come back.
     EndpointsRestored,
 }
--- a/crates/micaspool-replay/src/run/measure.rs
+++ b/crates/micaspool-replay/src/run/measure.rs
@@ -1,4 +1,4 @@
-//! The measures of a replay.
+//! Collects the measurements of a replay.
 
 use super::endpoints::FakeEndpoints;
 use super::wire::WireCounter;
@@ -8,40 +8,41 @@
 use micaspool_types::{Cost, HallMask, Moment, Weight};
 use serde::Serialize;
 
-/// What a replay measured.
+/// The results of a replay.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReplayReport {
-    /// The trace.
+    /// The name of the trace.
     pub trace: String,
-    /// The policy.
+    /// The name of the policy.
     pub policy: String,
-    /// The largest fairness gap, in units of the largest single request.
+    /// The largest fairness gap, in units of the largest cost of a single request.
     pub gap_largest: f64,
-    /// The gap that 99 in 100 moments stay below, in the same unit.
+    /// The 99th percentile of the sampled gaps, in the same unit.
     pub gap_p99: f64,
-    /// Busy slot time as a part of all slot time in halls for which work waits.
+    /// The busy share of the slot time, over the halls in which waiting requests may run.
     pub utilisation: f64,
-    /// Control bytes for each request.
+    /// Control bytes per request of the trace.
     pub control_bytes: f64,
-    /// Control messages for each request.
+    /// Control messages per request of the trace.
     pub control_messages: f64,
-    /// Requests that got their answer.
+    /// Requests that completed.
     pub done: u64,
-    /// Requests that were refused.
+    /// Requests that the dispatcher refused, or whose last attempt failed.
     pub refused: u64,
-    /// Requests that had no answer when the replay ended; anything but zero is a fault.
+    /// Requests that had neither completed nor been refused when the replay ended. Anything but zero is a
+    /// defect.
     pub unfinished: u64,
-    /// Requests that waited again after a failure.
+    /// Attempts that failed and were queued again.
     pub retries: u64,
-    /// Requests sent to endpoints, for each request of the trace.
+    /// Attempts sent to endpoints, per request of the trace.
     pub sent_ratio: f64,
-    /// The part of requests whose longest prefix was cached where they ran.
+    /// The share of started attempts whose longest prefix was cached at their endpoint.
     pub prefix_hits: f64,
-    /// After a dispatcher was lost: milliseconds to the next grant.
+    /// The time from the last loss of a dispatcher to the next grant that a router used, in milliseconds.
     pub recovery_millis: Option<f64>,
-    /// After a dispatcher was lost: bytes of what routers told the next one.
+    /// The size of the hello messages to all dispatchers that followed a lost one, in bytes.
     pub recovery_bytes: Option<u64>,
-    /// After a dispatcher was lost: the largest gap from then on, in the same unit.
+    /// The largest fairness gap since the last loss of a dispatcher, in units of the largest single cost.
     pub recovery_gap: Option<f64>,
 }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Accounts for the time between two events, in which work waited for these halls.
+    /// Adds the busy and total slot time between two events, over the halls in which waiting requests may run.
     pub fn record_interval(&mut self, from: Moment, to: Moment, halls: HallMask, endpoints: &FakeEndpoints) {
         let (busy, slots) = endpoints.slots_in(halls.0);
         let micros = to.since(from).as_micros();
@@ -98,7 +99,7 @@
         self.slot_micros += micros * u128::from(slots);
     }
 
-    /// A customer has more or fewer waiting requests.
+    /// Changes the number of waiting requests of a customer.
     pub fn change_waiting(&mut self, customer: usize, change: i64) {
         self.waiting[customer] += change;
         let waits = self.waiting[customer] > 0;
--- a/crates/micaspool-replay/src/run/mod.rs
+++ b/crates/micaspool-replay/src/run/mod.rs
@@ -1,8 +1,8 @@
 //! Replays a trace through one shard core in virtual time.
 //!
-//! The core is the one that dispatchers run. Around it are small fakes: routers that hold what
-//! real ones hold, endpoints with slots and a prefix cache, and a wire with a fixed delay whose
-//! messages are counted at their encoded size.
+//! The core is the one that dispatchers run. Routers, endpoints and the network are simulated: routers keep
+//! the state that real ones keep, endpoints have slots and a prefix cache, and messages take a fixed time and
+//! are counted at their encoded size.
 
 mod endpoints;
 mod faults;
@@ -30,20 +30,20 @@
 use std::time::Duration;
 use wire::WireCounter;
 
-/// How a trace is replayed.
+/// The parameters of a replay.
 #[derive(Clone, Debug)]
 pub struct ReplayOptions {
-    /// The policy, by name.
+    /// The name of the scheduling policy.
     pub policy: String,
-    /// What goes wrong and when.
+    /// The faults to inject.
     pub faults: Vec<ReplayFault>,
-    /// False for choosing endpoints by load alone.
+    /// Whether endpoints are chosen by cached prefixes too; if false, by load alone.
     pub use_prefixes: bool,
-    /// How many in a hundred cache events are lost.
+    /// The share of cache events that are lost, in percent.
     pub cache_loss_percent: u32,
-    /// By how much cache events and load reports lag.
+    /// The delay of cache events and load reports.
     pub report_lag: Duration,
-    /// The most waiting requests of one customer.
+    /// The limit of waiting requests per customer.
     pub max_waiting: u32,
 }
 
@@ -60,24 +60,24 @@
     }
 }
 
-/// How often the core looks at the time.
+/// The interval at which the core receives tick events.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often endpoints are asked for their load.
+/// The interval at which endpoints are probed for their load.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Cost is delivered and measured in steps of this size.
+/// The cost that an endpoint delivers at once, in units.
 const DELIVERY_STEP: u64 = 32;
-/// A router tells of progress after this much more.
+/// A router reports progress whenever this many more units were delivered.
 const PROGRESS_STEP: u64 = 128;
-/// How often a router says that it is alive, as real ones do.
+/// The interval at which routers send heartbeats, the same as that of real routers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long routers take to notice that a dispatcher is gone and to reach the next.
+/// The time that routers take to detect the loss of a dispatcher and to connect to the next one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// A replay ends this long after the last arrival, also when requests have no answer.
+/// A replay ends at the latest this long after the last arrival, even if requests are unanswered.
 const DRAIN_LIMIT: Duration = Duration::from_secs(3_600);
-/// How often one request is sent at most.
+/// The largest number of attempts per request.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// A replay under way.
+/// The state of a running replay.
 struct ReplayRun<'a> {
     trace: &'a RecordedTrace,
     options: ReplayOptions,
@@ -95,7 +95,7 @@
     unanswered: usize,
 }
 
-/// Replays a trace and measures it.
+/// Replays a trace and returns its measurements.
 pub fn replay(trace: &RecordedTrace, options: ReplayOptions) -> ReplayReport {
     let mut run = ReplayRun {
         now: Moment(1),
@@ -179,7 +179,10 @@
         let Some(core) = &mut self.core else { return };
         let mut actions = std::mem::take(&mut self.actions);
         core.step(self.now, event, &mut actions);
-        assert!(!core.has_idle_slot(self.now), "a free slot was left to an eligible ticket");
+        assert!(
+            !core.has_idle_slot(self.now),
+            "the core left a slot idle although an eligible ticket is waiting"
+        );
         for action in actions.drain(..) {
             self.wire.count_action(&action);
             self.schedule_after(self.wire_delay(), ReplayEvent::ToRouter(action));
@@ -217,7 +220,8 @@
                     );
                 }
             }
-            // Requests of a trace are told apart by their ids alone, so none is ever in doubt.
+            // Simulated routers don't wait for answers to heartbeats, and their tickets carry no digest, so no
+            // request is ever suspected of crashing endpoints.
             ShardAction::Pulse { .. }
             | ShardAction::SendRecord { .. }
             | ShardAction::ProbeEndpoint { .. }
@@ -225,7 +229,7 @@
         }
     }
 
-    /// A router sends a granted request to an endpoint.
+    /// Sends a granted request to its endpoint.
     fn send(&mut self, request: RequestId, endpoint: &EndpointName) {
         let index = self.routers.index_of(request);
         let customer = self.trace.requests[index].customer;
@@ -281,7 +285,7 @@
         self.schedule_delivery(request, run);
     }
 
-    /// A request that did not end well waits again, or is given up after its last attempt.
+    /// Settles a failed attempt, then queues the request again, or refuses it after [`MAX_ATTEMPTS`].
     fn retry(&mut self, request: RequestId, outcome: GrantOutcome) {
         let session = self.routers.session_of(request);
         self.send_to_shard(ShardEvent::Settle(session, request, Cost(0), outcome));
--- a/crates/micaspool-replay/src/run/queue.rs
+++ b/crates/micaspool-replay/src/run/queue.rs
@@ -1,25 +1,38 @@
-//! The events of a replay in time order.
+//! The events of a replay, and the order in which the event queue returns them.
 
 use super::faults::FaultKind;
 use micaspool_dispatch::{CacheUpdate, ShardAction, ShardEvent};
 use micaspool_types::{Moment, RequestId};
 
-/// What happens next in a replay.
+/// An event of the simulation.
 #[derive(Debug)]
 pub(super) enum ReplayEvent {
+    /// The request with this index arrives at its router.
     Arrive(usize),
+    /// A message reaches the dispatcher.
     ToShard(ShardEvent),
+    /// A message reaches a router.
     ToRouter(ShardAction),
-    Deliver { request: RequestId, run: u64 },
+    /// An endpoint delivers the next step of a request; ignored if `run` is no longer its current run.
+    Deliver {
+        request: RequestId,
+        run: u64,
+    },
+    /// A cache update of an endpoint reaches the dispatcher.
     Cache(CacheUpdate),
     Tick,
+    /// Endpoints are probed for their load.
     Probe,
+    /// Every router sends a heartbeat.
     Heartbeat,
     Fault(FaultKind),
-    NewDispatcher { restore_state: bool },
+    /// A dispatcher starts in place of the failed one.
+    NewDispatcher {
+        restore_state: bool,
+    },
 }
 
-/// An event with its time; events of one time come in the order in which they were queued.
+/// A scheduled event. Events with equal times are processed in the order in which they were scheduled.
 #[derive(Debug)]
 pub(super) struct QueuedEvent {
     pub at: Moment,
--- a/crates/micaspool-replay/src/run/routers.rs
+++ b/crates/micaspool-replay/src/run/routers.rs
@@ -1,4 +1,4 @@
-//! Fake routers: they hold what real ones hold.
+//! Simulated routers, with the state that real routers keep for their dispatcher.
 
 use super::setup::session_number;
 use crate::trace::RecordedTrace;
@@ -7,7 +7,7 @@
 use micaspool_types::{Cost, CustomerName, EndpointName, Incarnation, InstanceName, OrderNumber, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A prompt's prefixes: this many, each longer than the one before.
+/// The number of prefixes of a prompt, each longer than the one before.
 const PREFIXES: u64 = 3;
 
 #[derive(Debug, Default)]
@@ -48,7 +48,7 @@
         self.session(self.owners[&request])
     }
 
-    /// Opens a new stream with everything that the router holds.
+    /// Opens a new session of a router. The hello message carries everything that the router holds.
     pub fn join(&mut self, router: usize) -> (SessionId, RouterHello) {
         self.routers[router].joins += 1;
         let held = &self.routers[router];
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The hashes of a request's prompt prefixes: the first is the customer's, the longer ones
-    /// the conversation's.
+    /// The hashes of the prompt prefixes of a request. The first is shared by all requests of the customer,
+    /// the longer ones by those of the conversation.
     pub fn prefixes_of(&self, trace: &RecordedTrace, index: usize) -> Vec<u64> {
         let request = &trace.requests[index];
         let customer = request.customer as u64 + 1;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Takes a grant; false when it is of an earlier stream or the request no longer waits.
+    /// Takes a grant. Returns false if it belongs to an earlier session or the request is no longer waiting.
     pub fn granted(
         &mut self,
         session: SessionId,
@@ -157,7 +157,7 @@
         self.reported.remove(&request);
     }
 
-    /// Takes a failed request back into the queue.
+    /// Queues a failed request again, with a new ticket that avoids the endpoint where it failed.
     pub fn requeue(&mut self, trace: &RecordedTrace, request: RequestId, attempt: u32) -> RequestTicket {
         let router = self.owners[&request];
         let failed = self.routers[router].running.remove(&request).map(|grant| grant.endpoint);
@@ -167,7 +167,7 @@
         ticket
     }
 
-    /// Notes what was delivered; true when the dispatcher should be reported.
+    /// Records the delivered cost. Returns true if it has grown by `step` units since the last progress report.
     pub fn progress_is_due(&mut self, request: RequestId, delivered: u64, step: u64) -> bool {
         let router = self.owners[&request];
         if let Some(grant) = self.routers[router].running.get_mut(&request) {
--- a/crates/micaspool-replay/src/run/setup.rs
+++ b/crates/micaspool-replay/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! How a replay begins: its dispatcher, its settings and the names in them.
+//! The initial state of a replay: scheduled inputs, the dispatcher, its policy and the names that it uses.
 
 use super::queue::ReplayEvent;
 use super::{ReplayRun, HEARTBEAT_INTERVAL, PROBE_INTERVAL, TICK_INTERVAL};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl ReplayRun<'_> {
-    /// Queues everything that is known beforehand.
+    /// Starts the dispatcher and schedules the arrivals, the faults and the first periodic events.
     pub(super) fn schedule_inputs(&mut self) {
         self.start_dispatcher(true);
         for (index, request) in self.trace.requests.iter().enumerate() {
@@ -24,7 +24,7 @@
         self.schedule_after(HEARTBEAT_INTERVAL, ReplayEvent::Heartbeat);
     }
 
-    /// Starts a dispatcher that every router joins.
+    /// Starts a dispatcher and lets every router join it.
     pub(super) fn start_dispatcher(&mut self, restore_state: bool) {
         let policy = policy_named(&self.options.policy).expect("the caller checked the name of the policy");
         let options = ShardOptions::builder()
@@ -75,18 +75,18 @@
     }
 }
 
-/// The name of an endpoint.
+/// The name of the endpoint with this index.
 pub(super) fn endpoint_name(number: usize) -> EndpointName {
     EndpointName::parse(&format!("endpoint-{number}")).expect("the name is well-formed")
 }
 
-/// The number in an endpoint's name.
+/// The index of the endpoint with this name.
 pub(super) fn endpoint_number(name: &EndpointName) -> usize {
     let digits = name.as_str().trim_start_matches("endpoint-");
     digits.parse().expect("the replay named the endpoint")
 }
 
-/// The stream of a router after so many joins.
+/// The session id of a router after `joins` joins; unique among the sessions of all `routers` routers.
 pub(super) fn session_number(router: usize, joins: u64, routers: usize) -> SessionId {
     SessionId(joins * routers as u64 + router as u64)
 }
--- a/crates/micaspool-replay/src/run/wire.rs
+++ b/crates/micaspool-replay/src/run/wire.rs
@@ -1,4 +1,4 @@
-//! Control messages at their encoded size.
+//! Counts control messages and their encoded sizes.
 
 use micaspool_dispatch::{RouterHello, ShardAction, ShardEvent};
 use micaspool_types::{Incarnation, ServiceName};
@@ -6,10 +6,10 @@
 use micaspool_wire::v1::{self, router_message::Body};
 use prost::Message;
 
-/// What HTTP/2 and gRPC add to each message, in bytes.
+/// The framing overhead of HTTP/2 and gRPC for each message.
 const FRAMING_BYTES: u64 = 14;
 
-/// Counts control messages between routers and the dispatcher.
+/// The number and size of the control messages between routers and the dispatcher.
 #[derive(Debug, Default)]
 pub(super) struct WireCounter {
     pub messages: u64,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts a hello and gives its size.
+    /// Counts a hello message and returns its encoded size in bytes, without framing.
     pub fn count_hello(&mut self, hello: &RouterHello) -> u64 {
         let service = ServiceName::parse("service").expect("the name is well-formed");
         let body = Body::Hello(hello_message(&service, "hall-0", hello));
--- a/crates/micaspool-replay/src/standin/answers.rs
+++ b/crates/micaspool-replay/src/standin/answers.rs
@@ -10,12 +10,12 @@
 use std::io;
 use std::time::Duration;
 
-/// The answer's length when the caller gives none, in tokens.
+/// The length of an answer if the caller sets no `max_tokens`.
 const DEFAULT_TOKENS: u64 = 16;
-/// A token has about this many bytes of prompt.
+/// The number of prompt bytes that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What a stand-in reads from a model call.
+/// The fields of a model call that a stand-in uses.
 #[derive(Debug)]
 pub(super) struct ModelCall {
     pub stream: bool,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A whole answer that echoes the last message.
+/// A JSON answer that echoes the last message.
 pub(super) fn json_answer(call: &ModelCall, fault: FaultMode) -> Response {
     let message = json!({ "role": "assistant", "content": call.echo });
     let body = json!({ "choices": [{ "index": 0, "message": message }], "usage": call.usage() }).to_string();
@@ -75,7 +75,7 @@
     response
 }
 
-/// An answer in events: the echo first, then one token after the other, then the usage.
+/// A streamed answer: the echo of the last message, then one event per token, then the usage.
 pub(super) fn stream_answer(
     call: ModelCall,
     token_time: Duration,
--- a/crates/micaspool-replay/src/standin/handler.rs
+++ b/crates/micaspool-replay/src/standin/handler.rs
@@ -1,4 +1,4 @@
-//! How a stand-in endpoint treats a request.
+//! The request handler of a stand-in endpoint.
 
 use super::answers::{json_answer, stream_answer, ModelCall};
 use async_std::task;
@@ -20,54 +20,54 @@
 /// The path of the load report.
 const LOAD_PATH: &str = "/load";
 
-/// How a stand-in behaves.
+/// The parameters of a stand-in endpoint.
 #[derive(Debug, Clone)]
 pub struct StandInOptions {
-    /// The name that it gives in its answers.
+    /// Its name, sent in the `micaspool-stand-in` header of answers.
     pub name: String,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: usize,
-    /// The time from one token to the next, or of a plain call.
+    /// The time per token of a model call, or the whole time of a plain call.
     pub token_time: Duration,
 }
 
-/// A way to misbehave.
+/// A fault that a stand-in endpoint can show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum FaultMode {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// Answers with another request's id.
+    /// Answers with a request id of zeros instead of the id of the request.
     WrongRequestId,
-    /// Ends bodies before their length.
+    /// Ends the bodies of model answers halfway.
     TruncatedBody,
-    /// Takes requests and says nothing.
+    /// Accepts requests and sends no answer for an hour.
     Silent,
-    /// Turns every request away and asks for so many seconds of rest.
+    /// Refuses every request with a `retry-after` header of this many seconds.
     RetryAfter(u32),
 }
 
-/// A request that was begun.
+/// A request that the endpoint started to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
-    /// The request id.
+    /// The request id from the request header.
     pub request: String,
-    /// The customer that the router named.
+    /// The customer from the `micaspool-customer` header.
     pub customer: String,
-    /// The path.
+    /// The path and query.
     pub target: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What a stand-in remembers.
+/// The shared state of a stand-in endpoint.
 #[derive(Debug)]
 pub(super) struct StandInState {
     options: StandInOptions,
     running: AtomicUsize,
     draining: AtomicBool,
     fault: Mutex<FaultMode>,
-    /// How many requests were turned away with a time to rest.
+    /// The number of requests refused with a `retry-after` header.
     retry_after_refusals: AtomicUsize,
     runs: Mutex<Vec<RunRecord>>,
 }
@@ -105,7 +105,7 @@
     }
 }
 
-/// A slot that is held until this is dropped.
+/// An occupied slot, released on drop.
 pub(super) struct SlotGuard(Arc<StandInState>);
 
 impl SlotGuard {
--- a/crates/micaspool-replay/src/standin/mod.rs
+++ b/crates/micaspool-replay/src/standin/mod.rs
@@ -1,7 +1,7 @@
-//! A stand-in endpoint over HTTP: a model engine or a plain service.
+//! A stand-in endpoint that serves HTTP like a model engine or a plain service.
 //!
-//! It streams, reports its load, echoes the request id, refuses beyond its slots, and remembers
-//! which requests it ran, so that tests can see that none ran twice.
+//! It streams answers, reports its load, echoes the request id, refuses requests beyond its slots, and records
+//! the requests that it ran, so that tests can check that none ran twice.
 
 mod answers;
 mod handler;
@@ -25,7 +25,7 @@
 }
 
 impl StandInEndpoint {
-    /// Starts an endpoint; port 0 takes a free one.
+    /// Starts an endpoint. Port 0 selects a free port.
     pub async fn start(address: SocketAddr, options: StandInOptions) -> io::Result<StandInEndpoint> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -37,32 +37,32 @@
         Ok(StandInEndpoint { address, state, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Every request that it began to run, in order.
+    /// The requests that it started to run, in order.
     pub fn runs(&self) -> Vec<RunRecord> {
         self.state.runs()
     }
 
-    /// How many requests it turned away with a time to rest.
+    /// The number of requests refused with a `retry-after` header.
     pub fn retry_after_refusals(&self) -> usize {
         self.state.retry_after_refusals()
     }
 
-    /// Takes no new work, and says so, from now on.
+    /// Refuses new requests from now on and reports that it is draining.
     pub fn drain(&self) {
         self.state.set_draining(true);
     }
 
-    /// Misbehaves in this way from now on.
+    /// Sets the fault that it shows from now on.
     pub fn set_fault(&self, fault: FaultMode) {
         self.state.set_fault(fault);
     }
 
-    /// Closes the listener.
+    /// Accepts no new connections and requests from now on.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/micaspool-replay/src/trace.rs
+++ b/crates/micaspool-replay/src/trace.rs
@@ -1,4 +1,4 @@
-//! Recorded traces: a JSON header line, then one JSON array a request.
+//! Trace files: a JSON header line, then one JSON array per request.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,26 +11,26 @@
     pub name: String,
     /// Its weight.
     pub weight: u32,
-    /// The data halls that it may use, as bits.
+    /// The data halls that it may use, as a bit mask.
     pub halls: u32,
 }
 
-/// The world that a trace was recorded in.
+/// The simulated deployment and its customers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TraceHeader {
     /// The name of the trace.
     pub name: String,
     /// The number of data halls.
     pub halls: usize,
-    /// The number of endpoints, spread evenly over the halls.
+    /// The number of endpoints, assigned to the data halls in turn.
     pub endpoints: usize,
-    /// The slots of each endpoint.
+    /// The number of slots of each endpoint.
     pub slots: u32,
-    /// Microseconds for one unit of cost.
+    /// The time to process one unit of cost, in microseconds.
     pub unit_micros: u64,
     /// The number of routers.
     pub routers: usize,
-    /// Microseconds of a message between two processes.
+    /// The one-way delay of a message between two processes, in microseconds.
     pub wire_micros: u64,
     /// The customers.
     pub customers: Vec<TraceCustomer>,
@@ -39,35 +39,35 @@
 /// One request of a trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceRequest {
-    /// Milliseconds from the start of the trace.
+    /// The arrival time, in milliseconds from the start of the trace.
     pub at_millis: u64,
-    /// The position of its customer.
+    /// The index of its customer in the header.
     pub customer: usize,
-    /// The position of the router that it comes to.
+    /// The index of the router that receives it.
     pub router: usize,
-    /// The hint.
+    /// The estimated cost that the router passes to the dispatcher, in units.
     pub hint: u64,
-    /// The real cost.
+    /// The actual cost, in units.
     pub cost: u64,
-    /// The conversation that it continues; requests of one share prompt prefixes.
+    /// The conversation that it belongs to. Requests of one customer and conversation share prompt prefixes.
     pub conversation: u64,
 }
 
-/// A whole trace.
+/// A trace: the simulated deployment and the requests that it receives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedTrace {
-    /// The world.
+    /// The deployment and the customers.
     pub header: TraceHeader,
-    /// The requests in the order of their arrival.
+    /// The requests, ordered by arrival time.
     pub requests: Vec<TraceRequest>,
 }
 
-/// Why a trace cannot be read.
+/// An error from reading or writing a trace.
 #[derive(Debug)]
 pub enum Error {
-    /// It cannot be read or written.
+    /// The input or output failed.
     Io(io::Error),
-    /// A line is not what it should be.
+    /// The line with this number, counted from 1, is malformed.
     Line(usize, String),
 }
 
@@ -76,7 +76,7 @@
         match self {
             Error::Io(error) => write!(f, "the trace cannot be read or written ({error}); check the path"),
             Error::Line(number, error) => {
-                write!(f, "line {number} of the trace is wrong ({error}); record it again")
+                write!(f, "line {number} of the trace is malformed ({error}); record it again")
             }
         }
     }
@@ -91,7 +91,7 @@
 }
 
 impl RecordedTrace {
-    /// Reads a trace.
+    /// Reads a trace; fails at the first malformed line.
     pub fn read(source: impl BufRead) -> Result<RecordedTrace, Error> {
         let mut lines = source.lines();
         let first = lines.next().ok_or_else(|| Error::Line(1, "the header is missing".to_owned()))??;
@@ -105,7 +105,7 @@
             if customer as usize >= header.customers.len() || router as usize >= header.routers {
                 return Err(Error::Line(
                     number + 2,
-                    "it names a customer or router that is not there".to_owned(),
+                    "its customer or router is not in the header".to_owned(),
                 ));
             }
             let (customer, router) = (customer as usize, router as usize);
@@ -114,10 +114,10 @@
         Ok(RecordedTrace { header, requests })
     }
 
-    /// Writes a trace.
+    /// Writes the trace in the format that [`RecordedTrace::read`] reads.
     pub fn write(&self, mut target: impl Write) -> Result<(), Error> {
         let header =
-            serde_json::to_string(&self.header).expect("a header has nothing that cannot be encoded");
+            serde_json::to_string(&self.header).expect("every field of the header can be encoded as JSON");
         writeln!(target, "{header}")?;
         for request in &self.requests {
             let TraceRequest { at_millis, customer, router, hint, cost, conversation } = request;
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// The largest cost of a single request: the unit of the gap.
+    /// The largest cost of a single request, at least 1. Fairness gaps are reported in this unit.
     pub fn largest_cost(&self) -> u64 {
         self.requests.iter().map(|request| request.cost).max().unwrap_or(1).max(1)
     }
