--- a/crates/micaspool/benches/clock.rs
+++ b/crates/micaspool/benches/clock.rs
@@ -6,7 +6,7 @@
 
 const READINGS: u32 = 5_000_000;
 
-fn each(read: impl Fn()) -> Duration {
+fn time_per_reading(read: impl Fn()) -> Duration {
     let start = Instant::now();
     for _ in 0..READINGS {
         read();
@@ -15,6 +15,6 @@
 }
 
 fn main() {
-    println!("steady clock: {:?} a reading", each(|| _ = black_box(Instant::now())));
-    println!("clock since boot: {:?} a reading", each(|| _ = black_box(BootInstant::now())));
+    println!("steady clock: {:?} a reading", time_per_reading(|| _ = black_box(Instant::now())));
+    println!("clock since boot: {:?} a reading", time_per_reading(|| _ = black_box(BootInstant::now())));
 }
--- a/crates/micaspool/benches/decisions.rs
+++ b/crates/micaspool/benches/decisions.rs
@@ -22,7 +22,7 @@
 const DECISIONS: usize = 100_000;
 const SESSION: SessionId = SessionId(1);
 
-struct Load {
+struct DecisionLoad {
     core: ShardCore,
     now: Moment,
     actions: Vec<ShardAction>,
@@ -63,11 +63,11 @@
     }
 }
 
-impl Load {
-    fn new(customers: usize, endpoints: usize, waiting: usize) -> Load {
+impl DecisionLoad {
+    fn new(customers: usize, endpoints: usize, waiting: usize) -> DecisionLoad {
         let options = ShardOptions::builder().recovery_window(Duration::ZERO).max_waiting(usize::MAX).build();
         let now = Moment::from_millis(1_000);
-        let mut load = Load {
+        let mut load = DecisionLoad {
             core: ShardCore::new(now, options),
             now,
             actions: Vec::new(),
@@ -173,7 +173,7 @@
     for (customers, endpoints) in [(84, 60), (840, 600)] {
         for waiting in [1_000, 10_000, 100_000] {
             let before = resident_bytes();
-            let mut load = Load::new(customers, endpoints, waiting);
+            let mut load = DecisionLoad::new(customers, endpoints, waiting);
             let bytes = resident_bytes().saturating_sub(before) / waiting as u64;
             for _ in 0..DECISIONS / 10 {
                 load.decide();
--- a/crates/micaspool/benches/digest.rs
+++ b/crates/micaspool/benches/digest.rs
@@ -7,18 +7,18 @@
 /// Bodies as callers send them: small calls, prompts, and the largest that plans allow.
 const SIZES: [usize; 5] = [0, 600, 17_000, 100_000, 1 << 20];
 /// How many bytes are hashed for each size.
-const VOLUME: usize = 256 << 20;
+const BYTES_PER_SIZE: usize = 256 << 20;
 
 fn main() {
     let customer = CustomerName::parse("coop-01").expect("a name");
     for size in SIZES {
         let body = vec![7; size];
-        let rounds = (VOLUME / size.max(1_000)).min(100_000);
+        let rounds = (BYTES_PER_SIZE / size.max(1_000)).min(100_000);
         let start = Instant::now();
         for _ in 0..rounds {
             black_box(RequestDigest::of(&customer, "POST", "/letters/2f", black_box(&body)));
         }
-        let each = start.elapsed() / u32::try_from(rounds).expect("few rounds");
-        println!("body of {size} bytes: {each:?} a digest");
+        let time_per_digest = start.elapsed() / u32::try_from(rounds).expect("few rounds");
+        println!("body of {size} bytes: {time_per_digest:?} a digest");
     }
 }
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -18,41 +18,41 @@
 
 const SESSION: SessionId = SessionId(1);
 const CUSTOMERS: usize = 30;
-const SUBJECTS: u64 = 780;
+const PROMPT_SUBJECTS: u64 = 780;
 const SLOTS: u32 = 16;
-const MEMORY: u64 = 501_020;
+const MEMORY_TOKENS: u64 = 501_020;
 /// Virtual seconds that are measured.
 const SECONDS: u64 = 10;
-const REPORT_INTERVAL: u64 = 500_000;
+const LOAD_REPORT_INTERVAL: u64 = 500_000;
 /// How often each engine tells what its cache took in, and how many parts that are.
-const NEWS_INTERVAL: u64 = 640_000;
-const NEWS_PARTS: u64 = 4;
-const TICK: u64 = 50_000;
-const BEGINS_AFTER: u64 = 150_000;
-const ENDS_AFTER: u64 = 1_000_000;
+const CACHE_UPDATE_INTERVAL: u64 = 640_000;
+const CACHE_UPDATE_PARTS: u64 = 4;
+const TICK_INTERVAL: u64 = 50_000;
+const FIRST_TOKEN_DELAY: u64 = 150_000;
+const COMPLETION_DELAY: u64 = 1_000_000;
 
 /// What happens at a moment of the virtual time, in microseconds.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum SimulatedEvent {
     Arrival,
-    Begin(u128),
-    End(u128),
-    Reports,
+    FirstToken(u128),
+    Completion(u128),
+    LoadReports,
     /// An engine tells what its cache took in.
-    News(usize),
+    CacheUpdated(usize),
     Tick,
 }
 
 struct EngineLoad {
     core: ShardCore,
-    agenda: BinaryHeap<Reverse<(u64, Happening)>>,
+    queue: BinaryHeap<Reverse<(u64, SimulatedEvent)>>,
     actions: Vec<ShardAction>,
     engines: usize,
     arrival_gap: u64,
     arrived: u128,
     granted: u64,
     refused: u64,
-    spent: Duration,
+    step_time: Duration,
 }
 
 fn engine(number: usize) -> EndpointName {
@@ -71,7 +71,7 @@
         leaving: false,
         evacuated: false,
         cold: Duration::ZERO,
-        memory_tokens: MEMORY,
+        memory_tokens: MEMORY_TOKENS,
     });
     let named = (0..CUSTOMERS as u64).map(|number| ShardCustomer {
         name: customer(number),
@@ -91,7 +91,7 @@
 }
 
 /// Spreads numbers, always the same way.
-fn scatter(number: u128, salt: u64) -> u64 {
+fn pseudo_random(number: u128, salt: u64) -> u64 {
     (number as u64 ^ salt.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33
 }
 
@@ -104,14 +104,14 @@
             .build();
         let mut load = EngineLoad {
             core: ShardCore::new(Moment(0), options),
-            agenda: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             actions: Vec::new(),
             engines,
             arrival_gap: 1_000_000 / arrivals_a_second,
             arrived: 0,
             granted: 0,
             refused: 0,
-            spent: Duration::ZERO,
+            step_time: Duration::ZERO,
         };
         load.step(1, ShardEvent::Policy(policy(engines)));
         let hello = RouterHello {
@@ -126,11 +126,11 @@
         };
         load.step(1, ShardEvent::Joined(SESSION, hello));
         for number in 0..engines {
-            let at = 2 + NEWS_INTERVAL * number as u64 / engines as u64;
-            load.agenda.push(Reverse((at, Happening::News(number))));
+            let at = 2 + CACHE_UPDATE_INTERVAL * number as u64 / engines as u64;
+            load.queue.push(Reverse((at, SimulatedEvent::CacheUpdated(number))));
         }
-        for first in [Happening::Arrival, Happening::Reports, Happening::Tick] {
-            load.agenda.push(Reverse((2, first)));
+        for first in [SimulatedEvent::Arrival, SimulatedEvent::LoadReports, SimulatedEvent::Tick] {
+            load.queue.push(Reverse((2, first)));
         }
         load
     }
@@ -138,13 +138,14 @@
     fn step(&mut self, now: u64, event: ShardEvent) {
         let started = Instant::now();
         self.core.step(Moment(now), event, &mut self.actions);
-        self.spent += started.elapsed();
+        self.step_time += started.elapsed();
         for action in self.actions.drain(..) {
             match action {
                 ShardAction::Grant { request, .. } => {
                     self.granted += 1;
-                    self.agenda.push(Reverse((now + BEGINS_AFTER, Happening::Begin(request.0))));
-                    self.agenda.push(Reverse((now + ENDS_AFTER, Happening::End(request.0))));
+                    self.queue
+                        .push(Reverse((now + FIRST_TOKEN_DELAY, SimulatedEvent::FirstToken(request.0))));
+                    self.queue.push(Reverse((now + COMPLETION_DELAY, SimulatedEvent::Completion(request.0))));
                 }
                 ShardAction::Refuse { .. } => self.refused += 1,
                 _ => {}
@@ -154,44 +155,45 @@
 
     fn ticket(&mut self) -> RequestTicket {
         self.arrived += 1;
-        let subject = scatter(self.arrived, 1) % SUBJECTS;
-        let own = 1_000 + (scatter(self.arrived, 2) % 5_000) as u32;
+        let subject = pseudo_random(self.arrived, 1) % PROMPT_SUBJECTS;
+        let own_tokens = 1_000 + (pseudo_random(self.arrived, 2) % 5_000) as u32;
         // Half of the requests belong to one customer.
-        let from = if scatter(self.arrived, 3).is_multiple_of(2) { 0 } else { scatter(self.arrived, 4) };
+        let customer_number =
+            if pseudo_random(self.arrived, 3).is_multiple_of(2) { 0 } else { pseudo_random(self.arrived, 4) };
         RequestTicket {
             request: RequestId(self.arrived.wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c834)),
-            customer: customer(from % CUSTOMERS as u64),
+            customer: customer(customer_number % CUSTOMERS as u64),
             digest: Some(RequestDigest(self.arrived)),
-            hint: Cost(14_000 + u64::from(own)),
+            hint: Cost(14_000 + u64::from(own_tokens)),
             priority: 17,
             attempt: 0,
             avoid: None,
             prefixes: vec![subject % 4, 100 + subject, 1_000_000 + self.arrived as u64],
-            prefix_tokens: vec![2_500, 9_000, own],
-            prompt_tokens: Cost(11_500 + u64::from(own)),
+            prefix_tokens: vec![2_500, 9_000, own_tokens],
+            prompt_tokens: Cost(11_500 + u64::from(own_tokens)),
             objective: Some(Duration::from_millis(230)),
             patience: None,
             order: None,
         }
     }
 
-    fn take(&mut self, now: u64, happening: Happening) {
-        match happening {
-            Happening::Arrival => {
+    fn handle_event(&mut self, now: u64, event: SimulatedEvent) {
+        match event {
+            SimulatedEvent::Arrival => {
                 let ticket = self.ticket();
-                self.agenda.push(Reverse((now + self.arrival_gap, Happening::Arrival)));
+                self.queue.push(Reverse((now + self.arrival_gap, SimulatedEvent::Arrival)));
                 self.step(now, ShardEvent::Submit(SESSION, ticket));
             }
-            Happening::Begin(request) => {
+            SimulatedEvent::FirstToken(request) => {
                 self.step(now, ShardEvent::Progress(SESSION, RequestId(request), Cost(4_000)));
             }
-            Happening::End(request) => {
+            SimulatedEvent::Completion(request) => {
                 self.step(
                     now,
                     ShardEvent::Settle(SESSION, RequestId(request), Cost(4_240), GrantOutcome::Done),
                 );
             }
-            Happening::Reports => {
+            SimulatedEvent::LoadReports => {
                 for number in 0..self.engines {
                     let report = LoadReport {
                         endpoint: engine(number),
@@ -202,33 +204,33 @@
                     };
                     self.step(now, ShardEvent::Load(report));
                 }
-                self.agenda.push(Reverse((now + REPORT_INTERVAL, Happening::Reports)));
+                self.queue.push(Reverse((now + LOAD_REPORT_INTERVAL, SimulatedEvent::LoadReports)));
             }
-            Happening::News(number) => {
+            SimulatedEvent::CacheUpdated(number) => {
                 let part = |place| CachedPart {
-                    prefix: 2_000_000 + scatter(u128::from(now + place), number as u64),
+                    prefix: 2_000_000 + pseudo_random(u128::from(now + place), number as u64),
                     tokens: 3_000,
                 };
-                let news = CacheUpdate {
+                let update = CacheUpdate {
                     endpoint: engine(number),
                     stored: Vec::new(),
                     dropped: Vec::new(),
-                    kept: (0..NEWS_PARTS).map(part).collect(),
+                    kept: (0..CACHE_UPDATE_PARTS).map(part).collect(),
                     whole: false,
                 };
-                self.step(now, ShardEvent::Cache(news));
-                self.agenda.push(Reverse((now + NEWS_INTERVAL, Happening::News(number))));
+                self.step(now, ShardEvent::Cache(update));
+                self.queue.push(Reverse((now + CACHE_UPDATE_INTERVAL, SimulatedEvent::CacheUpdated(number))));
             }
-            Happening::Tick => {
+            SimulatedEvent::Tick => {
                 self.step(now, ShardEvent::Heartbeat(SESSION, 1));
                 self.step(now, ShardEvent::Tick);
-                self.agenda.push(Reverse((now + TICK, Happening::Tick)));
+                self.queue.push(Reverse((now + TICK_INTERVAL, SimulatedEvent::Tick)));
             }
         }
     }
 
     fn run(mut self, arrivals: u64) {
-        while let Some(Reverse((at, happening))) = self.agenda.pop() {
+        while let Some(Reverse((at, event))) = self.queue.pop() {
             // The core's own wake-ups come in between, as its driver gives them.
             while let Some(wake) = self.core.next_wake().filter(|wake| wake.0 < at) {
                 self.step((wake.0 + 200).min(at), ShardEvent::Wake);
@@ -236,9 +238,9 @@
             if at > SECONDS * 1_000_000 {
                 break;
             }
-            self.take(at, happening);
+            self.handle_event(at, event);
         }
-        let micros = self.spent.as_secs_f64() * 1e6 / self.arrived as f64;
+        let micros = self.step_time.as_secs_f64() * 1e6 / self.arrived as f64;
         println!("{:>8} {arrivals:>11} {micros:>13.1} {:>9} {:>9}", self.engines, self.granted, self.refused);
     }
 }
--- a/crates/micaspool/benches/parts/claims.rs
+++ b/crates/micaspool/benches/parts/claims.rs
@@ -1,6 +1,6 @@
 //! What claims cost the leading keeper and a follower.
 
-use super::usage::{wait_for_turn, Spent, Usage};
+use super::usage::{wait_until_due, Usage, UsageDelta};
 use crate::harness::{milk, wait_for, Deployment};
 use async_std::task;
 use futures::future::join_all;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 const SECONDS: u64 = 5;
-const LIMIT: Duration = Duration::from_secs(10);
+const CALL_LIMIT: Duration = Duration::from_secs(10);
 
 pub async fn run() {
     println!("claims and their outcomes (256 bytes of answer), for {SECONDS} s at each rate");
@@ -31,12 +31,12 @@
         let leader = deployment.leader().await.expect("a keeper leads");
         let follower = (leader + 1) % 3;
         let before = (read(&deployment, leader).await, read(&deployment, follower).await);
-        let syncs = syncs(&deployment, leader).await;
+        let sync_count = sync_count(&deployment, leader).await;
         let delays = claim_at(&deployment, rate).await;
         let after = (read(&deployment, leader).await, read(&deployment, follower).await);
         let count = delays.len() as f64;
-        let (lead, follow): (Spent, Spent) = (after.0.since(&before.0), after.1.since(&before.1));
-        let used = self::syncs(&deployment, leader).await - syncs;
+        let (lead, follow): (UsageDelta, UsageDelta) = (after.0.since(&before.0), after.1.since(&before.1));
+        let used = self::sync_count(&deployment, leader).await - sync_count;
         let mut sorted = delays;
         sorted.sort();
         println!(
@@ -46,7 +46,7 @@
             lead.cpu_micros / count,
             lead.core_percent(),
             follow.cpu_micros / count,
-            lead.kilobytes_a_second(),
+            lead.kilobytes_per_second(),
             used as f64 / count,
             after.0.resident as f64 / 1e6
         );
@@ -57,7 +57,7 @@
     Usage::read(deployment.keepers[number].as_ref().expect("it runs")).await
 }
 
-async fn syncs(deployment: &Deployment, number: usize) -> u64 {
+async fn sync_count(deployment: &Deployment, number: usize) -> u64 {
     deployment.state(&deployment.keepers[number]).await["syncs"].as_u64().unwrap_or(0)
 }
 
@@ -66,7 +66,7 @@
     let calls = (0..rate * SECONDS).map(|number| {
         let deployment = deployment.clone();
         task::spawn(async move {
-            wait_for_turn(started, number, rate).await;
+            wait_until_due(started, number, rate).await;
             claim(&deployment, rate, number).await
         })
     });
@@ -83,7 +83,7 @@
         traceparent: String::new(),
     };
     let started = Instant::now();
-    deployment.client.claim(request, LIMIT).await.expect("a verdict");
+    deployment.client.claim(request, CALL_LIMIT).await.expect("a verdict");
     let delay = started.elapsed();
     let answer =
         v1::StoredAnswer { status: 200, content_type: "application/json".to_owned(), body: vec![1; 256] };
@@ -94,6 +94,6 @@
         kind: v1::FinishKind::FinishAnswered.into(),
         answer: Some(answer),
     };
-    deployment.client.finish(request, LIMIT).await.expect("it is recorded");
+    deployment.client.finish(request, CALL_LIMIT).await.expect("it is recorded");
     delay
 }
--- a/crates/micaspool/benches/parts/delay.rs
+++ b/crates/micaspool/benches/parts/delay.rs
@@ -32,15 +32,15 @@
         let per_core = through.len() as f64 / (spent.cpu_micros / 1e6);
         println!(
             "{callers:>8} {:>15.2} {:>12.2} {:>15.2} {:>12.2} {rate:>13.0} {per_core:>11.0}",
-            part(&alone, 50),
-            part(&alone, 99),
-            part(&through, 50),
-            part(&through, 99)
+            percentile_millis(&alone, 50),
+            percentile_millis(&alone, 99),
+            percentile_millis(&through, 50),
+            percentile_millis(&through, 99)
         );
     }
 }
 
-fn part(sorted: &[Duration], percent: usize) -> f64 {
+fn percentile_millis(sorted: &[Duration], percent: usize) -> f64 {
     sorted[(sorted.len() * percent / 100).min(sorted.len() - 1)].as_secs_f64() * 1e3
 }
 
--- a/crates/micaspool/benches/parts/requests.rs
+++ b/crates/micaspool/benches/parts/requests.rs
@@ -1,6 +1,6 @@
 //! What a request costs each role.
 
-use super::usage::{wait_for_turn, Usage};
+use super::usage::{wait_until_due, Usage};
 use crate::harness::calls::Call;
 use crate::harness::{milk, wait_for, Deployment};
 use async_std::task;
@@ -29,8 +29,8 @@
         let warm =
             Call::chat(deployment.router(0), "coop-01", "modelo-acopio", "warm", 2, false).send().await;
         assert!(warm.is_some());
-        wait_for(|| async { deployment.serving("modelo-acopio").await.is_some() }).await;
-        let serving = deployment.serving("modelo-acopio").await.expect("a dispatcher serves");
+        wait_for(|| async { deployment.serving_dispatcher("modelo-acopio").await.is_some() }).await;
+        let serving = deployment.serving_dispatcher("modelo-acopio").await.expect("a dispatcher serves");
         if rate == RATES[0] {
             print_idle(&deployment).await;
         }
@@ -58,7 +58,7 @@
     let before = routers(deployment).await;
     task::sleep(Duration::from_secs(SECONDS)).await;
     let spent = routers(deployment).await[0].since(&before[0]);
-    let (core, bytes) = (spent.core_percent(), spent.kilobytes_a_second());
+    let (core, bytes) = (spent.core_percent(), spent.kilobytes_per_second());
     println!(
         "a router at rest with one shard: {core:.2} percent of a core, {bytes:.2} KB/s of control traffic"
     );
@@ -78,7 +78,7 @@
     let calls = (0..rate * SECONDS).map(|number| {
         let deployment = deployment.clone();
         task::spawn(async move {
-            wait_for_turn(started, number, rate).await;
+            wait_until_due(started, number, rate).await;
             let customer = format!("farm-{:02}", 1 + number % 10);
             let router = deployment.router(number as usize % 3);
             let call = Call::chat(router, &customer, "modelo-acopio", "a question at the tank", 64, true);
--- a/crates/micaspool/benches/parts/sessions.rs
+++ b/crates/micaspool/benches/parts/sessions.rs
@@ -9,19 +9,19 @@
 use micaspool::wire::v1::{self, dispatch_client::DispatchClient, router_message::Body};
 use std::time::{Duration, Instant};
 
-const IDLE: Duration = Duration::from_secs(5);
-const BUSY: Duration = Duration::from_secs(5);
+const IDLE_TIME: Duration = Duration::from_secs(5);
+const BUSY_TIME: Duration = Duration::from_secs(5);
 /// Progress reports for each request, as for 441 tokens told in steps of 128.
-const PROGRESS: u64 = 3;
+const PROGRESS_REPORTS: u64 = 3;
 
 struct FakeRouter {
     outgoing: Sender<v1::RouterMessage>,
     reader: JoinHandle<()>,
-    beats: JoinHandle<()>,
+    heartbeats: JoinHandle<()>,
 }
 
 pub async fn run() {
-    println!("router streams on one dispatcher and shard; requests with {PROGRESS} progress reports");
+    println!("router streams on one dispatcher and shard; requests with {PROGRESS_REPORTS} progress reports");
     println!(
         "{:>8} {:>12} {:>10} {:>12} {:>10} {:>14} {:>16} {:>12}",
         "routers",
@@ -43,26 +43,26 @@
         }
         task::sleep(Duration::from_secs(1)).await;
         let start = Usage::read(dispatcher).await;
-        task::sleep(IDLE).await;
+        task::sleep(IDLE_TIME).await;
         let idle = Usage::read(dispatcher).await;
         let done = submit_at(&routers, rate).await;
         let end = Usage::read(dispatcher).await;
-        let (resting, busy) = (idle.since(&start), end.since(&idle));
-        let idle_cpu = resting.cpu_micros / resting.seconds * busy.seconds;
-        let idle_bytes = resting.bytes / resting.seconds * busy.seconds;
+        let (idle_usage, busy_usage) = (idle.since(&start), end.since(&idle));
+        let idle_cpu = idle_usage.cpu_micros / idle_usage.seconds * busy_usage.seconds;
+        let idle_bytes = idle_usage.bytes / idle_usage.seconds * busy_usage.seconds;
         println!(
             "{count:>8} {:>12.2} {:>10.2} {:>12.1} {:>10.0} {:>14.0} {:>16.0} {:>12.2}",
-            resting.core_percent(),
-            resting.kilobytes_a_second(),
+            idle_usage.core_percent(),
+            idle_usage.kilobytes_per_second(),
             end.resident as f64 / 1e6,
-            done as f64 / busy.seconds,
-            (busy.cpu_micros - idle_cpu) / done as f64,
-            (busy.bytes - idle_bytes) / done as f64,
-            busy.core_percent()
+            done as f64 / busy_usage.seconds,
+            (busy_usage.cpu_micros - idle_cpu) / done as f64,
+            (busy_usage.bytes - idle_bytes) / done as f64,
+            busy_usage.core_percent()
         );
         for router in routers {
             router.reader.cancel().await;
-            router.beats.cancel().await;
+            router.heartbeats.cancel().await;
         }
     }
 }
@@ -88,9 +88,9 @@
     let mut messages = reply.into_inner();
     let answers = outgoing.clone();
     let reader = task::spawn(async move {
-        while let Ok(Some(news)) = messages.message().await {
-            if let Some(v1::dispatcher_message::Body::Grant(grant)) = news.body {
-                for step in 1..=PROGRESS {
+        while let Ok(Some(incoming)) = messages.message().await {
+            if let Some(v1::dispatcher_message::Body::Grant(grant)) = incoming.body {
+                for step in 1..=PROGRESS_REPORTS {
                     let progress = v1::Progress { request: grant.request.clone(), delivered: step * 128 };
                     let _ = answers.try_send(message(Body::Progress(progress)));
                 }
@@ -99,23 +99,23 @@
             }
         }
     });
-    let beating = outgoing.clone();
-    let beats = task::spawn(async move {
+    let heartbeat_sender = outgoing.clone();
+    let heartbeats = task::spawn(async move {
         for number in 2.. {
             task::sleep(Duration::from_secs(1)).await;
-            let beat = v1::Heartbeat { number, revision: 1, advice: Vec::new() };
-            if beating.try_send(message(Body::Heartbeat(beat))).is_err() {
+            let heartbeat = v1::Heartbeat { number, revision: 1, advice: Vec::new() };
+            if heartbeat_sender.try_send(message(Body::Heartbeat(heartbeat))).is_err() {
                 return;
             }
         }
     });
-    FakeRouter { outgoing, reader, beats }
+    FakeRouter { outgoing, reader, heartbeats }
 }
 
 async fn submit_at(routers: &[FakeRouter], rate: u64) -> u64 {
     let started = Instant::now();
     let mut sent = 0;
-    while started.elapsed() < BUSY {
+    while started.elapsed() < BUSY_TIME {
         let due = started.elapsed().as_micros() as u64 * rate / 1_000_000;
         while sent < due {
             sent += 1;
--- a/crates/micaspool/benches/parts/usage.rs
+++ b/crates/micaspool/benches/parts/usage.rs
@@ -15,7 +15,7 @@
 
 /// What a process used between two readings.
 #[derive(Clone, Copy, Debug)]
-pub struct Spent {
+pub struct UsageDelta {
     pub seconds: f64,
     pub cpu_micros: f64,
     pub bytes: f64,
@@ -29,8 +29,8 @@
         Usage { at: Instant::now(), cpu: cpu_time(daemon.pid()), resident: resident(daemon.pid()), bytes }
     }
 
-    pub fn since(&self, earlier: &Usage) -> Spent {
-        Spent {
+    pub fn since(&self, earlier: &Usage) -> UsageDelta {
+        UsageDelta {
             seconds: self.at.duration_since(earlier.at).as_secs_f64(),
             cpu_micros: (self.cpu - earlier.cpu).as_secs_f64() * 1e6,
             bytes: (self.bytes - earlier.bytes) as f64,
@@ -38,19 +38,19 @@
     }
 }
 
-impl Spent {
+impl UsageDelta {
     /// Percent of one core.
     pub fn core_percent(&self) -> f64 {
         self.cpu_micros / self.seconds / 1e4
     }
 
-    pub fn kilobytes_a_second(&self) -> f64 {
+    pub fn kilobytes_per_second(&self) -> f64 {
         self.bytes / self.seconds / 1e3
     }
 }
 
 /// Waits until the call with this number is due at a rate a second.
-pub async fn wait_for_turn(started: Instant, number: u64, rate: u64) {
+pub async fn wait_until_due(started: Instant, number: u64, rate: u64) {
     let due = Duration::from_micros(number * 1_000_000 / rate);
     async_std::task::sleep(due.saturating_sub(started.elapsed())).await;
 }
--- a/crates/micaspool/benches/parts/watchers.rs
+++ b/crates/micaspool/benches/parts/watchers.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIME: Duration = Duration::from_secs(5);
 const CHANGES: u64 = 20;
 
 pub async fn run() {
@@ -34,7 +34,7 @@
         wait_for(|| async { mirrors.iter().all(|mirror| mirror.is_ready()) }).await;
         task::sleep(Duration::from_secs(2)).await;
         let start = Usage::read(keeper).await;
-        task::sleep(IDLE).await;
+        task::sleep(IDLE_TIME).await;
         let idle = Usage::read(keeper).await;
         let mut slowest = Duration::ZERO;
         for number in 0..CHANGES {
@@ -48,15 +48,15 @@
             slowest = slowest.max(started.elapsed());
         }
         let end = Usage::read(keeper).await;
-        let (resting, changing) = (idle.since(&start), end.since(&idle));
-        let idle_cpu = resting.cpu_micros / resting.seconds * changing.seconds;
+        let (idle_usage, change_usage) = (idle.since(&start), end.since(&idle));
+        let idle_cpu = idle_usage.cpu_micros / idle_usage.seconds * change_usage.seconds;
         println!(
             "{count:>9} {:>12.2} {:>12.2} {:>12.1} {:>14.0} {:>14.0} {:>14.1}",
-            resting.core_percent(),
-            resting.kilobytes_a_second(),
+            idle_usage.core_percent(),
+            idle_usage.kilobytes_per_second(),
             end.resident as f64 / 1e6,
-            (changing.cpu_micros - idle_cpu) / CHANGES as f64,
-            changing.bytes / CHANGES as f64,
+            (change_usage.cpu_micros - idle_cpu) / CHANGES as f64,
+            change_usage.bytes / CHANGES as f64,
             slowest.as_secs_f64() * 1e3
         );
     }
--- a/crates/micaspool/src/bin/micaspool-keeper.rs
+++ b/crates/micaspool/src/bin/micaspool-keeper.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// How often the keeper looks whether its files have failed.
-const LOOK: Duration = Duration::from_millis(500);
+const FAILURE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 fn main() {
     let start = start(ProcessRole::Keeper);
@@ -30,7 +30,7 @@
     let status = daemon.status.map(|address| ("status", address));
     let addresses: Vec<_> = [("wire", daemon.wire)].into_iter().chain(status).collect();
     announce("keeper", &addresses);
-    while timeout(LOOK, stop.wait()).await.is_err() {
+    while timeout(FAILURE_CHECK_INTERVAL, stop.wait()).await.is_err() {
         if daemon.has_stopped() {
             std::process::exit(EXIT_FAILED);
         }
--- a/crates/micaspool/src/bin/micaspool-router.rs
+++ b/crates/micaspool/src/bin/micaspool-router.rs
@@ -29,7 +29,7 @@
     announce("router", &[("callers", daemon.callers), ("status", daemon.status)]);
     stop.wait().await;
     record(&events::PROCESS_DRAINING, &[]);
-    let whole = daemon.stop(DRAIN_LIMIT).await;
+    let is_complete = daemon.stop(DRAIN_LIMIT).await;
     record(&events::PROCESS_STOPPED, &[]);
-    std::process::exit(if whole { 0 } else { EXIT_FAILED });
+    std::process::exit(if is_complete { 0 } else { EXIT_FAILED });
 }
--- a/crates/micaspool/src/cli/demo.rs
+++ b/crates/micaspool/src/cli/demo.rs
@@ -31,7 +31,7 @@
 
 struct DemoCall {
     customer: &'static str,
-    what: &'static str,
+    description: &'static str,
     target: &'static str,
     body: String,
     key: Option<&'static str>,
@@ -116,14 +116,15 @@
         ),
         ("nobody", "an unknown key: refused", model, chat("hello"), None),
     ];
-    let make = |(customer, what, target, body, key)| DemoCall { customer, what, target, body, key };
-    calls.into_iter().map(make).collect()
+    let to_call =
+        |(customer, description, target, body, key)| DemoCall { customer, description, target, body, key };
+    calls.into_iter().map(to_call).collect()
 }
 
 async fn send(router: SocketAddr, demo_call: &DemoCall) -> String {
     match try_send(router, demo_call).await {
-        Ok(outcome) => format!("{:<8} {:<50} -> {outcome}", demo_call.customer, demo_call.what),
-        Err(error) => format!("{:<8} {:<50} -> failed: {error}", demo_call.customer, demo_call.what),
+        Ok(outcome) => format!("{:<8} {:<50} -> {outcome}", demo_call.customer, demo_call.description),
+        Err(error) => format!("{:<8} {:<50} -> failed: {error}", demo_call.customer, demo_call.description),
     }
 }
 
--- a/crates/micaspool/src/cli/halls.rs
+++ b/crates/micaspool/src/cli/halls.rs
@@ -78,7 +78,7 @@
 }
 
 /// What an operator wants of a data hall.
-struct WantedUse {
+struct RequestedOrder {
     hall: String,
     evacuate: bool,
     operator: String,
@@ -89,10 +89,10 @@
 pub async fn run(command: HallsCommand) -> i32 {
     let result = match command.command {
         Subcommand::Evacuate(EvacuateCommand { hall, keeper, operator }) => {
-            order(&keeper, WantedUse { hall, evacuate: true, operator }).await
+            order(&keeper, RequestedOrder { hall, evacuate: true, operator }).await
         }
         Subcommand::Return(ReturnCommand { hall, keeper, operator }) => {
-            order(&keeper, WantedUse { hall, evacuate: false, operator }).await
+            order(&keeper, RequestedOrder { hall, evacuate: false, operator }).await
         }
         Subcommand::List(command) => list(command).await,
     };
@@ -110,22 +110,22 @@
 }
 
 /// Orders on what a majority knows now, so that an order that is held up takes nothing back that comes after it.
-async fn order(keepers: &[SocketAddr], wanted: WantedUse) -> CommandResult {
-    HallName::parse(&wanted.hall).map_err(|error| (EXIT_USAGE, error.to_string()))?;
+async fn order(keepers: &[SocketAddr], requested: RequestedOrder) -> CommandResult {
+    HallName::parse(&requested.hall).map_err(|error| (EXIT_USAGE, error.to_string()))?;
     let client = keeper_client(keepers)?;
     let known = read(&client).await?.newest;
     let request = v1::OrderHallRequest {
-        hall: wanted.hall.clone(),
-        evacuate: wanted.evacuate,
+        hall: requested.hall.clone(),
+        evacuate: requested.evacuate,
         known,
-        ordered_by: wanted.operator,
+        ordered_by: requested.operator,
     };
     let reply = client.order_hall(request, CALL_LIMIT).await;
     let reply = reply.map_err(|error| (EXIT_FAILED, error.to_string()))?;
-    let done = if wanted.evacuate { "evacuated" } else { "open" };
+    let new_use = if requested.evacuate { "evacuated" } else { "open" };
     match order_verdict(&reply) {
         Some(OrderVerdict::InForce(number)) => {
-            println!("{} is {done} since order {number}", wanted.hall);
+            println!("{} is {new_use} since order {number}", requested.hall);
             Ok(())
         }
         Some(OrderVerdict::Overtaken(number)) => {
@@ -142,15 +142,15 @@
 async fn list(command: ListCommand) -> CommandResult {
     let reply = read(&keeper_client(&command.keeper)?).await?;
     for hall in &reply.halls {
-        let used = if hall.evacuated { "evacuated" } else { "open" };
+        let current_use = if hall.evacuated { "evacuated" } else { "open" };
         if command.json {
             let line = json!({
-                "hall": hall.hall, "use": used, "order": hall.number,
+                "hall": hall.hall, "use": current_use, "order": hall.number,
                 "ordered_by": hall.ordered_by, "at_ms": hall.at_millis,
             });
             println!("{line}");
         } else {
-            println!("{} {used} since order {} by {}", hall.hall, hall.number, hall.ordered_by);
+            println!("{} {current_use} since order {} by {}", hall.hall, hall.number, hall.ordered_by);
         }
     }
     Ok(())
--- a/crates/micaspool/src/cli/settings.rs
+++ b/crates/micaspool/src/cli/settings.rs
@@ -183,12 +183,12 @@
 fn print_effective(tree: &Value, path: &str) -> CommandResult {
     let values =
         path.split_once('/').and_then(|(customer, service)| effective_values(tree, customer, service));
-    let missing = || {
+    let unknown_path = || {
         (EXIT_USAGE, format!("{path:?} names no customer and service of the tree; write CUSTOMER/SERVICE"))
     };
-    for value in values.ok_or_else(missing)? {
-        let shown = value.value.map_or_else(|| "(default)".to_owned(), |value| value.to_string());
-        println!("{:<20} {shown:<24} from {}", value.field, value.level);
+    for value in values.ok_or_else(unknown_path)? {
+        let text = value.value.map_or_else(|| "(default)".to_owned(), |value| value.to_string());
+        println!("{:<20} {text:<24} from {}", value.field, value.level);
     }
     Ok(())
 }
@@ -208,9 +208,9 @@
     merge_patch(&mut after, &patch);
     println!("against revision {revision}");
     for difference in diff_trees(&before, &after) {
-        let shown =
+        let text =
             |value: Option<Value>| value.map_or_else(|| "(none)".to_owned(), |value| value.to_string());
-        println!("{}: {} -> {}", difference.path, shown(difference.before), shown(difference.after));
+        println!("{}: {} -> {}", difference.path, text(difference.before), text(difference.after));
     }
     Ok(())
 }
--- a/crates/micaspool/src/cli/status.rs
+++ b/crates/micaspool/src/cli/status.rs
@@ -49,7 +49,7 @@
             format!("keeper {} leader={} revision={revision} {confirmed}", text("role"), text("leader"))
         }
         Some(process) => {
-            let cut = match state["cut_off_seconds"].as_u64() {
+            let connection = match state["cut_off_seconds"].as_u64() {
                 Some(seconds) => format!("cut off for {seconds} s"),
                 None => "in touch".to_owned(),
             };
@@ -58,7 +58,7 @@
                 let name = shard["service"].as_str().unwrap_or("-");
                 format!(" {name}: {} waiting, {} running", shard["waiting"], shard["running"])
             });
-            format!("{process} revision={revision} {cut}{}", shards.collect::<String>())
+            format!("{process} revision={revision} {connection}{}", shards.collect::<String>())
         }
         None => "unknown process".to_owned(),
     }
--- a/crates/micaspool/src/fleet.rs
+++ b/crates/micaspool/src/fleet.rs
@@ -18,12 +18,12 @@
 use std::time::Duration;
 
 /// How long the deployment may take to come up.
-const START_LIMIT: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// The offsets of the ports of each role.
-const KEEPER_PORT: u16 = 1;
-const DISPATCHER_PORT: u16 = 11;
-const ROUTER_PORT: u16 = 21;
-const STATUS_PORT: u16 = 31;
+const KEEPER_PORT_OFFSET: u16 = 1;
+const DISPATCHER_PORT_OFFSET: u16 = 11;
+const ROUTER_PORT_OFFSET: u16 = 21;
+const STATUS_PORT_OFFSET: u16 = 31;
 
 /// What a deployment looks like.
 #[derive(Debug, Clone)]
@@ -94,12 +94,12 @@
         instance: instance_name(number),
         hall: halls[number].0.clone(),
         region: halls[number].1.clone(),
-        callers: address(ROUTER_PORT, number),
-        wire: address(DISPATCHER_PORT, number),
-        status: address(STATUS_PORT, number),
+        callers: address(ROUTER_PORT_OFFSET, number),
+        wire: address(DISPATCHER_PORT_OFFSET, number),
+        status: address(STATUS_PORT_OFFSET, number),
         data_folder: options.data_folder.join(format!("keeper-{}", number + 1)),
-        keepers: peers(KEEPER_PORT),
-        dispatchers: peers(DISPATCHER_PORT),
+        keepers: peers(KEEPER_PORT_OFFSET),
+        dispatchers: peers(DISPATCHER_PORT_OFFSET),
         remote_dispatchers: Vec::new(),
         instance_list: None,
         log_file: None,
@@ -151,19 +151,19 @@
 
     async fn start_instance(&mut self, settings: &ProcessSettings) -> Result<(), Error> {
         let incarnation = Incarnation(rand::random());
-        let any_status = SocketAddr::new(settings.status.ip(), 0);
+        let ephemeral_status = SocketAddr::new(settings.status.ip(), 0);
         let keeper_address = settings.keepers.iter().find(|keeper| keeper.name == settings.instance);
         let keeper = ProcessSettings {
             wire: keeper_address.expect("an instance lists itself").address,
-            status: any_status,
+            status: ephemeral_status,
             ..settings.clone()
         };
-        let dispatcher = ProcessSettings { status: any_status, ..settings.clone() };
-        let failed = |error: &dyn fmt::Display| Error::Start(error.to_string());
-        self.keepers.push(run_keeper(&keeper).await.map_err(|error| failed(&error))?);
+        let dispatcher = ProcessSettings { status: ephemeral_status, ..settings.clone() };
+        let start_error = |error: &dyn fmt::Display| Error::Start(error.to_string());
+        self.keepers.push(run_keeper(&keeper).await.map_err(|error| start_error(&error))?);
         self.dispatchers
-            .push(run_dispatcher(&dispatcher, incarnation).await.map_err(|error| failed(&error))?);
-        self.routers.push(run_router(settings, incarnation).await.map_err(|error| failed(&error))?);
+            .push(run_dispatcher(&dispatcher, incarnation).await.map_err(|error| start_error(&error))?);
+        self.routers.push(run_router(settings, incarnation).await.map_err(|error| start_error(&error))?);
         Ok(())
     }
 
@@ -175,7 +175,7 @@
             base: self.routers.iter().map(|router| router.mirror().policy().revision.0).max().unwrap_or(0),
             patch: tree.to_string(),
         };
-        let reply = self.client.apply(request, START_LIMIT).await.map_err(Error::Keepers)?;
+        let reply = self.client.apply(request, START_TIMEOUT).await.map_err(Error::Keepers)?;
         match reply.outcome {
             Some(v1::apply_reply::Outcome::Revision(revision)) => Ok(revision),
             Some(v1::apply_reply::Outcome::Rejected(reason)) => Err(Error::Settings(reason)),
--- a/crates/micaspool/tests/dispatch_faults.rs
+++ b/crates/micaspool/tests/dispatch_faults.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 const MODEL: &str = "modelo-acopio";
-const TOKEN: Duration = Duration::from_millis(10);
+const TOKEN_TIME: Duration = Duration::from_millis(10);
 
 /// A tree with few slots, so that requests wait.
-fn narrow() -> serde_json::Value {
+fn single_slot_tree() -> serde_json::Value {
     let mut tree = milk();
     for spec in tree["services"][MODEL]["endpoints"].as_object_mut().expect("endpoints").values_mut() {
         spec["slots"] = json!(1);
@@ -31,7 +31,7 @@
     calls.map(|call| task::spawn(async move { call.send().await })).collect()
 }
 
-async fn check_whole(calls: Vec<JoinHandle<Option<Answer>>>) {
+async fn check_complete_answers(calls: Vec<JoinHandle<Option<Answer>>>) {
     for (number, answer) in join_all(calls).await.into_iter().enumerate() {
         let answer = answer.expect("a whole answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
@@ -42,7 +42,7 @@
 
 async fn wait_for_backlog(deployment: &Deployment, waiting: u64) {
     wait_for(|| async {
-        let Some(number) = deployment.serving(MODEL).await else { return false };
+        let Some(number) = deployment.serving_dispatcher(MODEL).await else { return false };
         let state = deployment.state(&deployment.dispatchers[number]).await;
         state["shards"][0]["waiting"].as_u64().unwrap_or(0) >= waiting
     })
@@ -52,12 +52,12 @@
 #[test]
 fn a_killed_dispatcher_loses_no_request() {
     task::block_on(async {
-        let mut deployment = Deployment::start(narrow(), TOKEN).await;
+        let mut deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let calls = start_calls(&deployment, 40);
         wait_for_backlog(&deployment, 20).await;
-        let serving = deployment.serving(MODEL).await.expect("a dispatcher serves");
+        let serving = deployment.serving_dispatcher(MODEL).await.expect("a dispatcher serves");
         deployment.dispatchers[serving].as_mut().expect("it runs").kill();
-        check_whole(calls).await;
+        check_complete_answers(calls).await;
         for number in 0..40 {
             let content = format!("call {number}");
             let runs = deployment.endpoints.values().flat_map(|endpoint| endpoint.runs());
@@ -72,41 +72,41 @@
 #[test]
 fn a_dispatcher_killed_again_during_recovery_loses_no_request() {
     task::block_on(async {
-        let mut deployment = Deployment::start(narrow(), TOKEN).await;
+        let mut deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let calls = start_calls(&deployment, 40);
         wait_for_backlog(&deployment, 20).await;
         for _ in 0..2 {
-            wait_for(|| async { deployment.serving(MODEL).await.is_some() }).await;
-            let serving = deployment.serving(MODEL).await.expect("a dispatcher serves");
+            wait_for(|| async { deployment.serving_dispatcher(MODEL).await.is_some() }).await;
+            let serving = deployment.serving_dispatcher(MODEL).await.expect("a dispatcher serves");
             deployment.dispatchers[serving] = None;
         }
-        check_whole(calls).await;
+        check_complete_answers(calls).await;
     });
 }
 
 #[test]
 fn a_planned_stop_of_a_dispatcher_cuts_nothing() {
     task::block_on(async {
-        let mut deployment = Deployment::start(narrow(), TOKEN).await;
+        let mut deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let calls = start_calls(&deployment, 30);
         wait_for_backlog(&deployment, 10).await;
-        let serving = deployment.serving(MODEL).await.expect("a dispatcher serves");
+        let serving = deployment.serving_dispatcher(MODEL).await.expect("a dispatcher serves");
         let daemon = deployment.dispatchers[serving].as_mut().expect("it runs");
         daemon.signal("TERM");
         assert_eq!(daemon.wait(Duration::from_secs(10)), Some(0));
-        check_whole(calls).await;
+        check_complete_answers(calls).await;
     });
 }
 
 #[test]
 fn a_planned_stop_of_a_router_cuts_nothing() {
     task::block_on(async {
-        let mut deployment = Deployment::start(narrow(), TOKEN).await;
+        let mut deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let calls = start_calls(&deployment, 30);
         wait_for_backlog(&deployment, 10).await;
         let daemon = deployment.routers[0].as_mut().expect("it runs");
         daemon.signal("TERM");
-        check_whole(calls).await;
+        check_complete_answers(calls).await;
         let daemon = deployment.routers[0].as_mut().expect("it runs");
         assert_eq!(daemon.wait(Duration::from_secs(10)), Some(0));
     });
@@ -115,7 +115,7 @@
 #[test]
 fn a_killed_router_gives_its_slots_back_and_others_go_on() {
     task::block_on(async {
-        let mut deployment = Deployment::start(narrow(), TOKEN).await;
+        let mut deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let lost: Vec<_> = (0..9)
             .map(|number| {
                 Call::chat(deployment.router(0), "coop-01", MODEL, &format!("lost {number}"), 3_000, true)
@@ -135,7 +135,7 @@
         let call = Call::chat(deployment.router(1), "farm-01", MODEL, "after", 2, false);
         assert_eq!(call.send().await.expect("an answer").text(), "after");
         deployment.start_router(0);
-        deployment.wait_revision(1).await;
+        deployment.wait_for_revision(1).await;
         let call = Call::chat(deployment.router(0), "farm-01", MODEL, "again", 2, false);
         assert_eq!(call.send().await.expect("an answer").text(), "again");
     });
@@ -144,13 +144,13 @@
 #[test]
 fn a_router_frozen_past_its_lease_thaws_and_serves() {
     task::block_on(async {
-        let deployment = Deployment::start(narrow(), TOKEN).await;
+        let deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let calls = start_calls(&deployment, 30);
         wait_for_backlog(&deployment, 10).await;
         deployment.routers[0].as_ref().expect("it runs").signal("STOP");
         task::sleep(Duration::from_millis(4_500)).await;
         deployment.routers[0].as_ref().expect("it runs").signal("CONT");
-        check_whole(calls).await;
+        check_complete_answers(calls).await;
     });
 }
 
@@ -158,21 +158,21 @@
 fn a_cut_off_hall_serves_what_it_can_and_comes_back() {
     task::block_on(async {
         let mut deployment = Deployment::prepare(milk(), Duration::from_millis(1)).await;
-        deployment.make_remote(2).await;
-        deployment.start_processes().await;
+        deployment.add_relays(2).await;
+        deployment.start_daemons().await;
         for router in 0..3 {
             let call = Call::chat(deployment.router(router), "farm-01", MODEL, "before", 2, false);
             assert_eq!(call.send().await.expect("an answer").text(), "before");
         }
-        deployment.set_cut(true);
+        deployment.set_partitioned(true);
         wait_for(|| async { deployment.state(&deployment.routers[2]).await["cut_off_seconds"].is_u64() })
             .await;
 
         let served = Call::chat(deployment.router(2), "farm-01", MODEL, "cut off", 2, false).send().await;
         assert_eq!(served.expect("an answer").text(), "cut off", "repeatable work goes on");
         let pickup = |router: usize, key: &str| {
-            Call::to(deployment.router(router), "coop-01", "/rutas/recogidas", key)
-                .with("idempotency-key", key)
+            Call::plain(deployment.router(router), "coop-01", "/rutas/recogidas", key)
+                .with_header("idempotency-key", key)
         };
         let refused = pickup(2, "k-cut").send().await.expect("an answer");
         assert_eq!((refused.status, refused.run.as_deref()), (503, Some("not-run")));
@@ -181,11 +181,11 @@
 
         let patch = json!({ "policy": { "weight": 3 } });
         assert_eq!(deployment.apply("while cut", 1, &patch).await, Ok(2));
-        deployment.set_cut(false);
-        deployment.wait_revision(2).await;
+        deployment.set_partitioned(false);
+        deployment.wait_for_revision(2).await;
         let again = pickup(2, "k-cut").send().await.expect("an answer");
         assert!(again.replayed, "the other side ran it: {}", again.body);
-        assert_eq!(deployment.runs_of("k-cut"), 1);
+        assert_eq!(deployment.run_count("k-cut"), 1);
         wait_for(|| async {
             let mut routers = 0;
             for daemon in &deployment.dispatchers {
@@ -253,16 +253,16 @@
         for hall in far_tree["halls"].as_object_mut().expect("halls").values_mut() {
             hall["region"] = json!("otra");
         }
-        let mut near = Deployment::prepare(milk(), TOKEN).await;
+        let mut near = Deployment::prepare(milk(), TOKEN_TIME).await;
         let mut far = Deployment::prepare(far_tree, Duration::from_millis(1)).await;
         let wires = |ip: &str| (7611..7614).map(|port| format!("{ip}:{port}")).collect::<Vec<_>>();
         near.remote_dispatchers = wires(&far.ip);
         far.remote_dispatchers = wires(&near.ip);
-        near.start_processes().await;
-        far.start_processes().await;
+        near.start_daemons().await;
+        far.start_daemons().await;
         let long = Call::chat(near.router(0), "farm-01", MODEL, "long", 1_500, true);
         let running = task::spawn(async move { long.send().await });
-        wait_for(|| async { near.serving(MODEL).await.is_some() }).await;
+        wait_for(|| async { near.serving_dispatcher(MODEL).await.is_some() }).await;
         for _ in 0..2 {
             let call = Call::chat(far.router(0), "farm-01", MODEL, "far", 200, false);
             assert_eq!(call.send().await.expect("an answer").status, 200);
@@ -273,7 +273,7 @@
             assert_eq!(call.send().await.expect("an answer").status, 200);
         }
         wait_for(|| async {
-            let Some(number) = near.serving(MODEL).await else { return false };
+            let Some(number) = near.serving_dispatcher(MODEL).await else { return false };
             let state = near.state(&near.dispatchers[number]).await;
             let customers = state["shards"][0]["customers"].as_array().cloned().unwrap_or_default();
             let farm = customers.into_iter().find(|customer| customer["name"] == "farm-01");
@@ -306,15 +306,15 @@
 fn an_endpoint_that_asks_a_router_for_rest_is_left_alone() {
     use micaspool::replay::standin::FaultMode;
     task::block_on(async {
-        let deployment = Deployment::start(milk(), TOKEN).await;
-        let resting = &deployment.endpoints["acopio-1"];
-        resting.set_fault(FaultMode::RetryAfter(5));
+        let deployment = Deployment::start(milk(), TOKEN_TIME).await;
+        let paused = &deployment.endpoints["acopio-1"];
+        paused.set_fault(FaultMode::RetryAfter(5));
         let ask = |number: usize| {
             let call = Call::chat(deployment.router(0), "farm-01", MODEL, &format!("call {number}"), 2, true);
             async move { call.send().await }
         };
         let mut number = 0;
-        while resting.retry_after_refusals() == 0 {
+        while paused.retry_after_refusals() == 0 {
             number += 1;
             assert!(number < 200, "the endpoint is not used");
             let group = (0..8).map(|more| ask(number * 8 + more));
@@ -322,13 +322,13 @@
         }
         let asked = Instant::now();
         task::sleep(Duration::from_millis(100)).await;
-        let before = resting.retry_after_refusals();
+        let before = paused.retry_after_refusals();
         while asked.elapsed() < Duration::from_millis(4_500) {
             number += 1;
             let answers = join_all((0..8).map(|more| ask(number * 8 + more))).await;
             assert!(answers.iter().all(|answer| answer.as_ref().is_some_and(|answer| answer.status == 200)));
             task::sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(resting.retry_after_refusals(), before, "it got requests while it rested");
+        assert_eq!(paused.retry_after_refusals(), before, "it got requests while it rested");
     });
 }
--- a/crates/micaspool/tests/whole_path.rs
+++ b/crates/micaspool/tests/end_to_end.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const FAST: Duration = Duration::from_millis(1);
+const SHORT_TOKEN_TIME: Duration = Duration::from_millis(1);
 
 /// The halls of an endpoint and of a customer for a service, by the tree.
 fn hall_of(tree: &serde_json::Value, endpoint: &str) -> String {
@@ -24,7 +24,7 @@
 #[test]
 fn two_hundred_mixed_requests_get_their_own_whole_answers() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let mut customers: Vec<String> = (1..=3).map(|n| format!("coop-{n:02}")).collect();
         customers.extend((1..=12).map(|n| format!("farm-{n:02}")));
         customers.push("planta-01".to_owned());
@@ -35,7 +35,7 @@
             let call = match number % 4 {
                 0 => Call::chat(router, customer, "modelo-acopio", &content, 40, true),
                 1 | 2 => Call::chat(router, customer, "modelo-acopio", &content, 10, false),
-                _ => Call::to(router, customer, "/rutas/horario", &content),
+                _ => Call::plain(router, customer, "/rutas/horario", &content),
             };
             (customer.clone(), content, number, call)
         });
@@ -77,12 +77,12 @@
 #[test]
 fn the_kiln_bookings_are_served_too() {
     task::block_on(async {
-        let deployment = Deployment::start(kilns(), FAST).await;
+        let deployment = Deployment::start(kilns(), SHORT_TOKEN_TIME).await;
         let summary = Call::chat(deployment.router(0), "cuenta-01", "mica-hornos", "summary", 5, false);
         let answer = summary.send().await.expect("an answer");
         assert_eq!(answer.text(), "summary");
         assert_eq!(hall_of(&deployment.tree, &answer.endpoint.expect("an endpoint")), "cartago-a");
-        let held = Call::to(deployment.router(1), "school-01", "/agenda/reservas", "slot 7");
+        let held = Call::plain(deployment.router(1), "school-01", "/agenda/reservas", "slot 7");
         assert_eq!(held.send().await.expect("an answer").body, "slot 7");
     });
 }
@@ -93,17 +93,17 @@
         let mut tree = milk();
         tree["groups"]["small-farms"]["customers"]["farm-01"]["policy"] = serde_json::json!({ "halls": [] });
         tree["services"]["vacia"] = serde_json::json!({ "kind": "model", "endpoints": {} });
-        let deployment = Deployment::start(tree, FAST).await;
+        let deployment = Deployment::start(tree, SHORT_TOKEN_TIME).await;
         let router = deployment.router(0);
         let big = "x".repeat(300_000);
         let model = "modelo-acopio";
         let cases = [
             (Call::chat(router, "nobody", model, "a", 1, false), 401, "unknown-key", false),
             (Call::chat(router, "coop-01", "modelo-x", "a", 1, false), 404, "unknown-service", false),
-            (Call::to(router, "coop-01", "/nirgends", "a"), 404, "unknown-service", false),
+            (Call::plain(router, "coop-01", "/nirgends", "a"), 404, "unknown-service", false),
             (Call::chat(router, "farm-01", model, "a", 1, false), 403, "placement-forbidden", false),
-            (Call::to(router, "coop-01", "/rutas/x", &big), 413, "body-too-large", false),
-            (Call::to(router, "coop-01", "/v1/chat/completions", "{"), 400, "malformed-body", false),
+            (Call::plain(router, "coop-01", "/rutas/x", &big), 413, "body-too-large", false),
+            (Call::plain(router, "coop-01", "/v1/chat/completions", "{"), 400, "malformed-body", false),
             (Call::chat(router, "coop-01", "vacia", "a", 1, false), 503, "no-endpoint", true),
         ];
         for (call, status, kind, retry) in cases {
@@ -120,7 +120,7 @@
 #[test]
 fn malformed_http_is_answered_and_nothing_reaches_an_endpoint() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let router = deployment.router(0);
         let key = "Authorization: Bearer demo-coop-01\r\n";
         let long = format!("POST /rutas/a HTTP/1.1\r\nHost: a\r\nx: {}\r\n\r\n", "y".repeat(40_000));
--- a/crates/micaspool/tests/harness/calls.rs
+++ b/crates/micaspool/tests/harness/calls.rs
@@ -61,11 +61,11 @@
     ) -> Call {
         let messages = json!([{ "role": "user", "content": content }]);
         let body = json!({ "model": model, "messages": messages, "max_tokens": tokens, "stream": stream });
-        Call::to(router, customer, "/v1/chat/completions", &body.to_string())
+        Call::plain(router, customer, "/v1/chat/completions", &body.to_string())
     }
 
     /// A call of a plain service.
-    pub fn to(router: SocketAddr, customer: &str, target: &str, body: &str) -> Call {
+    pub fn plain(router: SocketAddr, customer: &str, target: &str, body: &str) -> Call {
         Call {
             router,
             key: format!("demo-{customer}"),
@@ -76,7 +76,7 @@
     }
 
     /// The same call with one more header.
-    pub fn with(mut self, name: &'static str, value: &str) -> Call {
+    pub fn with_header(mut self, name: &'static str, value: &str) -> Call {
         self.headers.push((name, value.to_owned()));
         self
     }
--- a/crates/micaspool/tests/harness/mod.rs
+++ b/crates/micaspool/tests/harness/mod.rs
@@ -22,9 +22,9 @@
 
 const MILK: &str = include_str!("../../../../examples/milk/tree.json");
 const KILNS: &str = include_str!("../../../../examples/kilns/tree.json");
-const START_LIMIT: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_DEPLOYMENT: AtomicU32 = AtomicU32::new(0);
 
 /// The settings tree of the milk collector.
 pub fn milk() -> Value {
@@ -115,19 +115,19 @@
 const DISPATCHER_PORT: u16 = 7611;
 /// Relays stand this far above the ports that they pass on to: for the others, and for the
 /// instance that can be cut off.
-const RELAY_TO_REMOTE: u16 = 1_000;
-const RELAY_FROM_REMOTE: u16 = 2_000;
+const RELAY_TO_REMOTE_OFFSET: u16 = 1_000;
+const RELAY_FROM_REMOTE_OFFSET: u16 = 2_000;
 
 impl Deployment {
     /// Starts everything and puts the tree in force.
     pub async fn start(tree: Value, token_time: Duration) -> Deployment {
         let mut deployment = Deployment::prepare(tree, token_time).await;
-        deployment.start_processes().await;
+        deployment.start_daemons().await;
         deployment
     }
 
     /// Starts every process and puts the tree in force.
-    pub async fn start_processes(&mut self) {
+    pub async fn start_daemons(&mut self) {
         for number in 0..3 {
             self.start_keeper(number);
         }
@@ -139,12 +139,12 @@
         }
         let tree = self.tree.clone();
         self.apply("first", 0, &tree).await.expect("the first tree is accepted");
-        self.wait_revision(1).await;
+        self.wait_for_revision(1).await;
     }
 
     /// Starts the endpoints only.
     pub async fn prepare(mut tree: Value, token_time: Duration) -> Deployment {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_DEPLOYMENT.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
         let ip = format!("127.{}.{}.{}", 1 + (pid >> 8) % 250, pid % 256, 1 + number);
         let folder = std::env::temp_dir().join(format!("micaspool-test-{pid}-{number}"));
@@ -184,10 +184,10 @@
     }
 
     /// Puts relays between an instance and the others; everything must be started after this.
-    pub async fn make_remote(&mut self, remote: usize) {
+    pub async fn add_relays(&mut self, remote: usize) {
         self.remote = Some(remote);
         for target in 0..3 {
-            let shift = if target == remote { RELAY_TO_REMOTE } else { RELAY_FROM_REMOTE };
+            let shift = if target == remote { RELAY_TO_REMOTE_OFFSET } else { RELAY_FROM_REMOTE_OFFSET };
             for port in [KEEPER_PORT + target as u16, DISPATCHER_PORT + target as u16] {
                 let listen = format!("{}:{}", self.ip, port + shift).parse().expect("an address");
                 let target = format!("{}:{port}", self.ip).parse().expect("an address");
@@ -197,16 +197,16 @@
     }
 
     /// Cuts the remote instance off from the others, or mends that.
-    pub fn set_cut(&self, cut: bool) {
+    pub fn set_partitioned(&self, is_partitioned: bool) {
         for relay in &self.relays {
-            relay.set_cut(cut);
+            relay.set_partitioned(is_partitioned);
         }
     }
 
-    fn port_seen(&self, viewer: usize, port: u16, target: usize) -> u16 {
+    fn visible_port(&self, viewer: usize, port: u16, target: usize) -> u16 {
         match self.remote {
-            Some(remote) if viewer == remote && target != remote => port + RELAY_FROM_REMOTE,
-            Some(remote) if viewer != remote && target == remote => port + RELAY_TO_REMOTE,
+            Some(remote) if viewer == remote && target != remote => port + RELAY_FROM_REMOTE_OFFSET,
+            Some(remote) if viewer != remote && target == remote => port + RELAY_TO_REMOTE_OFFSET,
             _ => port,
         }
     }
@@ -216,7 +216,7 @@
         let region = &self.tree["halls"][halls[number]]["region"];
         let peers = |port: u16| -> Vec<Value> {
             let peer = |target: usize| {
-                let port = self.port_seen(number, port + target as u16, target);
+                let port = self.visible_port(number, port + target as u16, target);
                 json!({"name": format!("entry-{target}"), "address": format!("{}:{port}", self.ip)})
             };
             (0..3).map(peer).collect()
@@ -280,7 +280,7 @@
             base,
             patch: patch.to_string(),
         };
-        let reply = self.client.apply(request, START_LIMIT).await.map_err(|error| error.to_string())?;
+        let reply = self.client.apply(request, START_TIMEOUT).await.map_err(|error| error.to_string())?;
         match reply.outcome {
             Some(v1::apply_reply::Outcome::Revision(revision)) => Ok(revision),
             Some(v1::apply_reply::Outcome::Rejected(reason)) => Err(reason),
@@ -289,7 +289,7 @@
     }
 
     /// Waits until every running router and dispatcher has at least this revision in force.
-    pub async fn wait_revision(&self, revision: u64) {
+    pub async fn wait_for_revision(&self, revision: u64) {
         for daemon in self.routers.iter().chain(&self.dispatchers).flatten() {
             let address = daemon.addresses["status"];
             wait_for(|| async move {
@@ -309,7 +309,7 @@
     }
 
     /// The dispatcher that most routers use for a service, if any.
-    pub async fn serving(&self, service: &str) -> Option<usize> {
+    pub async fn serving_dispatcher(&self, service: &str) -> Option<usize> {
         let mut best = None;
         for (number, daemon) in self.dispatchers.iter().enumerate() {
             let state = self.state(daemon).await;
@@ -334,7 +334,7 @@
     }
 
     /// How often endpoints began to run a request with this body.
-    pub fn runs_of(&self, body: &str) -> usize {
+    pub fn run_count(&self, body: &str) -> usize {
         let runs = self.endpoints.values().flat_map(|endpoint| endpoint.runs());
         runs.filter(|run| run.body == body.as_bytes()).count()
     }
--- a/crates/micaspool/tests/harness/relay.rs
+++ b/crates/micaspool/tests/harness/relay.rs
@@ -12,7 +12,7 @@
 #[derive(Clone)]
 pub struct Relay {
     pub address: SocketAddr,
-    cut: Arc<AtomicBool>,
+    is_partitioned: Arc<AtomicBool>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
@@ -20,27 +20,27 @@
     pub async fn start(listen: SocketAddr, target: SocketAddr) -> Relay {
         let listener = TcpListener::bind(listen).await.expect("the relay binds");
         let address = listener.local_addr().expect("the relay is bound");
-        let relay = Relay { address, cut: Arc::default(), streams: Arc::default() };
+        let relay = Relay { address, is_partitioned: Arc::default(), streams: Arc::default() };
         let serving = relay.clone();
         task::spawn(async move {
             let mut incoming = listener.incoming();
             while let Some(Ok(stream)) = incoming.next().await {
-                if serving.cut.load(Ordering::SeqCst) {
+                if serving.is_partitioned.load(Ordering::SeqCst) {
                     continue;
                 }
                 let Ok(other) = TcpStream::connect(target).await else { continue };
                 serving.streams.lock().expect("no holder panics").extend([stream.clone(), other.clone()]);
-                pass(stream.clone(), other.clone());
-                pass(other, stream);
+                forward(stream.clone(), other.clone());
+                forward(other, stream);
             }
         });
         relay
     }
 
     /// Cuts or mends the relay; a cut ends every connection.
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::SeqCst);
-        if cut {
+    pub fn set_partitioned(&self, is_partitioned: bool) {
+        self.is_partitioned.store(is_partitioned, Ordering::SeqCst);
+        if is_partitioned {
             for stream in self.streams.lock().expect("no holder panics").drain(..) {
                 let _ = stream.shutdown(std::net::Shutdown::Both);
             }
@@ -48,7 +48,7 @@
     }
 }
 
-fn pass(from: TcpStream, to: TcpStream) {
+fn forward(from: TcpStream, to: TcpStream) {
     task::spawn(async move {
         let _ = io::copy(&mut &from, &mut &to).await;
         let _ = to.shutdown(std::net::Shutdown::Both);
--- a/crates/micaspool/tests/keeper_faults.rs
+++ b/crates/micaspool/tests/keeper_faults.rs
@@ -11,19 +11,19 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-const FAST: Duration = Duration::from_millis(1);
-const SLOW: Duration = Duration::from_millis(100);
+const SHORT_TOKEN_TIME: Duration = Duration::from_millis(1);
+const LONG_TOKEN_TIME: Duration = Duration::from_millis(100);
 
-fn weight(value: u64) -> Value {
+fn weight_patch(value: u64) -> Value {
     json!({ "policy": { "weight": value } })
 }
 
-async fn wait_leader(deployment: &Deployment) -> usize {
+async fn wait_for_leader(deployment: &Deployment) -> usize {
     wait_for(|| async { deployment.leader().await.is_some() }).await;
     deployment.leader().await.expect("a keeper leads")
 }
 
-async fn wait_voters(deployment: &Deployment, count: usize) {
+async fn wait_for_voters(deployment: &Deployment, count: usize) {
     wait_for(|| async {
         let Some(leader) = deployment.leader().await else { return false };
         let state = deployment.state(&deployment.keepers[leader]).await;
@@ -36,14 +36,14 @@
 #[test]
 fn settings_survive_every_keeper_being_lost_in_turn() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), FAST).await;
+        let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let mut revision = 1;
         for number in 0..3 {
-            wait_voters(&deployment, 3).await;
+            wait_for_voters(&deployment, 3).await;
             deployment.keepers[number] = None;
             std::fs::remove_dir_all(deployment.data_folder(number)).expect("the folder is there");
             deployment.start_keeper(number);
-            let patch = weight(10 + number as u64);
+            let patch = weight_patch(10 + number as u64);
             assert_eq!(deployment.apply(&format!("c{number}"), revision, &patch).await, Ok(revision + 1));
             revision += 1;
             wait_for(|| async {
@@ -52,8 +52,8 @@
             })
             .await;
         }
-        wait_voters(&deployment, 3).await;
-        deployment.wait_revision(revision).await;
+        wait_for_voters(&deployment, 3).await;
+        deployment.wait_for_revision(revision).await;
         for daemon in &deployment.keepers {
             assert_eq!(deployment.state(daemon).await["revision"], revision);
         }
@@ -63,10 +63,10 @@
 #[test]
 fn all_keepers_killed_and_restarted_keep_what_was_accepted() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), FAST).await;
+        let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         for number in 0..5 {
             assert_eq!(
-                deployment.apply(&format!("c{number}"), 1 + number, &weight(number + 2)).await,
+                deployment.apply(&format!("c{number}"), 1 + number, &weight_patch(number + 2)).await,
                 Ok(2 + number)
             );
         }
@@ -76,17 +76,17 @@
         for number in 0..3 {
             deployment.start_keeper(number);
         }
-        assert_eq!(deployment.apply("after", 6, &weight(9)).await, Ok(7));
+        assert_eq!(deployment.apply("after", 6, &weight_patch(9)).await, Ok(7));
     });
 }
 
 #[test]
 fn operators_race_with_equal_numbers_and_resend_after_lost_answers() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let race = (0..8).map(|number| {
             let deployment = &deployment;
-            async move { deployment.apply(&format!("operator-{number}"), 1, &weight(number + 2)).await }
+            async move { deployment.apply(&format!("operator-{number}"), 1, &weight_patch(number + 2)).await }
         });
         let outcomes = join_all(race).await;
         assert_eq!(outcomes.iter().filter(|outcome| **outcome == Ok(2)).count(), 1, "{outcomes:?}");
@@ -95,13 +95,15 @@
             let reason = outcome.as_ref().expect_err("it lost");
             assert!(reason.contains(&format!("operator-{winner}")), "the winner is named: {reason}");
         }
-        let again = deployment.apply(&format!("operator-{winner}"), 1, &weight(winner as u64 + 2)).await;
+        let again =
+            deployment.apply(&format!("operator-{winner}"), 1, &weight_patch(winner as u64 + 2)).await;
         assert_eq!(again, Ok(2), "a resend gets the first outcome");
-        let other = deployment.apply(&format!("operator-{winner}"), 1, &weight(99)).await;
+        let other = deployment.apply(&format!("operator-{winner}"), 1, &weight_patch(99)).await;
         assert!(other.expect_err("other content").contains("conflict"));
-        let leader = wait_leader(&deployment).await;
+        let leader = wait_for_leader(&deployment).await;
         deployment.keepers[leader].as_ref().expect("it runs").signal("STOP");
-        let resent = deployment.apply(&format!("operator-{winner}"), 1, &weight(winner as u64 + 2)).await;
+        let resent =
+            deployment.apply(&format!("operator-{winner}"), 1, &weight_patch(winner as u64 + 2)).await;
         assert_eq!(resent, Ok(2), "through another keeper, while the leader is frozen");
         deployment.keepers[leader].as_ref().expect("it runs").signal("CONT");
     });
@@ -110,7 +112,7 @@
 #[test]
 fn an_invalid_tree_is_refused_whole_with_paths() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let patch = json!({ "policy": { "weight": 0, "colour": 1 }, "services": { "x": { "kind": "model", "endpoints": { "e": { "hall": "nowhere", "address": "localhost:1", "slots": 1 } } } } });
         let reason = deployment.apply("bad", 1, &patch).await.expect_err("it has faults");
         for part in
@@ -118,25 +120,26 @@
         {
             assert!(reason.contains(part), "{part} is not named in: {reason}");
         }
-        assert_eq!(deployment.apply("good", 1, &weight(2)).await, Ok(2));
+        assert_eq!(deployment.apply("good", 1, &weight_patch(2)).await, Ok(2));
     });
 }
 
 #[test]
 fn a_process_that_five_hundred_changes_have_passed_by_catches_up() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), FAST).await;
+        let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         deployment.routers[0].as_ref().expect("it runs").signal("STOP");
         deployment.keepers[0].as_ref().expect("it runs").signal("STOP");
         for number in 0..500 {
-            let applied = deployment.apply(&format!("c{number}"), 1 + number, &weight(1 + number % 50)).await;
+            let applied =
+                deployment.apply(&format!("c{number}"), 1 + number, &weight_patch(1 + number % 50)).await;
             assert_eq!(applied, Ok(2 + number));
         }
         deployment.routers[0].as_ref().expect("it runs").signal("CONT");
         deployment.keepers[0].as_ref().expect("it runs").signal("CONT");
         deployment.routers[1] = None;
         deployment.start_router(1);
-        deployment.wait_revision(501).await;
+        deployment.wait_for_revision(501).await;
         wait_for(|| async { deployment.state(&deployment.keepers[0]).await["revision"] == 501 }).await;
     });
 }
@@ -152,12 +155,12 @@
 #[test]
 fn a_router_that_restarts_empty_beside_a_stale_keeper_does_not_go_back() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), FAST).await;
-        let leader = wait_leader(&deployment).await;
+        let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
+        let leader = wait_for_leader(&deployment).await;
         let stale = (leader + 1) % 3;
         deployment.keepers[stale].as_ref().expect("it runs").signal("STOP");
-        assert_eq!(deployment.apply("new", 1, &weight(7)).await, Ok(2));
-        deployment.wait_revision(2).await;
+        assert_eq!(deployment.apply("new", 1, &weight_patch(7)).await, Ok(2));
+        deployment.wait_for_revision(2).await;
         deployment.routers[0] = None;
         deployment.keepers[stale].as_ref().expect("it runs").signal("CONT");
         deployment.start_router(0);
@@ -168,12 +171,12 @@
 #[test]
 fn a_router_that_restarts_empty_asks_a_majority_before_a_keeper_that_is_cut_off() {
     task::block_on(async {
-        let mut deployment = Deployment::prepare(milk(), FAST).await;
-        deployment.make_remote(2).await;
-        deployment.start_processes().await;
-        deployment.set_cut(true);
+        let mut deployment = Deployment::prepare(milk(), SHORT_TOKEN_TIME).await;
+        deployment.add_relays(2).await;
+        deployment.start_daemons().await;
+        deployment.set_partitioned(true);
         wait_for(|| async { deployment.state(&deployment.keepers[2]).await["confirmed"] == false }).await;
-        assert_eq!(deployment.apply("new", 1, &weight(7)).await, Ok(2));
+        assert_eq!(deployment.apply("new", 1, &weight_patch(7)).await, Ok(2));
         // From here on the router's settings name every keeper directly; the first one that it
         // watches, by its name, is the one that is cut off.
         deployment.remote = None;
@@ -186,25 +189,26 @@
 #[test]
 fn a_change_is_in_force_on_nine_processes_within_seconds() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let started = Instant::now();
-        assert_eq!(deployment.apply("timed", 1, &weight(4)).await, Ok(2));
-        deployment.wait_revision(2).await;
+        assert_eq!(deployment.apply("timed", 1, &weight_patch(4)).await, Ok(2));
+        deployment.wait_for_revision(2).await;
         assert!(started.elapsed() < Duration::from_secs(14), "{:?}", started.elapsed());
     });
 }
 
 fn pickup(deployment: &Deployment, router: usize, key: &str, body: &str) -> Call {
-    Call::to(deployment.router(router), "coop-01", "/rutas/recogidas", body).with("idempotency-key", key)
+    Call::plain(deployment.router(router), "coop-01", "/rutas/recogidas", body)
+        .with_header("idempotency-key", key)
 }
 
 #[test]
 fn the_same_key_through_every_router_at_once_runs_once() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), SLOW).await;
+        let deployment = Deployment::start(milk(), LONG_TOKEN_TIME).await;
         let calls = (0..12).map(|number| pickup(&deployment, number % 3, "k1", "litros 900"));
         let answers = join_all(calls.map(|call| async move { call.send().await.expect("an answer") })).await;
-        assert_eq!(deployment.runs_of("litros 900"), 1);
+        assert_eq!(deployment.run_count("litros 900"), 1);
         assert_eq!(answers.iter().filter(|answer| answer.status == 200).count(), 1);
         for answer in answers.iter().filter(|answer| answer.status != 200) {
             assert_eq!((answer.status, answer.kind().as_str()), (409, "key-running"));
@@ -213,14 +217,14 @@
         assert!(later.replayed && later.body == "litros 900");
         let reused = pickup(&deployment, 2, "k1", "litros 1").send().await.expect("an answer");
         assert_eq!((reused.status, reused.run.as_deref()), (422, Some("not-run")));
-        assert_eq!(deployment.runs_of("litros 900"), 1);
+        assert_eq!(deployment.run_count("litros 900"), 1);
     });
 }
 
 #[test]
 fn a_caller_that_hangs_up_does_not_stop_a_call_that_may_not_be_repeated() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), SLOW).await;
+        let deployment = Deployment::start(milk(), LONG_TOKEN_TIME).await;
         let call = pickup(&deployment, 0, "k2", "litros 5");
         let _ = async_std::future::timeout(Duration::from_millis(150), call.send()).await;
         wait_for(|| async {
@@ -228,17 +232,17 @@
             again.replayed && again.body == "litros 5"
         })
         .await;
-        assert_eq!(deployment.runs_of("litros 5"), 1);
+        assert_eq!(deployment.run_count("litros 5"), 1);
     });
 }
 
 #[test]
 fn a_router_killed_after_the_claim_never_leads_to_a_second_run() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), SLOW).await;
+        let mut deployment = Deployment::start(milk(), LONG_TOKEN_TIME).await;
         let call = pickup(&deployment, 0, "k3", "litros 7");
         let lost = task::spawn(async move { call.send().await });
-        wait_for(|| async { deployment.runs_of("litros 7") == 1 }).await;
+        wait_for(|| async { deployment.run_count("litros 7") == 1 }).await;
         deployment.routers[0] = None;
         assert!(lost.await.is_none());
         for _ in 0..5 {
@@ -246,20 +250,20 @@
             assert_eq!((again.status, again.run.as_deref()), (409, Some("unknown")));
             task::sleep(Duration::from_millis(200)).await;
         }
-        assert_eq!(deployment.runs_of("litros 7"), 1);
+        assert_eq!(deployment.run_count("litros 7"), 1);
     });
 }
 
 #[test]
 fn without_a_majority_calls_that_may_not_be_repeated_are_refused_and_others_go_on() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), FAST).await;
+        let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         deployment.keepers[0] = None;
         deployment.keepers[1] = None;
         let refused = pickup(&deployment, 0, "k4", "litros 8").send().await.expect("an answer");
         assert_eq!((refused.status, refused.kind().as_str()), (503, "no-ledger"));
         assert_eq!(refused.run.as_deref(), Some("not-run"));
-        assert_eq!(deployment.runs_of("litros 8"), 0);
+        assert_eq!(deployment.run_count("litros 8"), 0);
         let served =
             Call::chat(deployment.router(1), "farm-01", "modelo-acopio", "still", 2, false).send().await;
         assert_eq!(served.expect("an answer").text(), "still");
@@ -268,17 +272,17 @@
             pickup(&deployment, 0, "k4", "litros 8").send().await.expect("an answer").status == 200
         })
         .await;
-        assert_eq!(deployment.runs_of("litros 8"), 1);
+        assert_eq!(deployment.run_count("litros 8"), 1);
     });
 }
 
 #[test]
 fn claims_go_on_through_the_loss_of_the_leader() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), FAST).await;
+        let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         for number in 0..30 {
             if number == 10 {
-                let leader = wait_leader(&deployment).await;
+                let leader = wait_for_leader(&deployment).await;
                 deployment.keepers[leader].as_mut().expect("it runs").kill();
             }
             let body = format!("tank {number}");
@@ -292,7 +296,7 @@
                 answer.status == 200
             })
             .await;
-            assert_eq!(deployment.runs_of(&body), 1);
+            assert_eq!(deployment.run_count(&body), 1);
         }
     });
 }
@@ -300,13 +304,13 @@
 #[test]
 fn a_planned_stop_of_a_keeper_cuts_nothing() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), SLOW).await;
+        let mut deployment = Deployment::start(milk(), LONG_TOKEN_TIME).await;
         let calls: Vec<_> = (0..12)
             .map(|number| pickup(&deployment, number % 3, &format!("s{number}"), &format!("stop {number}")))
             .map(|call| task::spawn(async move { call.send().await.expect("an answer") }))
             .collect();
-        wait_for(|| async { deployment.runs_of("stop 0") == 1 }).await;
-        let leader = wait_leader(&deployment).await;
+        wait_for(|| async { deployment.run_count("stop 0") == 1 }).await;
+        let leader = wait_for_leader(&deployment).await;
         let daemon = deployment.keepers[leader].as_mut().expect("it runs");
         daemon.signal("TERM");
         assert_eq!(daemon.wait(Duration::from_secs(10)), Some(0));
@@ -319,8 +323,8 @@
 #[test]
 fn an_operator_recovers_a_group_that_lost_two_disks() {
     task::block_on(async {
-        let mut deployment = Deployment::start(milk(), FAST).await;
-        assert_eq!(deployment.apply("kept", 1, &weight(3)).await, Ok(2));
+        let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
+        assert_eq!(deployment.apply("kept", 1, &weight_patch(3)).await, Ok(2));
         wait_for(|| async { deployment.state(&deployment.keepers[2]).await["revision"] == 2 }).await;
         for number in 0..2 {
             deployment.keepers[number] = None;
@@ -331,7 +335,7 @@
         let mut keeper = deployment.client.client(address).await.expect("the keeper runs");
         let reply = keeper.recover(v1::RecoverRequest { operator: "test".to_owned() }).await;
         assert!(reply.is_ok());
-        wait_voters(&deployment, 3).await;
-        assert_eq!(deployment.apply("after", 2, &weight(4)).await, Ok(3));
+        wait_for_voters(&deployment, 3).await;
+        assert_eq!(deployment.apply("after", 2, &weight_patch(4)).await, Ok(3));
     });
 }
--- a/crates/micaspool/tests/operations.rs
+++ b/crates/micaspool/tests/operations.rs
@@ -9,7 +9,7 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-const FAST: Duration = Duration::from_millis(1);
+const SHORT_TOKEN_TIME: Duration = Duration::from_millis(1);
 
 /// The spans of one trace that the processes of a role wrote.
 fn spans(deployment: &Deployment, role: &str, trace: &str) -> Vec<Value> {
@@ -36,13 +36,13 @@
 #[test]
 fn one_request_is_followed_through_its_processes_by_its_trace() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         for attempt in 0..10 {
             let trace = format!("0af7651916cd43dd8448eb211c8031{attempt:02x}");
             let before = leader_changes(&deployment);
-            let call = Call::to(deployment.router(0), "coop-01", "/rutas/recogidas", "traced")
-                .with("idempotency-key", &format!("traced-{attempt}"))
-                .with("traceparent", &format!("00-{trace}-b7ad6b7169203331-01"));
+            let call = Call::plain(deployment.router(0), "coop-01", "/rutas/recogidas", "traced")
+                .with_header("idempotency-key", &format!("traced-{attempt}"))
+                .with_header("traceparent", &format!("00-{trace}-b7ad6b7169203331-01"));
             let answer = call.send().await.expect("an answer");
             if leader_changes(&deployment) == before {
                 assert!(answer.traceparent.expect("a traceparent").contains(&trace));
@@ -75,7 +75,7 @@
 #[test]
 fn metrics_show_the_three_measures_and_nothing_secret_is_logged() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let call =
             Call::chat(deployment.router(0), "coop-01", "modelo-acopio", "very secret words", 4, false);
         call.send().await.expect("an answer");
@@ -98,8 +98,8 @@
             assert_eq!(get(address, "/healthz").await, "ok\n");
             assert_eq!(get(address, "/readyz").await, "ready\n");
         }
-        wait_for(|| async { deployment.serving("modelo-acopio").await.is_some() }).await;
-        let serving = deployment.serving("modelo-acopio").await.expect("a dispatcher serves");
+        wait_for(|| async { deployment.serving_dispatcher("modelo-acopio").await.is_some() }).await;
+        let serving = deployment.serving_dispatcher("modelo-acopio").await.expect("a dispatcher serves");
         let address = deployment.dispatchers[serving].as_ref().expect("it runs").addresses["status"];
         let text = get(address, "/metrics").await;
         for name in ["micaspool_fairness_gap", "micaspool_running_requests", "micaspool_open_slots"] {
@@ -122,7 +122,7 @@
 #[test]
 fn the_command_line_reads_changes_and_explains_settings() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let keeper = format!("{}:7601", deployment.ip);
         let patch = deployment.folder.join("patch.json");
         std::fs::write(&patch, r#"{"policy":{"weight":4}}"#).expect("it can be written");
@@ -176,7 +176,7 @@
 #[test]
 fn the_command_line_lists_and_lifts_quarantines() {
     task::block_on(async {
-        let deployment = Deployment::start(milk(), FAST).await;
+        let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let daemon = deployment.dispatchers[0].as_ref().expect("it runs");
         let status = daemon.addresses["status"].to_string();
         let listed = micaspool(&["quarantine", "list", &status]);
