--- a/crates/micaspool/src/bin/micaspool-dispatcher.rs
+++ b/crates/micaspool/src/bin/micaspool-dispatcher.rs
@@ -14,7 +14,7 @@
 }
 
 async fn run(start: DaemonStart) {
-    let stop = stop_requested().expect("the signals can be taken over");
+    let stop = stop_requested().expect("the signal handlers can be installed");
     let daemon = match run_dispatcher(&start.settings, start.incarnation).await {
         Ok(daemon) => daemon,
         Err(error) => {
--- a/crates/micaspool/src/bin/micaspool-keeper.rs
+++ b/crates/micaspool/src/bin/micaspool-keeper.rs
@@ -10,7 +10,7 @@
 use micaspool_telemetry::events::{self, record};
 use std::time::Duration;
 
-/// How often the keeper looks whether its files have failed.
+/// The interval at which the daemon checks whether the keeper has stopped, for example after a file error.
 const FAILURE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 fn main() {
@@ -19,7 +19,7 @@
 }
 
 async fn run(start: DaemonStart) {
-    let stop = stop_requested().expect("the signals can be taken over");
+    let stop = stop_requested().expect("the signal handlers can be installed");
     let daemon = match run_keeper(&start.settings).await {
         Ok(daemon) => daemon,
         Err(error) => {
--- a/crates/micaspool/src/bin/micaspool-router.rs
+++ b/crates/micaspool/src/bin/micaspool-router.rs
@@ -9,7 +9,7 @@
 use micaspool_telemetry::events::{self, record};
 use std::time::Duration;
 
-/// How long requests in flight may take after the order to stop.
+/// The time limit for requests in flight after the signal to stop.
 const DRAIN_LIMIT: Duration = Duration::from_secs(600);
 
 fn main() {
@@ -18,7 +18,7 @@
 }
 
 async fn run(start: DaemonStart) {
-    let stop = stop_requested().expect("the signals can be taken over");
+    let stop = stop_requested().expect("the signal handlers can be installed");
     let daemon = match run_router(&start.settings, start.incarnation).await {
         Ok(daemon) => daemon,
         Err(error) => {
--- a/crates/micaspool/src/cli/customers.rs
+++ b/crates/micaspool/src/cli/customers.rs
@@ -1,4 +1,4 @@
-//! `micaspool customers top`: who waits, who runs, who received how much.
+//! `micaspool customers top`: the waiting and running requests and the service level of each customer.
 
 use super::fetch::fetch_state;
 use super::{EXIT_DONE, EXIT_FAILED};
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Look at customers.
+/// Inspect customers.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "customers")]
 pub struct CustomersCommand {
@@ -20,7 +20,7 @@
     Top(TopCommand),
 }
 
-/// List customers with waiting or running requests, the most waiting first.
+/// List customers with waiting or running requests, those with the most waiting requests first.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "top")]
 struct TopCommand {
--- a/crates/micaspool/src/cli/demo.rs
+++ b/crates/micaspool/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! `micaspool demo`: a whole deployment in one process.
+//! `micaspool demo`: runs a whole deployment in one process.
 
 use super::{EXIT_DONE, EXIT_FAILED};
 use argh::FromArgs;
@@ -12,19 +12,19 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The milk collector's settings, which the demo runs.
+/// The settings tree of the milk collector, which the demo runs.
 const TREE: &str = include_str!("../../../../examples/milk/tree.json");
 
-/// Run the milk collector's three data halls on loopback, send a few requests, and show where
-/// each ran and why.
+/// Run the milk collector's three data halls on loopback, send a few requests, and print which endpoint
+/// answered each of them or why it was refused.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "demo")]
 pub struct DemoCommand {
-    /// keep running afterwards, to be called with curl
+    /// keep running after the demo requests, for calls with curl
     #[argh(switch)]
     stay: bool,
 
-    /// the first port
+    /// the base port; each role listens at an offset from it
     #[argh(option, default = "7600")]
     port: u16,
 }
--- a/crates/micaspool/src/cli/endpoint.rs
+++ b/crates/micaspool/src/cli/endpoint.rs
@@ -1,4 +1,4 @@
-//! `micaspool endpoint`: a stand-in endpoint, for trying a deployment out.
+//! `micaspool endpoint`: runs a stand-in endpoint for trial deployments.
 
 use super::{EXIT_DONE, EXIT_FAILED};
 use argh::FromArgs;
@@ -11,23 +11,23 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "endpoint")]
 pub struct EndpointCommand {
-    /// where to listen
+    /// the address to listen on
     #[argh(option)]
     listen: SocketAddr,
 
-    /// its name
+    /// the name that it sends in answers
     #[argh(option, default = "String::from(\"stand-in\")")]
     name: String,
 
-    /// how many requests it runs at once
+    /// the number of requests that it runs at once
     #[argh(option, default = "8")]
     slots: usize,
 
-    /// milliseconds for a token, or for a plain call
+    /// the time per token or plain call, in milliseconds
     #[argh(option, default = "5")]
     token_ms: u64,
 
-    /// turn every request away and ask for so many seconds of rest
+    /// refuse every request with a retry-after header of this many seconds
     #[argh(option)]
     ask_for_rest_s: Option<u32>,
 }
@@ -38,7 +38,7 @@
         slots: command.slots,
         token_time: Duration::from_millis(command.token_ms),
     };
-    let stop = stop_requested().expect("the signals can be taken over");
+    let stop = stop_requested().expect("the signal handlers can be installed");
     match StandInEndpoint::start(command.listen, options).await {
         Ok(endpoint) => {
             if let Some(seconds) = command.ask_for_rest_s {
--- a/crates/micaspool/src/cli/fetch.rs
+++ b/crates/micaspool/src/cli/fetch.rs
@@ -1,4 +1,4 @@
-//! Reading the status ports of daemons.
+//! Reads the state of daemons from their status ports.
 
 use async_std::io::ReadExt;
 use http_types::{Method, Request, Url};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The state that a daemon shows on its status port, or why it can't be read.
+/// Fetches `/status` from a daemon. Returns an error message for operators if that fails.
 pub async fn fetch_state(address: SocketAddr) -> Result<Value, String> {
     let unreadable = |error: &dyn std::fmt::Display| {
         format!("{address} can't be read ({error}); give the status address that the daemon printed")
--- a/crates/micaspool/src/cli/halls.rs
+++ b/crates/micaspool/src/cli/halls.rs
@@ -1,4 +1,4 @@
-//! `micaspool halls`: evacuate a data hall, take it back, and see what was ordered.
+//! `micaspool halls`: evacuates data halls, returns them to service, and lists the orders.
 
 use super::{keeper_client, EXIT_DONE, EXIT_FAILED, EXIT_REJECTED, EXIT_USAGE};
 use argh::FromArgs;
@@ -11,10 +11,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a call to the keepers may take.
+/// The time limit of a call to the keepers.
 const CALL_LIMIT: Duration = Duration::from_secs(10);
 
-/// Evacuate a data hall so that its endpoints get no requests, take it back, and see what was ordered.
+/// Evacuate data halls so that their endpoints get no requests, return them to service, and list the orders.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "halls")]
 pub struct HallsCommand {
@@ -30,7 +30,7 @@
     List(ListCommand),
 }
 
-/// Send nothing more to the endpoints of a data hall. What runs there ends by itself.
+/// Send no new requests to the endpoints of a data hall. Requests that run there are not interrupted.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "evacuate")]
 struct EvacuateCommand {
@@ -38,16 +38,16 @@
     #[argh(positional)]
     hall: String,
 
-    /// wire address of a keeper; give several times
+    /// wire address of a keeper; repeat for each keeper
     #[argh(option)]
     keeper: Vec<SocketAddr>,
 
-    /// who orders
+    /// the operator who gives the order
     #[argh(option)]
     operator: String,
 }
 
-/// Send to the endpoints of a data hall again.
+/// Return a data hall to service, so that its endpoints get requests again.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "return")]
 struct ReturnCommand {
@@ -55,20 +55,20 @@
     #[argh(positional)]
     hall: String,
 
-    /// wire address of a keeper; give several times
+    /// wire address of a keeper; repeat for each keeper
     #[argh(option)]
     keeper: Vec<SocketAddr>,
 
-    /// who orders
+    /// the operator who gives the order
     #[argh(option)]
     operator: String,
 }
 
-/// List the data halls that an order was given about, as a majority of keepers knows them.
+/// List the data halls with an order, as known to a majority of keepers.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "list")]
 struct ListCommand {
-    /// wire address of a keeper; give several times
+    /// wire address of a keeper; repeat for each keeper
     #[argh(option)]
     keeper: Vec<SocketAddr>,
 
@@ -77,7 +77,7 @@
     json: bool,
 }
 
-/// What an operator wants of a data hall.
+/// An order of an operator for a data hall.
 struct RequestedOrder {
     hall: String,
     evacuate: bool,
@@ -109,7 +109,8 @@
     client.halls_confirmed(CALL_LIMIT).await.map_err(|error| (EXIT_FAILED, error.to_string()))
 }
 
-/// Orders on what a majority knows now, so that an order that is held up takes nothing back that comes after it.
+/// Sends an order that is based on the newest order known to a majority, so that an order that is delayed on the
+/// way doesn't revert a later one.
 async fn order(keepers: &[SocketAddr], requested: RequestedOrder) -> CommandResult {
     HallName::parse(&requested.hall).map_err(|error| (EXIT_USAGE, error.to_string()))?;
     let client = keeper_client(keepers)?;
@@ -129,13 +130,14 @@
             Ok(())
         }
         Some(OrderVerdict::Overtaken(number)) => {
-            let hint = "look at 'halls list' and order again if it still holds";
-            Err((EXIT_REJECTED, format!("order {number} says the contrary and came meanwhile; {hint}")))
+            let hint = "check 'halls list' and repeat the order if it still applies";
+            Err((EXIT_REJECTED, format!("order {number}, given meanwhile, orders the opposite; {hint}")))
         }
-        Some(OrderVerdict::TooManyHalls) => {
-            Err((EXIT_REJECTED, "there are orders about as many halls as a fleet may have".to_owned()))
-        }
-        None => Err((EXIT_FAILED, "the keepers gave no verdict; send the order again".to_owned())),
+        Some(OrderVerdict::TooManyHalls) => Err((
+            EXIT_REJECTED,
+            "orders exist for the largest number of data halls that a fleet may have".to_owned(),
+        )),
+        None => Err((EXIT_FAILED, "the keepers returned no verdict; send the order again".to_owned())),
     }
 }
 
--- a/crates/micaspool/src/cli/keeper.rs
+++ b/crates/micaspool/src/cli/keeper.rs
@@ -1,4 +1,4 @@
-//! `micaspool keeper`: what only operators may decide about keepers.
+//! `micaspool keeper`: operations on keepers that need the decision of an operator.
 
 use super::{EXIT_DONE, EXIT_FAILED, EXIT_USAGE};
 use argh::FromArgs;
@@ -21,8 +21,8 @@
     Recover(RecoverCommand),
 }
 
-/// Make one keeper a group of its own, when a majority of keepers has lost its disks for good.
-/// Settings and claims that only the lost keepers had are gone; the other keepers must be started
+/// Make one keeper a group of its own after a majority of keepers has lost its disks for good.
+/// Settings and claims that only the lost keepers had are lost; the other keepers must be started
 /// with empty data folders.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "recover")]
@@ -31,11 +31,11 @@
     #[argh(option)]
     keeper: SocketAddr,
 
-    /// who orders it
+    /// the operator who gives the order
     #[argh(option)]
     operator: String,
 
-    /// must be given, since this may lose what only the lost keepers had
+    /// required confirmation, since settings and claims that only the lost keepers had are lost
     #[argh(switch)]
     others_are_lost: bool,
 }
--- a/crates/micaspool/src/cli/mod.rs
+++ b/crates/micaspool/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The commands. Exit codes: 0 done, 1 failed, 2 wrong arguments or settings, 3 conflict.
+//! The commands. Exit codes: 0 done, 1 failed, 2 invalid arguments or settings, 3 rejected.
 
 mod customers;
 mod demo;
@@ -19,16 +19,16 @@
 use micaspool::types::InstanceName;
 use std::net::SocketAddr;
 
-/// Done.
+/// The exit code of a command that succeeded.
 pub const EXIT_DONE: i32 = 0;
-/// Something could not be reached or did not work.
+/// The exit code if a process could not be reached or the command failed.
 pub const EXIT_FAILED: i32 = 1;
-/// Arguments or settings have a fault.
+/// The exit code for invalid arguments or settings.
 pub const EXIT_USAGE: i32 = 2;
-/// The change was rejected.
+/// The exit code if the keepers rejected the change or order.
 pub const EXIT_REJECTED: i32 = 3;
 
-/// Operates a micaspool router fleet.
+/// Operate a micaspool router fleet.
 #[derive(FromArgs, Debug)]
 pub struct Arguments {
     #[argh(subcommand)]
@@ -49,7 +49,7 @@
     Endpoint(endpoint::EndpointCommand),
 }
 
-/// A client of the keepers that were named; without any an exit code and what to do.
+/// Creates a client of these keepers. Returns an exit code and an error message if there are none.
 fn keeper_client(keepers: &[SocketAddr]) -> Result<KeeperClient, (i32, String)> {
     if keepers.is_empty() {
         return Err((EXIT_USAGE, "give --keeper ADDRESS, once for each keeper".to_owned()));
@@ -61,7 +61,7 @@
     Ok(KeeperClient::new(keepers.iter().enumerate().map(peer).collect(), TrafficCounter::default()))
 }
 
-/// Runs a command and gives the exit code.
+/// Runs a command and returns its exit code.
 pub fn run(arguments: Arguments) -> i32 {
     task::block_on(async {
         match arguments.command {
--- a/crates/micaspool/src/cli/quarantine.rs
+++ b/crates/micaspool/src/cli/quarantine.rs
@@ -1,4 +1,4 @@
-//! `micaspool quarantine`: requests that are shut out since endpoints ended under them.
+//! `micaspool quarantine`: requests that are quarantined because endpoints crashed while running them.
 
 use super::fetch::fetch_state;
 use super::{EXIT_DONE, EXIT_FAILED, EXIT_USAGE};
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// See requests that are shut out since endpoints ended under them, and let them run again.
+/// List requests that are quarantined because endpoints crashed while running them, and let them run again.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "quarantine")]
 pub struct QuarantineCommand {
@@ -26,7 +26,7 @@
     Lift(LiftCommand),
 }
 
-/// List the requests that are suspected or shut out, with the endpoints that ended under them.
+/// List suspected and quarantined requests with the endpoints that crashed while running them.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "list")]
 struct ListCommand {
@@ -39,7 +39,7 @@
     json: bool,
 }
 
-/// Let a request run again. If it ends three more endpoints, it is shut out again.
+/// Let a request run again. After three more crashes it is quarantined again.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "lift")]
 struct LiftCommand {
@@ -47,7 +47,7 @@
     #[argh(positional)]
     digest: String,
 
-    /// the wire address of a dispatcher; give all of them, since a service moves between them
+    /// wire address of a dispatcher; repeat for each one, since services move between dispatchers
     #[argh(option)]
     dispatcher: Vec<SocketAddr>,
 }
@@ -74,7 +74,7 @@
 }
 
 fn print_shards(address: SocketAddr, state: &Value, as_json: bool) {
-    // A core instance shows its keeper and its dispatcher on one page.
+    // The status of a core instance, which runs a keeper and a dispatcher, has the shards below `dispatcher`.
     let pages = [&state["shards"], &state["dispatcher"]["shards"]];
     for shard in pages.into_iter().filter_map(Value::as_array).flatten() {
         for suspect in shard["quarantine"].as_array().into_iter().flatten() {
--- a/crates/micaspool/src/cli/replay.rs
+++ b/crates/micaspool/src/cli/replay.rs
@@ -1,4 +1,4 @@
-//! `micaspool replay`: recorded traces through the shard core, with the three measures.
+//! `micaspool replay`: replays traces through the shard core and reports fairness, utilisation and control traffic.
 
 use super::{EXIT_DONE, EXIT_FAILED, EXIT_USAGE};
 use argh::FromArgs;
@@ -11,7 +11,7 @@
 use std::io::BufReader;
 use std::path::{Path, PathBuf};
 
-/// Replay recorded traces in virtual time, or record new ones.
+/// Replay traces in virtual time, or generate new ones.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "replay")]
 pub struct ReplayCommand {
@@ -26,7 +26,7 @@
     Record(RecordCommand),
 }
 
-/// Replay traces through policies and print the fairness gap, utilisation and control traffic.
+/// Replay traces under scheduling policies and print the fairness gap, utilisation and control traffic.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "run")]
 struct RunCommand {
@@ -34,20 +34,20 @@
     #[argh(positional)]
     traces: Vec<PathBuf>,
 
-    /// a policy: progress, estimate, hint, settled, rounds or arrival; give several times; all by
+    /// policy: progress, estimate, hint, settled, rounds or arrival; may be repeated; all by
     /// default
     #[argh(option)]
     policy: Vec<String>,
 
-    /// lose the dispatcher after this many seconds and rebuild it from what routers hold
+    /// lose the dispatcher after this many seconds and restore its successor from the state of routers
     #[argh(option)]
     lose_dispatcher: Option<u64>,
 
-    /// the next dispatcher takes only waiting requests from routers (baseline)
+    /// restore only waiting requests after losing the dispatcher (baseline)
     #[argh(switch)]
     empty_restart: bool,
 
-    /// lose a third of the endpoints after this many seconds
+    /// lose three endpoints, a third of those of the example traces, after this many seconds
     #[argh(option)]
     lose_third: Option<u64>,
 
@@ -55,28 +55,28 @@
     #[argh(switch)]
     load_only: bool,
 
-    /// how many in a hundred cache events are lost
+    /// share of cache events that are lost, in percent
     #[argh(option, default = "20")]
     cache_loss: u32,
 
-    /// print one JSON line for each report
+    /// print one JSON line per report
     #[argh(switch)]
     json: bool,
 }
 
-/// Record a trace from a seed.
+/// Generate a trace from a seed.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "record")]
 struct RecordCommand {
-    /// milk or kilns
+    /// kind of trace: milk or kilns
     #[argh(positional)]
     kind: String,
 
-    /// where to write it
+    /// file to write
     #[argh(option)]
     out: PathBuf,
 
-    /// the seed
+    /// seed; by default that of the committed trace
     #[argh(option)]
     seed: Option<u64>,
 }
@@ -103,7 +103,7 @@
     if let Some(unknown) = policies.iter().find(|name| policy_named(name).is_none()) {
         return Err((
             EXIT_USAGE,
-            format!("{unknown:?} is no policy; use one of: {}", POLICY_NAMES.join(", ")),
+            format!("unknown policy {unknown:?}; use one of: {}", POLICY_NAMES.join(", ")),
         ));
     }
     if command.traces.is_empty() {
@@ -162,7 +162,7 @@
     let mut options = match command.kind.as_str() {
         "milk" => GenerateOptions::milk(),
         "kilns" => GenerateOptions::kilns(),
-        other => return Err((EXIT_USAGE, format!("{other:?} is no kind of trace; use milk or kilns"))),
+        other => return Err((EXIT_USAGE, format!("unknown kind of trace {other:?}; use milk or kilns"))),
     };
     options.seed = command.seed.unwrap_or(options.seed);
     let trace = generate(&options);
--- a/crates/micaspool/src/cli/settings.rs
+++ b/crates/micaspool/src/cli/settings.rs
@@ -1,4 +1,4 @@
-//! `micaspool settings`: read, check and change the settings tree.
+//! `micaspool settings`: reads, checks and changes the settings tree.
 
 use super::{keeper_client, EXIT_DONE, EXIT_FAILED, EXIT_REJECTED, EXIT_USAGE};
 use argh::FromArgs;
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long a call to the keepers may take.
+/// The time limit of a call to the keepers.
 const CALL_LIMIT: Duration = Duration::from_secs(10);
 
 /// Read, check and change the settings tree.
@@ -35,44 +35,44 @@
     Key(KeyCommand),
 }
 
-/// Change the tree by a JSON Merge Patch (null removes a key).
+/// Change the tree with a JSON Merge Patch (null removes a key).
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "apply")]
 struct ApplyCommand {
-    /// the patch file; a whole tree is a patch too
+    /// patch file; a whole tree is a valid patch
     #[argh(positional)]
     patch: PathBuf,
 
-    /// wire address of a keeper; give several times
+    /// wire address of a keeper; repeat for each keeper
     #[argh(option)]
     keeper: Vec<SocketAddr>,
 
-    /// who changes
+    /// the operator who makes the change
     #[argh(option)]
     operator: String,
 
-    /// the revision that the change was made on; read by 'settings get'
+    /// revision that the change is based on, as printed by 'settings get'
     #[argh(option)]
     base: u64,
 
-    /// the id of the change; after a lost answer send the same again
+    /// id of the change; to repeat a call whose answer was lost, use the same id
     #[argh(option)]
     id: Option<String>,
 }
 
-/// Print the tree as a majority of keepers knows it.
+/// Print the tree that a majority of keepers has.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "get")]
 struct GetCommand {
-    /// wire address of a keeper; give several times
+    /// wire address of a keeper; repeat for each keeper
     #[argh(option)]
     keeper: Vec<SocketAddr>,
 
-    /// CUSTOMER/SERVICE: print each value that holds and the level that it came from
+    /// CUSTOMER/SERVICE: print each effective value and the level that sets it
     #[argh(option)]
     effective: Option<String>,
 
-    /// print JSON with the revision
+    /// print the revision and the tree as JSON
     #[argh(switch)]
     json: bool,
 }
@@ -86,7 +86,7 @@
     tree: PathBuf,
 }
 
-/// Show what a patch would change.
+/// Print the changes that a patch would make.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "diff")]
 struct DiffCommand {
@@ -94,12 +94,12 @@
     #[argh(positional)]
     patch: PathBuf,
 
-    /// wire address of a keeper; give several times
+    /// wire address of a keeper; repeat for each keeper
     #[argh(option)]
     keeper: Vec<SocketAddr>,
 }
 
-/// Print the stored form of a customer key, which is read from standard input.
+/// Read a customer key from standard input and print its digest, the form in which it is stored.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "key")]
 struct KeyCommand {}
@@ -124,11 +124,10 @@
 type CommandResult = Result<(), (i32, String)>;
 
 fn read_json(path: &Path) -> Result<Value, (i32, String)> {
-    let text = std::fs::read_to_string(path).map_err(|error| {
-        (EXIT_USAGE, format!("{} can't be read ({error}); check the path", path.display()))
-    })?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|error| (EXIT_USAGE, format!("cannot read {} ({error}); check the path", path.display())))?;
     serde_json::from_str(&text)
-        .map_err(|error| (EXIT_USAGE, format!("{} is not JSON ({error}); mend it", path.display())))
+        .map_err(|error| (EXIT_USAGE, format!("{} is not valid JSON ({error})", path.display())))
 }
 
 async fn apply(command: ApplyCommand) -> CommandResult {
@@ -148,7 +147,10 @@
             Ok(())
         }
         Some(v1::apply_reply::Outcome::Rejected(reason)) => Err((EXIT_REJECTED, reason)),
-        _ => Err((EXIT_FAILED, "the keepers gave no outcome; send it again with the same --id".to_owned())),
+        _ => Err((
+            EXIT_FAILED,
+            "the keepers returned no outcome; send the change again with the same --id".to_owned(),
+        )),
     }
 }
 
@@ -156,7 +158,7 @@
     let reply = keeper_client(keepers)?.get_confirmed(CALL_LIMIT).await;
     let reply = reply.map_err(|error| (EXIT_FAILED, error.to_string()))?;
     let Some(v1::get_reply::Outcome::Settings(update)) = reply.outcome else {
-        return Err((EXIT_FAILED, "the keepers gave no settings; try again".to_owned()));
+        return Err((EXIT_FAILED, "the keepers returned no settings; try again".to_owned()));
     };
     let tree = if update.tree.is_empty() {
         json!({})
@@ -184,7 +186,10 @@
     let values =
         path.split_once('/').and_then(|(customer, service)| effective_values(tree, customer, service));
     let unknown_path = || {
-        (EXIT_USAGE, format!("{path:?} names no customer and service of the tree; write CUSTOMER/SERVICE"))
+        (
+            EXIT_USAGE,
+            format!("{path:?} is not a customer and service of the tree; use the form CUSTOMER/SERVICE"),
+        )
     };
     for value in values.ok_or_else(unknown_path)? {
         let text = value.value.map_or_else(|| "(default)".to_owned(), |value| value.to_string());
--- a/crates/micaspool/src/cli/status.rs
+++ b/crates/micaspool/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `micaspool status`: what each daemon is doing.
+//! `micaspool status`: prints the state of daemons.
 
 use super::fetch::fetch_state;
 use super::{EXIT_DONE, EXIT_FAILED};
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Show what daemons are doing: role, revision in force, leader or cut off, waiting work.
+/// Print the state of daemons: role, settings revision, leader, contact with the keepers, and requests per shard.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 pub struct StatusCommand {
--- a/crates/micaspool/src/fleet.rs
+++ b/crates/micaspool/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in one process, on loopback, with stand-in endpoints.
+//! Runs a whole deployment in one process, on loopback, with stand-in endpoints.
 
 use async_std::task;
 use micaspool_client::{CallError, KeeperClient};
@@ -17,45 +17,48 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How long the deployment may take to come up.
+/// The time limit for the keepers to accept the settings.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The offsets of the ports of each role.
+/// The offset of the keeper ports from the base port. Each role has one port per data hall from its offset on.
 const KEEPER_PORT_OFFSET: u16 = 1;
+/// The offset of the dispatcher ports.
 const DISPATCHER_PORT_OFFSET: u16 = 11;
+/// The offset of the router ports that serve callers.
 const ROUTER_PORT_OFFSET: u16 = 21;
+/// The offset of the status ports of routers.
 const STATUS_PORT_OFFSET: u16 = 31;
 
-/// What a deployment looks like.
+/// The parameters of a deployment.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// The settings tree; endpoint addresses in it are replaced by those of stand-ins.
+    /// The settings tree. Endpoint addresses in it are replaced by those of the stand-ins.
     pub tree: Value,
-    /// The loopback address of every process.
+    /// The loopback address that everything listens on.
     pub ip: IpAddr,
-    /// The first port.
+    /// The base port, to which the port offsets of the roles are added.
     pub base_port: u16,
-    /// Where keepers keep their files.
+    /// The folder with one data folder per keeper.
     pub data_folder: PathBuf,
-    /// The time of one token of a stand-in model, or of a call of a plain stand-in.
+    /// The time per token of a stand-in model engine; a call of a plain stand-in takes four times as long.
     pub token_time: Duration,
 }
 
-/// Why a deployment did not come up.
+/// An error from starting a deployment.
 #[derive(Debug)]
 pub enum Error {
-    /// The settings tree has faults.
+    /// The settings tree is invalid. Lists the faults.
     Settings(String),
-    /// A process did not start.
+    /// A part of the deployment did not start.
     Start(String),
-    /// The keepers did not take the settings.
+    /// The call to the keepers that applies the settings failed.
     Keepers(CallError),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Settings(faults) => write!(f, "mend the settings tree:\n{faults}"),
-            Error::Start(error) => write!(f, "a process did not start: {error}"),
+            Error::Settings(faults) => write!(f, "the settings tree is invalid:\n{faults}"),
+            Error::Start(error) => write!(f, "the deployment did not start: {error}"),
             Error::Keepers(error) => error.fmt(f),
         }
     }
@@ -66,19 +69,19 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct EmbeddedFleet {
-    /// One keeper for each data hall.
+    /// One keeper per data hall.
     pub keepers: Vec<KeeperDaemon>,
-    /// One dispatcher for each data hall.
+    /// One dispatcher per data hall.
     pub dispatchers: Vec<DispatcherDaemon>,
-    /// One router for each data hall.
+    /// One router per data hall.
     pub routers: Vec<RouterDaemon>,
-    /// The endpoints, with the data hall of each.
+    /// The endpoints, each with the name of its data hall.
     pub endpoints: Vec<(String, StandInEndpoint)>,
-    /// A client for the keepers.
+    /// A client of the keepers.
     pub client: KeeperClient,
 }
 
-/// The settings of one instance of a deployment with one entry instance in each data hall.
+/// The settings of the instance with this number, in a deployment of one entry instance per data hall.
 pub fn instance_settings(
     options: &FleetOptions,
     halls: &[(HallName, RegionName)],
@@ -114,7 +117,8 @@
 }
 
 impl EmbeddedFleet {
-    /// Starts every role in each data hall of the tree, and stand-ins for its endpoints.
+    /// Starts stand-ins for the endpoints of the tree and every role in each of its data halls. Returns when the
+    /// tree is in force and all routers are ready.
     pub async fn start(options: FleetOptions) -> Result<EmbeddedFleet, Error> {
         let policy = compile_tree(Revision(1), &options.tree)
             .map_err(|faults| Error::Settings(micaspool_settings::document::join_faults(&faults)))?;
@@ -167,7 +171,7 @@
         Ok(())
     }
 
-    /// Replaces the whole tree.
+    /// Merges a tree into the settings and returns the new revision.
     pub async fn apply(&self, tree: &Value) -> Result<u64, Error> {
         let request = v1::ApplyRequest {
             change: format!("{:016x}", rand::random::<u64>()),
@@ -179,7 +183,7 @@
         match reply.outcome {
             Some(v1::apply_reply::Outcome::Revision(revision)) => Ok(revision),
             Some(v1::apply_reply::Outcome::Rejected(reason)) => Err(Error::Settings(reason)),
-            _ => Err(Error::Start("the keepers gave no outcome".to_owned())),
+            _ => Err(Error::Start("the keepers returned no outcome".to_owned())),
         }
     }
 
@@ -190,7 +194,7 @@
             }
             task::sleep(Duration::from_millis(50)).await;
         }
-        Err(Error::Start("the routers got no settings".to_owned()))
+        Err(Error::Start("the routers received no settings within 20 s".to_owned()))
     }
 }
 
--- a/crates/micaspool/src/lib.rs
+++ b/crates/micaspool/src/lib.rs
@@ -1,8 +1,8 @@
-//! The router fleet as a library: every crate under one name, for those who embed its parts.
+//! The router fleet as a library: re-exports every crate, for embedding single parts.
 //!
-//! The decision cores ([`dispatch`], [`quorum`], [`ledger`], [`fair`]) are free of I/O and clocks.
-//! [`router`], [`dispatcher`] and [`keeper`] put them behind sockets; [`fleet`] runs a whole
-//! deployment in one process, for trying it out and for tests.
+//! The decision cores ([`dispatch`], [`quorum`], [`ledger`], [`fair`]) perform no I/O and read no clock.
+//! [`router`], [`dispatcher`] and [`keeper`] serve them over the network. [`fleet`] runs a whole deployment in
+//! one process, for demonstrations and tests.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/micaspool/src/main.rs
+++ b/crates/micaspool/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The command line for operators.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
