--- a/crates/micaspool/benches/clock.rs
+++ b/crates/micaspool/benches/clock.rs
@@ -1,4 +1,4 @@
-//! What a reading of the clock since boot costs, beside one of the steady clock.
+//! Measures the time of reading the boot clock, compared to the steady clock.
 
 use micaspool_clock::BootInstant;
 use std::hint::black_box;
--- a/crates/micaspool/benches/decisions.rs
+++ b/crates/micaspool/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! What one decision of the shard core costs, by customers, endpoints and waiting tickets.
+//! Measures the time of a decision of the shard core, by numbers of customers, endpoints and waiting tickets.
 //!
-//! Run with `cargo bench -p micaspool --bench decisions`. A decision is: a grant ends, the freed
-//! slot goes to the next ticket, and a new ticket begins to wait.
+//! Run with `cargo bench -p micaspool --bench decisions`. In each decision a grant ends, the freed slot goes to
+//! the next ticket, and a new ticket is submitted. It also measures the memory of a ticket and of a ledger key.
 
 use micaspool::dispatch::{
     ColdStartLimits, EndpointSpec, GrantOutcome, RequestTicket, RouterHello, SessionId, ShardAction,
@@ -22,6 +22,7 @@
 const DECISIONS: usize = 100_000;
 const SESSION: SessionId = SessionId(1);
 
+/// A shard core with all slots busy and a constant number of waiting tickets.
 struct DecisionLoad {
     core: ShardCore,
     now: Moment,
@@ -130,6 +131,7 @@
     }
 }
 
+/// The resident memory of this process.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -137,7 +139,7 @@
     kilobytes.unwrap_or(0) * 1_024
 }
 
-/// What a remembered key of the ledger takes, with an answer of 256 bytes and without.
+/// Measures the memory of a ledger key, without an answer and with one of 256 bytes.
 fn ledger_bytes() {
     const KEYS: u64 = 200_000;
     for answer in [0, 256] {
--- a/crates/micaspool/benches/digest.rs
+++ b/crates/micaspool/benches/digest.rs
@@ -1,12 +1,12 @@
-//! What the digest of a request costs, by the size of its body.
+//! Measures the time of a request digest by body size.
 
 use micaspool_types::{CustomerName, RequestDigest};
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Bodies as callers send them: small calls, prompts, and the largest that plans allow.
+/// Body sizes in bytes: small calls, prompts, and the largest body that plans allow.
 const SIZES: [usize; 5] = [0, 600, 17_000, 100_000, 1 << 20];
-/// How many bytes are hashed for each size.
+/// The number of bytes to hash for each size.
 const BYTES_PER_SIZE: usize = 256 << 20;
 
 fn main() {
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -1,8 +1,8 @@
-//! What a request to a language model costs the shard core, by arrivals and engines.
+//! Measures the time that the shard core spends per request to a model, by numbers of engines and arrival rates.
 //!
-//! Run with `cargo bench -p micaspool --bench engines`. Engines are modelled as a fixed time to the
-//! first token and a fixed time to the end; the figure is the processor time of all steps of the core,
-//! a request that arrives, at the usual rate of the users' grown site and at five times that.
+//! Run with `cargo bench -p micaspool --bench engines`. Engines have a fixed time to the first token and a fixed
+//! time to completion. The result is the time of all steps of the core divided by the number of arrivals. The
+//! rates are the usual ones of the users' grown site and up to five times those.
 
 use micaspool::dispatch::{
     CacheUpdate, CachedPart, ColdStartLimits, EndpointSpec, GrantOutcome, LoadReport, RequestTicket,
@@ -18,27 +18,33 @@
 
 const SESSION: SessionId = SessionId(1);
 const CUSTOMERS: usize = 30;
+/// The number of different middle prefixes of prompts.
 const PROMPT_SUBJECTS: u64 = 780;
 const SLOTS: u32 = 16;
+/// The cache capacity of an engine.
 const MEMORY_TOKENS: u64 = 501_020;
-/// Virtual seconds that are measured.
+/// The measured virtual time in seconds.
 const SECONDS: u64 = 10;
+/// The interval of load reports, in microseconds like the other times below.
 const LOAD_REPORT_INTERVAL: u64 = 500_000;
-/// How often each engine tells what its cache took in, and how many parts that are.
+/// The interval at which each engine reports the parts that its cache stored.
 const CACHE_UPDATE_INTERVAL: u64 = 640_000;
+/// The number of parts in such a report.
 const CACHE_UPDATE_PARTS: u64 = 4;
 const TICK_INTERVAL: u64 = 50_000;
+/// The time from the grant to the first token.
 const FIRST_TOKEN_DELAY: u64 = 150_000;
+/// The time from the grant to the end of the answer.
 const COMPLETION_DELAY: u64 = 1_000_000;
 
-/// What happens at a moment of the virtual time, in microseconds.
+/// A simulated event. Equal times are ordered by variant.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SimulatedEvent {
     Arrival,
     FirstToken(u128),
     Completion(u128),
     LoadReports,
-    /// An engine tells what its cache took in.
+    /// The engine with this number reports what its cache stored.
     CacheUpdated(usize),
     Tick,
 }
@@ -90,7 +96,7 @@
     }
 }
 
-/// Spreads numbers, always the same way.
+/// A deterministic pseudo-random number of 31 bits.
 fn pseudo_random(number: u128, salt: u64) -> u64 {
     (number as u64 ^ salt.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33
 }
@@ -231,7 +237,7 @@
 
     fn run(mut self, arrivals: u64) {
         while let Some(Reverse((at, event))) = self.queue.pop() {
-            // The core's own wake-ups come in between, as its driver gives them.
+            // The core's own wake-ups are processed before the next event, up to 200 us late, as by its driver.
             while let Some(wake) = self.core.next_wake().filter(|wake| wake.0 < at) {
                 self.step((wake.0 + 200).min(at), ShardEvent::Wake);
             }
--- a/crates/micaspool/benches/parts/claims.rs
+++ b/crates/micaspool/benches/parts/claims.rs
@@ -1,4 +1,4 @@
-//! What claims cost the leading keeper and a follower.
+//! Measures the resource usage of the leading keeper and a follower per claim.
 
 use super::usage::{wait_until_due, Usage, UsageDelta};
 use crate::harness::{milk, wait_for, Deployment};
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// The duration of each rate.
 const SECONDS: u64 = 5;
 const CALL_LIMIT: Duration = Duration::from_secs(10);
 
--- a/crates/micaspool/benches/parts/delay.rs
+++ b/crates/micaspool/benches/parts/delay.rs
@@ -1,4 +1,4 @@
-//! What the fleet adds to a call, against calling the same stand-in directly.
+//! Measures the latency that the fleet adds to a call, compared to calling the stand-ins directly.
 
 use super::usage::Usage;
 use crate::harness::calls::Call;
@@ -9,6 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Base of the number of calls: each run sends a quarter of it.
 const CALLS: usize = 1_920;
 
 pub async fn run() {
@@ -44,7 +45,8 @@
     sorted[(sorted.len() * percent / 100).min(sorted.len() - 1)].as_secs_f64() * 1e3
 }
 
-/// Sends calls from so many callers at once; gives sorted times and the seconds in all.
+/// Sends calls from `callers` concurrent callers. Returns the sorted latencies of successful calls and the elapsed
+/// seconds.
 async fn call_all(targets: &[SocketAddr], callers: usize, calls: usize) -> (Vec<Duration>, f64) {
     let started = Instant::now();
     let tasks = (0..callers).map(|caller| {
--- a/crates/micaspool/benches/parts/mod.rs
+++ b/crates/micaspool/benches/parts/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of the slopes benchmark.
+//! The parts of the `slopes` benchmark.
 
 pub mod claims;
 pub mod delay;
--- a/crates/micaspool/benches/parts/requests.rs
+++ b/crates/micaspool/benches/parts/requests.rs
@@ -1,4 +1,4 @@
-//! What a request costs each role.
+//! Measures the resource usage of routers and the dispatcher per request.
 
 use super::usage::{wait_until_due, Usage};
 use crate::harness::calls::Call;
@@ -9,6 +9,7 @@
 use std::time::{Duration, Instant};
 
 const SECONDS: u64 = 5;
+/// Requests per second.
 const RATES: [u64; 3] = [20, 60, 180];
 
 pub async fn run() {
@@ -53,7 +54,7 @@
     }
 }
 
-/// What a router with one shard costs while nothing happens.
+/// Prints the resource usage of an idle router with one shard.
 async fn print_idle(deployment: &Deployment) {
     let before = routers(deployment).await;
     task::sleep(Duration::from_secs(SECONDS)).await;
--- a/crates/micaspool/benches/parts/sessions.rs
+++ b/crates/micaspool/benches/parts/sessions.rs
@@ -1,4 +1,4 @@
-//! What router streams cost a dispatcher while nothing happens, and what a request costs it.
+//! Measures the resource usage of a dispatcher per idle router session and per request.
 
 use super::usage::Usage;
 use crate::harness::{milk, Deployment};
@@ -11,7 +11,7 @@
 
 const IDLE_TIME: Duration = Duration::from_secs(5);
 const BUSY_TIME: Duration = Duration::from_secs(5);
-/// Progress reports for each request, as for 441 tokens told in steps of 128.
+/// Progress reports per request: a request of 441 tokens reports every 128 tokens.
 const PROGRESS_REPORTS: u64 = 3;
 
 struct FakeRouter {
@@ -71,7 +71,7 @@
     v1::RouterMessage { body: Some(body) }
 }
 
-/// Joins as a router that answers each grant with progress and an end.
+/// Joins as a router that answers each grant with progress reports and settles it at once.
 async fn join(address: std::net::SocketAddr, number: usize) -> FakeRouter {
     let channel = socket::connect(address, TrafficCounter::default()).await.expect("it listens");
     let (outgoing, receiver) = unbounded();
--- a/crates/micaspool/benches/parts/usage.rs
+++ b/crates/micaspool/benches/parts/usage.rs
@@ -1,10 +1,10 @@
-//! Processor time, memory and control bytes of a process.
+//! Reads the processor time, resident memory and control bytes of a daemon.
 
 use crate::harness::calls::get;
 use crate::harness::Daemon;
 use std::time::{Duration, Instant};
 
-/// What a process has used so far.
+/// The resource usage of a process since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     at: Instant,
@@ -13,7 +13,7 @@
     pub bytes: u64,
 }
 
-/// What a process used between two readings.
+/// The resource usage of a process between two readings.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageDelta {
     pub seconds: f64,
@@ -39,7 +39,7 @@
 }
 
 impl UsageDelta {
-    /// Percent of one core.
+    /// The processor time in percent of one core.
     pub fn core_percent(&self) -> f64 {
         self.cpu_micros / self.seconds / 1e4
     }
@@ -49,13 +49,13 @@
     }
 }
 
-/// Waits until the call with this number is due at a rate a second.
+/// Waits until the call with this number is due, at `rate` calls per second.
 pub async fn wait_until_due(started: Instant, number: u64, rate: u64) {
     let due = Duration::from_micros(number * 1_000_000 / rate);
     async_std::task::sleep(due.saturating_sub(started.elapsed())).await;
 }
 
-/// The time on a processor of every thread of a process.
+/// The processor time of all threads of a process.
 fn cpu_time(pid: u32) -> Duration {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let nanos = tasks.filter_map(|task| {
@@ -65,6 +65,7 @@
     Duration::from_nanos(nanos.sum())
 }
 
+/// The resident memory of a process in bytes.
 fn resident(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/micaspool/benches/parts/watchers.rs
+++ b/crates/micaspool/benches/parts/watchers.rs
@@ -1,4 +1,4 @@
-//! What settings watchers cost a keeper, and how soon a change is with all of them.
+//! Measures the resource usage of a keeper by settings watchers, and the time until a change reaches all of them.
 
 use super::usage::Usage;
 use crate::harness::{milk, wait_for, Deployment};
@@ -12,6 +12,7 @@
 use std::time::{Duration, Instant};
 
 const IDLE_TIME: Duration = Duration::from_secs(5);
+/// The number of settings changes.
 const CHANGES: u64 = 20;
 
 pub async fn run() {
--- a/crates/micaspool/benches/slopes.rs
+++ b/crates/micaspool/benches/slopes.rs
@@ -1,8 +1,8 @@
-//! What each role costs, by the number of processes and requests.
+//! Measures the resource usage of each role by numbers of processes and requests.
 //!
 //! Run with `cargo bench -p micaspool --bench slopes [-- PART]`, where a part is `watchers`,
-//! `claims`, `sessions`, `requests` or `delay`. It starts daemons on loopback and reads their
-//! processor time, resident memory and control bytes. Every load is bounded in count and time.
+//! `claims`, `sessions`, `requests` or `delay`. It starts daemons on loopback and reads their processor time,
+//! resident memory and control bytes. Every part is limited in its number of requests and in time.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
