--- a/crates/micaspool/tests/dispatch_faults.rs
+++ b/crates/micaspool/tests/dispatch_faults.rs
@@ -1,4 +1,4 @@
-//! Dispatchers and routers that die, freeze, stop or are cut off, as processes.
+//! Dispatcher and router processes that crash, freeze, stop or are partitioned, and endpoints that misbehave.
 
 mod harness;
 
@@ -12,7 +12,7 @@
 const MODEL: &str = "modelo-acopio";
 const TOKEN_TIME: Duration = Duration::from_millis(10);
 
-/// A tree with few slots, so that requests wait.
+/// The milk tree with one slot per model endpoint, so that requests wait.
 fn single_slot_tree() -> serde_json::Value {
     let mut tree = milk();
     for spec in tree["services"][MODEL]["endpoints"].as_object_mut().expect("endpoints").values_mut() {
@@ -21,7 +21,7 @@
     tree
 }
 
-/// Starts streamed calls over all routers; each takes about half a second once it runs.
+/// Starts streamed calls through all routers. Each runs for about half a second.
 fn start_calls(deployment: &Deployment, count: usize) -> Vec<JoinHandle<Option<Answer>>> {
     let calls = (0..count).map(|number| {
         let customer = format!("farm-{:02}", 1 + number % 10);
@@ -33,7 +33,7 @@
 
 async fn check_complete_answers(calls: Vec<JoinHandle<Option<Answer>>>) {
     for (number, answer) in join_all(calls).await.into_iter().enumerate() {
-        let answer = answer.expect("a whole answer");
+        let answer = answer.expect("a complete answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
         let expected: String = (1..50).map(|token| format!(" t{token}")).collect();
         assert_eq!(answer.text(), format!("call {number}{expected}"));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_planned_stop_of_a_dispatcher_cuts_nothing() {
+fn a_graceful_stop_of_a_dispatcher_interrupts_no_request() {
     task::block_on(async {
         let mut deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let calls = start_calls(&deployment, 30);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_planned_stop_of_a_router_cuts_nothing() {
+fn a_graceful_stop_of_a_router_interrupts_no_request() {
     task::block_on(async {
         let mut deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let calls = start_calls(&deployment, 30);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_killed_router_gives_its_slots_back_and_others_go_on() {
+fn the_slots_of_a_killed_router_are_released() {
     task::block_on(async {
         let mut deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let lost: Vec<_> = (0..9)
@@ -130,7 +130,7 @@
         deployment.routers[0].as_mut().expect("it runs").kill();
         assert!(
             join_all(lost).await.into_iter().all(|answer| answer.is_none()),
-            "a cut answer is seen as cut"
+            "an interrupted answer was taken as complete"
         );
         let call = Call::chat(deployment.router(1), "farm-01", MODEL, "after", 2, false);
         assert_eq!(call.send().await.expect("an answer").text(), "after");
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_router_frozen_past_its_lease_thaws_and_serves() {
+fn a_router_frozen_past_its_lease_completes_its_requests_afterwards() {
     task::block_on(async {
         let deployment = Deployment::start(single_slot_tree(), TOKEN_TIME).await;
         let calls = start_calls(&deployment, 30);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_cut_off_hall_serves_what_it_can_and_comes_back() {
+fn a_partitioned_hall_serves_repeatable_requests_and_rejoins() {
     task::block_on(async {
         let mut deployment = Deployment::prepare(milk(), Duration::from_millis(1)).await;
         deployment.add_relays(2).await;
@@ -169,7 +169,7 @@
             .await;
 
         let served = Call::chat(deployment.router(2), "farm-01", MODEL, "cut off", 2, false).send().await;
-        assert_eq!(served.expect("an answer").text(), "cut off", "repeatable work goes on");
+        assert_eq!(served.expect("an answer").text(), "cut off", "repeatable requests are still served");
         let pickup = |router: usize, key: &str| {
             Call::plain(deployment.router(router), "coop-01", "/rutas/recogidas", key)
                 .with_header("idempotency-key", key)
@@ -184,7 +184,7 @@
         deployment.set_partitioned(false);
         deployment.wait_for_revision(2).await;
         let again = pickup(2, "k-cut").send().await.expect("an answer");
-        assert!(again.replayed, "the other side ran it: {}", again.body);
+        assert!(again.replayed, "the answer is not that of the run on the other side: {}", again.body);
         assert_eq!(deployment.run_count("k-cut"), 1);
         wait_for(|| async {
             let mut routers = 0;
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_no_new_work() {
+fn a_draining_endpoint_gets_no_new_requests() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), Duration::from_millis(1)).await;
         let endpoint = &deployment.endpoints["acopio-1"];
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn broken_crossed_and_short_answers_never_reach_a_caller_as_whole() {
+fn mismatched_and_truncated_answers_never_reach_a_caller_as_complete() {
     use micaspool::replay::standin::FaultMode;
     task::block_on(async {
         let deployment = Deployment::start(milk(), Duration::from_millis(1)).await;
@@ -234,8 +234,11 @@
                     Some(answer) if answer.status == 200 => {
                         assert!(answer.text().starts_with(&content), "{}", answer.body);
                         let endpoint = answer.endpoint.expect("the endpoint is named");
-                        let crossed = ["acopio-1", "acopio-4"].contains(&endpoint.as_str());
-                        assert!(!crossed || fault != FaultMode::WrongRequestId, "a crossed answer was taken");
+                        let is_faulty = ["acopio-1", "acopio-4"].contains(&endpoint.as_str());
+                        assert!(
+                            !is_faulty || fault != FaultMode::WrongRequestId,
+                            "an answer with a wrong request id was accepted"
+                        );
                     }
                     Some(answer) => assert!(answer.status >= 500, "{}", answer.body),
                 }
@@ -247,7 +250,7 @@
 }
 
 #[test]
-fn what_one_region_delivers_raises_the_customers_level_in_the_other() {
+fn service_in_one_region_raises_the_level_of_the_customer_in_the_other() {
     task::block_on(async {
         let mut far_tree = milk();
         for hall in far_tree["halls"].as_object_mut().expect("halls").values_mut() {
@@ -285,7 +288,7 @@
 }
 
 #[test]
-fn a_request_that_was_sent_in_vain_is_not_called_not_run() {
+fn an_unanswered_request_is_reported_as_possibly_run() {
     use micaspool::replay::standin::FaultMode;
     task::block_on(async {
         let mut tree = milk();
@@ -301,9 +304,10 @@
     });
 }
 
-/// The older router forgot for how long an endpoint wanted to be left alone, and asked it again after 0.5, 1.5 and 3.5 s.
+/// Guards against a router that ignores the `retry-after` of an endpoint: an earlier one sent to it again after 0.5,
+/// 1.5 and 3.5 s.
 #[test]
-fn an_endpoint_that_asks_a_router_for_rest_is_left_alone() {
+fn an_endpoint_gets_no_requests_before_its_retry_after_has_passed() {
     use micaspool::replay::standin::FaultMode;
     task::block_on(async {
         let deployment = Deployment::start(milk(), TOKEN_TIME).await;
@@ -329,6 +333,10 @@
             assert!(answers.iter().all(|answer| answer.as_ref().is_some_and(|answer| answer.status == 200)));
             task::sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(paused.retry_after_refusals(), before, "it got requests while it rested");
+        assert_eq!(
+            paused.retry_after_refusals(),
+            before,
+            "it got requests before its retry-after had passed"
+        );
     });
 }
--- a/crates/micaspool/tests/end_to_end.rs
+++ b/crates/micaspool/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path through built daemons.
+//! Requests through all daemons: answers, placement, refusals and malformed HTTP.
 
 mod harness;
 
@@ -11,7 +11,7 @@
 
 const SHORT_TOKEN_TIME: Duration = Duration::from_millis(1);
 
-/// The halls of an endpoint and of a customer for a service, by the tree.
+/// The data hall of an endpoint in a settings tree.
 fn hall_of(tree: &serde_json::Value, endpoint: &str) -> String {
     let services = tree["services"].as_object().expect("services");
     let specs = services.values().filter_map(|service| service["endpoints"].get(endpoint));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn two_hundred_mixed_requests_get_their_own_whole_answers() {
+fn two_hundred_mixed_requests_get_their_own_complete_answers() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let mut customers: Vec<String> = (1..=3).map(|n| format!("coop-{n:02}")).collect();
@@ -40,7 +40,7 @@
             (customer.clone(), content, number, call)
         });
         let answers = join_all(calls.map(|(customer, content, number, call)| async move {
-            (customer, content, number, call.send().await.expect("a whole answer"))
+            (customer, content, number, call.send().await.expect("a complete answer"))
         }));
         for (customer, content, number, answer) in answers.await {
             assert_eq!(answer.status, 200, "{}", answer.body);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_kiln_bookings_are_served_too() {
+fn the_kilns_example_is_served() {
     task::block_on(async {
         let deployment = Deployment::start(kilns(), SHORT_TOKEN_TIME).await;
         let summary = Call::chat(deployment.router(0), "cuenta-01", "mica-hornos", "summary", 5, false);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn refusals_say_why_and_nothing_reaches_an_endpoint() {
+fn refused_requests_name_the_reason_and_reach_no_endpoint() {
     task::block_on(async {
         let mut tree = milk();
         tree["groups"]["small-farms"]["customers"]["farm-01"]["policy"] = serde_json::json!({ "halls": [] });
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn malformed_http_is_answered_and_nothing_reaches_an_endpoint() {
+fn malformed_http_is_rejected_and_reaches_no_endpoint() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let router = deployment.router(0);
@@ -142,7 +142,7 @@
     });
 }
 
-/// Writes bytes, ends the writing side, and reads whatever comes back.
+/// Sends bytes, shuts down the write side, and returns everything that is received.
 async fn raw_call(router: SocketAddr, text: String) -> String {
     use async_std::io::{ReadExt, WriteExt};
     let mut stream = async_std::net::TcpStream::connect(router).await.expect("the router listens");
--- a/crates/micaspool/tests/harness/calls.rs
+++ b/crates/micaspool/tests/harness/calls.rs
@@ -1,4 +1,4 @@
-//! Calls as a caller makes them.
+//! An HTTP client for calls to routers and status ports.
 
 use async_std::io::ReadExt;
 use http_types::{Method, Request, Url};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a caller got.
+/// A complete response to a call.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
@@ -20,7 +20,7 @@
 }
 
 impl Answer {
-    /// The text of a model's answer, from JSON or from events.
+    /// The content of a model answer, from a JSON body or from streamed events.
     pub fn text(&self) -> String {
         if let Ok(value) = serde_json::from_str::<Value>(&self.body) {
             return value["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned();
@@ -32,14 +32,14 @@
             .collect()
     }
 
-    /// The kind of a refusal.
+    /// The kind of a refusal; empty if the body has none.
     pub fn kind(&self) -> String {
         let value: Value = serde_json::from_str(&self.body).unwrap_or_default();
         value["kind"].as_str().unwrap_or_default().to_owned()
     }
 }
 
-/// A call on its way.
+/// A call to a router.
 #[derive(Debug, Clone)]
 pub struct Call {
     pub router: SocketAddr,
@@ -50,7 +50,7 @@
 }
 
 impl Call {
-    /// A model call of a customer of the examples.
+    /// A model call with the key of a customer of the examples.
     pub fn chat(
         router: SocketAddr,
         customer: &str,
@@ -64,7 +64,7 @@
         Call::plain(router, customer, "/v1/chat/completions", &body.to_string())
     }
 
-    /// A call of a plain service.
+    /// A call of a plain service with the key of a customer of the examples.
     pub fn plain(router: SocketAddr, customer: &str, target: &str, body: &str) -> Call {
         Call {
             router,
@@ -75,13 +75,13 @@
         }
     }
 
-    /// The same call with one more header.
+    /// Adds a header.
     pub fn with_header(mut self, name: &'static str, value: &str) -> Call {
         self.headers.push((name, value.to_owned()));
         self
     }
 
-    /// Sends the call; `None` when no whole answer came.
+    /// Sends the call. Returns `None` if no complete response arrives.
     pub async fn send(&self) -> Option<Answer> {
         let url = Url::parse(&format!("http://{}{}", self.router, self.target)).expect("a URL");
         let mut request = Request::new(Method::Post, url);
@@ -109,13 +109,13 @@
     }
 }
 
-/// The state that a daemon shows, or null.
+/// The JSON state on the status port of a daemon; null if it can't be read.
 pub async fn state(address: SocketAddr) -> Value {
     let text = get(address, "/status").await;
     serde_json::from_str(&text).unwrap_or_default()
 }
 
-/// The body at a path, or nothing.
+/// The body of a GET request; empty if it fails.
 pub async fn get(address: SocketAddr, path: &str) -> String {
     let url = Url::parse(&format!("http://{address}{path}")).expect("a URL");
     let mut request = Request::new(Method::Get, url);
--- a/crates/micaspool/tests/harness/mod.rs
+++ b/crates/micaspool/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Built daemons on a loopback address of their own, with stand-in endpoints in this process.
+//! Runs the daemon binaries on a loopback address per deployment, with stand-in endpoints in the test process.
 #![allow(dead_code)]
 
 pub mod calls;
@@ -36,7 +36,7 @@
     serde_json::from_str(KILNS).expect("the example is JSON")
 }
 
-/// A daemon that the test started.
+/// A daemon process, killed on drop.
 pub struct Daemon {
     child: Child,
     pub addresses: BTreeMap<String, SocketAddr>,
@@ -54,7 +54,7 @@
             .expect("the daemon starts");
         let mut output = BufReader::new(child.stdout.take().expect("the output is piped"));
         let mut line = String::new();
-        output.read_line(&mut line).expect("the daemon says that it is ready");
+        output.read_line(&mut line).expect("the daemon prints its ready line");
         let pairs = line.split_whitespace().filter_map(|word| word.split_once('='));
         assert!(line.starts_with("ready "), "the daemon did not start: {line:?}");
         let addresses = pairs.map(|(key, address)| (key.to_owned(), address.parse().expect("an address")));
@@ -75,7 +75,7 @@
         let _ = self.child.wait();
     }
 
-    /// Waits for the end of the process and gives its exit code.
+    /// Waits for the process to exit, at most for `limit`. Returns its exit code.
     pub fn wait(&mut self, limit: Duration) -> Option<i32> {
         let end = Instant::now() + limit;
         while Instant::now() < end {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Three entry instances with every role, and the endpoints of a tree.
+/// Three entry instances, each with a keeper, a dispatcher and a router, and the endpoints of a settings tree.
 pub struct Deployment {
     pub ip: String,
     pub folder: PathBuf,
@@ -104,29 +104,29 @@
     pub routers: Vec<Option<Daemon>>,
     pub endpoints: BTreeMap<String, StandInEndpoint>,
     pub client: KeeperClient,
-    /// Dispatchers of another region.
+    /// Wire addresses of the dispatchers of another region.
     pub remote_dispatchers: Vec<String>,
-    /// The instance that can be cut off, and the relays to and from it.
+    /// The instance that can be partitioned from the others, through the relays to and from it.
     pub remote: Option<usize>,
     pub relays: Vec<relay::Relay>,
 }
 
 const KEEPER_PORT: u16 = 7601;
 const DISPATCHER_PORT: u16 = 7611;
-/// Relays stand this far above the ports that they pass on to: for the others, and for the
-/// instance that can be cut off.
+/// The offset of relay ports above their target ports, for connections of the other instances to the remote one.
 const RELAY_TO_REMOTE_OFFSET: u16 = 1_000;
+/// The same for connections of the remote instance to the others.
 const RELAY_FROM_REMOTE_OFFSET: u16 = 2_000;
 
 impl Deployment {
-    /// Starts everything and puts the tree in force.
+    /// Starts the endpoints and the daemons, and puts the tree in force.
     pub async fn start(tree: Value, token_time: Duration) -> Deployment {
         let mut deployment = Deployment::prepare(tree, token_time).await;
         deployment.start_daemons().await;
         deployment
     }
 
-    /// Starts every process and puts the tree in force.
+    /// Starts the daemons, puts the tree in force as revision 1, and waits for routers and dispatchers to load it.
     pub async fn start_daemons(&mut self) {
         for number in 0..3 {
             self.start_keeper(number);
@@ -142,13 +142,13 @@
         self.wait_for_revision(1).await;
     }
 
-    /// Starts the endpoints only.
+    /// Starts the endpoints only, and enters their addresses into the tree.
     pub async fn prepare(mut tree: Value, token_time: Duration) -> Deployment {
         let number = NEXT_DEPLOYMENT.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
         let ip = format!("127.{}.{}.{}", 1 + (pid >> 8) % 250, pid % 256, 1 + number);
         let folder = std::env::temp_dir().join(format!("micaspool-test-{pid}-{number}"));
-        // A failed run of an earlier process with the same number may have left its folder.
+        // A failed run of an earlier process with the same id may have left its folder.
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("the folder can be made");
         let mut endpoints = BTreeMap::new();
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Puts relays between an instance and the others; everything must be started after this.
+    /// Starts relays between an instance and the others. Daemons must be started after this.
     pub async fn add_relays(&mut self, remote: usize) {
         self.remote = Some(remote);
         for target in 0..3 {
@@ -196,13 +196,14 @@
         }
     }
 
-    /// Cuts the remote instance off from the others, or mends that.
+    /// Starts or ends a partition between the remote instance and the others.
     pub fn set_partitioned(&self, is_partitioned: bool) {
         for relay in &self.relays {
             relay.set_partitioned(is_partitioned);
         }
     }
 
+    /// The port at which one instance reaches a port of another: that of a relay if they are on different sides.
     fn visible_port(&self, viewer: usize, port: u16, target: usize) -> u16 {
         match self.remote {
             Some(remote) if viewer == remote && target != remote => port + RELAY_FROM_REMOTE_OFFSET,
@@ -211,6 +212,7 @@
         }
     }
 
+    /// Writes the settings file of a daemon and returns its path.
     fn settings(&self, role: &str, number: usize) -> PathBuf {
         let halls: Vec<&String> = self.tree["halls"].as_object().expect("halls").keys().collect();
         let region = &self.tree["halls"][halls[number]]["region"];
@@ -272,7 +274,7 @@
         self.routers[number].as_ref().expect("the router runs").addresses["callers"]
     }
 
-    /// Asks for a change; the reason when it is rejected.
+    /// Applies a settings patch. Returns the new revision, or the reason if it was rejected or the call failed.
     pub async fn apply(&self, id: &str, base: u64, patch: &Value) -> Result<u64, String> {
         let request = v1::ApplyRequest {
             change: id.to_owned(),
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Waits until every running router and dispatcher has at least this revision in force.
+    /// Waits until every running router and dispatcher uses at least this revision.
     pub async fn wait_for_revision(&self, revision: u64) {
         for daemon in self.routers.iter().chain(&self.dispatchers).flatten() {
             let address = daemon.addresses["status"];
@@ -300,7 +302,7 @@
         }
     }
 
-    /// The state that a daemon shows.
+    /// The state of a daemon from its status port; null if it isn't running.
     pub async fn state(&self, daemon: &Option<Daemon>) -> Value {
         match daemon {
             Some(daemon) => calls::state(daemon.addresses["status"]).await,
@@ -308,7 +310,7 @@
         }
     }
 
-    /// The dispatcher that most routers use for a service, if any.
+    /// The dispatcher that the most routers use for a service, if any is used.
     pub async fn serving_dispatcher(&self, service: &str) -> Option<usize> {
         let mut best = None;
         for (number, daemon) in self.dispatchers.iter().enumerate() {
@@ -323,7 +325,7 @@
         best.map(|(_, number)| number)
     }
 
-    /// The keeper that leads, if any.
+    /// The keeper that is the leader, if any.
     pub async fn leader(&self) -> Option<usize> {
         for (number, daemon) in self.keepers.iter().enumerate() {
             if self.state(daemon).await["role"] == "leader" {
@@ -333,7 +335,7 @@
         None
     }
 
-    /// How often endpoints began to run a request with this body.
+    /// The number of times that endpoints started to run a request with this body.
     pub fn run_count(&self, body: &str) -> usize {
         let runs = self.endpoints.values().flat_map(|endpoint| endpoint.runs());
         runs.filter(|run| run.body == body.as_bytes()).count()
@@ -353,7 +355,7 @@
     }
 }
 
-/// Waits until a condition holds; fails after 30 seconds.
+/// Waits until a condition holds. Panics after 30 seconds.
 pub async fn wait_for<F, Fut>(condition: F)
 where
     F: Fn() -> Fut,
--- a/crates/micaspool/tests/harness/relay.rs
+++ b/crates/micaspool/tests/harness/relay.rs
@@ -1,4 +1,4 @@
-//! A small TCP relay that can be cut.
+//! A TCP relay that simulates network partitions.
 
 use async_std::io;
 use async_std::net::{TcpListener, TcpStream};
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Passes connections on to a target until it is cut.
+/// Forwards connections to a target while it isn't partitioned.
 #[derive(Clone)]
 pub struct Relay {
     pub address: SocketAddr,
@@ -37,7 +37,7 @@
         relay
     }
 
-    /// Cuts or mends the relay; a cut ends every connection.
+    /// Starts or ends a partition. Starting it shuts down all connections and drops new ones.
     pub fn set_partitioned(&self, is_partitioned: bool) {
         self.is_partitioned.store(is_partitioned, Ordering::SeqCst);
         if is_partitioned {
@@ -48,6 +48,7 @@
     }
 }
 
+/// Copies data in one direction until the end of the stream.
 fn forward(from: TcpStream, to: TcpStream) {
     task::spawn(async move {
         let _ = io::copy(&mut &from, &mut &to).await;
--- a/crates/micaspool/tests/keeper_faults.rs
+++ b/crates/micaspool/tests/keeper_faults.rs
@@ -1,5 +1,5 @@
-//! Keepers that die, lose their disk, freeze or stop, operators that race, and calls that may not
-//! be repeated, as processes.
+//! Keeper processes that crash, lose their disk, freeze or stop; concurrent settings changes; and calls that may not
+//! be repeated.
 
 mod harness;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn settings_survive_every_keeper_being_lost_in_turn() {
+fn settings_survive_the_loss_of_every_keeper_in_turn() {
     task::block_on(async {
         let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let mut revision = 1;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn all_keepers_killed_and_restarted_keep_what_was_accepted() {
+fn accepted_changes_survive_a_restart_of_all_keepers() {
     task::block_on(async {
         let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         for number in 0..5 {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn operators_race_with_equal_numbers_and_resend_after_lost_answers() {
+fn one_of_several_concurrent_changes_wins_and_resends_return_its_outcome() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let race = (0..8).map(|number| {
@@ -90,16 +90,19 @@
         });
         let outcomes = join_all(race).await;
         assert_eq!(outcomes.iter().filter(|outcome| **outcome == Ok(2)).count(), 1, "{outcomes:?}");
-        let winner = outcomes.iter().position(Result::is_ok).expect("one wins");
+        let winner = outcomes.iter().position(Result::is_ok).expect("one change is accepted");
         for outcome in outcomes.iter().filter(|outcome| outcome.is_err()) {
-            let reason = outcome.as_ref().expect_err("it lost");
-            assert!(reason.contains(&format!("operator-{winner}")), "the winner is named: {reason}");
+            let reason = outcome.as_ref().expect_err("the change was rejected");
+            assert!(
+                reason.contains(&format!("operator-{winner}")),
+                "the accepted change is not named: {reason}"
+            );
         }
         let again =
             deployment.apply(&format!("operator-{winner}"), 1, &weight_patch(winner as u64 + 2)).await;
-        assert_eq!(again, Ok(2), "a resend gets the first outcome");
+        assert_eq!(again, Ok(2), "a resent change returns the first outcome");
         let other = deployment.apply(&format!("operator-{winner}"), 1, &weight_patch(99)).await;
-        assert!(other.expect_err("other content").contains("conflict"));
+        assert!(other.expect_err("the id was used with other content").contains("conflict"));
         let leader = wait_for_leader(&deployment).await;
         deployment.keepers[leader].as_ref().expect("it runs").signal("STOP");
         let resent =
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn an_invalid_tree_is_refused_whole_with_paths() {
+fn an_invalid_patch_is_rejected_with_the_paths_of_its_faults() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let patch = json!({ "policy": { "weight": 0, "colour": 1 }, "services": { "x": { "kind": "model", "endpoints": { "e": { "hall": "nowhere", "address": "localhost:1", "slots": 1 } } } } });
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn a_process_that_five_hundred_changes_have_passed_by_catches_up() {
+fn a_process_five_hundred_revisions_behind_catches_up() {
     task::block_on(async {
         let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         deployment.routers[0].as_ref().expect("it runs").signal("STOP");
@@ -144,7 +147,7 @@
     });
 }
 
-/// The first revision that a router that starts empty has in force.
+/// The first revision that a restarted router uses.
 async fn first_revision(deployment: &Deployment, router: usize) -> u64 {
     let address = deployment.routers[router].as_ref().expect("it runs").addresses["status"];
     let revision = || async { harness::calls::state(address).await["revision"].as_u64().unwrap_or(0) };
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn a_router_that_restarts_empty_beside_a_stale_keeper_does_not_go_back() {
+fn a_router_restarted_beside_a_stale_keeper_loads_the_newest_revision() {
     task::block_on(async {
         let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let leader = wait_for_leader(&deployment).await;
@@ -169,7 +172,7 @@
 }
 
 #[test]
-fn a_router_that_restarts_empty_asks_a_majority_before_a_keeper_that_is_cut_off() {
+fn a_restarted_router_prefers_a_majority_to_a_partitioned_keeper() {
     task::block_on(async {
         let mut deployment = Deployment::prepare(milk(), SHORT_TOKEN_TIME).await;
         deployment.add_relays(2).await;
@@ -177,8 +180,8 @@
         deployment.set_partitioned(true);
         wait_for(|| async { deployment.state(&deployment.keepers[2]).await["confirmed"] == false }).await;
         assert_eq!(deployment.apply("new", 1, &weight_patch(7)).await, Ok(2));
-        // From here on the router's settings name every keeper directly; the first one that it
-        // watches, by its name, is the one that is cut off.
+        // From here on the settings of the router list every keeper directly. The first one that it watches,
+        // chosen by its name, is the partitioned one.
         deployment.remote = None;
         deployment.routers[0] = None;
         deployment.start_router(0);
@@ -187,7 +190,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_on_nine_processes_within_seconds() {
+fn a_change_reaches_all_routers_and_dispatchers_within_fourteen_seconds() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let started = Instant::now();
@@ -197,13 +200,14 @@
     });
 }
 
+/// A call that may not be repeated, with an idempotency key.
 fn pickup(deployment: &Deployment, router: usize, key: &str, body: &str) -> Call {
     Call::plain(deployment.router(router), "coop-01", "/rutas/recogidas", body)
         .with_header("idempotency-key", key)
 }
 
 #[test]
-fn the_same_key_through_every_router_at_once_runs_once() {
+fn concurrent_calls_with_one_key_through_all_routers_run_once() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), LONG_TOKEN_TIME).await;
         let calls = (0..12).map(|number| pickup(&deployment, number % 3, "k1", "litros 900"));
@@ -222,7 +226,7 @@
 }
 
 #[test]
-fn a_caller_that_hangs_up_does_not_stop_a_call_that_may_not_be_repeated() {
+fn a_call_that_may_not_be_repeated_continues_after_its_caller_disconnects() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), LONG_TOKEN_TIME).await;
         let call = pickup(&deployment, 0, "k2", "litros 5");
@@ -255,7 +259,7 @@
 }
 
 #[test]
-fn without_a_majority_calls_that_may_not_be_repeated_are_refused_and_others_go_on() {
+fn without_a_majority_only_calls_that_may_not_be_repeated_are_refused() {
     task::block_on(async {
         let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         deployment.keepers[0] = None;
@@ -277,7 +281,7 @@
 }
 
 #[test]
-fn claims_go_on_through_the_loss_of_the_leader() {
+fn claims_continue_after_the_loss_of_the_leader() {
     task::block_on(async {
         let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         for number in 0..30 {
@@ -290,7 +294,7 @@
             wait_for(|| async {
                 let answer = pickup(&deployment, number % 3, &key, &body).send().await.expect("an answer");
                 if answer.status != 200 {
-                    // Shown when the row fails: why the claim does not go on.
+                    // If the test fails, its output shows why the claim was refused.
                     eprintln!("{key}: {} {}", answer.status, answer.body);
                 }
                 answer.status == 200
@@ -321,7 +325,7 @@
 }
 
 #[test]
-fn an_operator_recovers_a_group_that_lost_two_disks() {
+fn an_operator_can_recover_a_group_that_lost_two_disks() {
     task::block_on(async {
         let mut deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         assert_eq!(deployment.apply("kept", 1, &weight_patch(3)).await, Ok(2));
--- a/crates/micaspool/tests/operations.rs
+++ b/crates/micaspool/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operators see: traces, metrics, status, the command line.
+//! Interfaces for operators: traces, metrics, status and the command line.
 
 mod harness;
 
@@ -11,7 +11,7 @@
 
 const SHORT_TOKEN_TIME: Duration = Duration::from_millis(1);
 
-/// The spans of one trace that the processes of a role wrote.
+/// The spans of a trace from the span files of a role.
 fn spans(deployment: &Deployment, role: &str, trace: &str) -> Vec<Value> {
     let texts = (0..3)
         .map(|number| std::fs::read_to_string(deployment.folder.join(format!("{role}-{number}.spans"))));
@@ -23,7 +23,7 @@
     values.filter(|span| span["trace"] == trace).collect()
 }
 
-/// How often a keeper began or ceased to lead.
+/// The number of log events of keepers that started or stopped leading.
 fn leader_changes(deployment: &Deployment) -> usize {
     let logs = (0..3).filter_map(|number| {
         std::fs::read_to_string(deployment.folder.join(format!("keeper-{number}.log"))).ok()
@@ -31,10 +31,10 @@
     logs.map(|text| text.matches("\"MP1401\"").count() + text.matches("\"MP1402\"").count()).sum()
 }
 
-/// A claim is tried again while no keeper leads: a keeper that lost its lead for 1.2 s saw 55 tries of one claim, each
-/// with a span of its own. So a request during which the leader changes is left out, and another is followed.
+/// A claim is retried while there is no leader, and each attempt writes a span: a loss of leadership for 1.2 s gave
+/// 55 attempts of one claim. So requests during which the leader changes are skipped.
 #[test]
-fn one_request_is_followed_through_its_processes_by_its_trace() {
+fn a_trace_covers_every_process_of_a_request() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         for attempt in 0..10 {
@@ -45,7 +45,7 @@
                 .with_header("traceparent", &format!("00-{trace}-b7ad6b7169203331-01"));
             let answer = call.send().await.expect("an answer");
             if leader_changes(&deployment) == before {
-                assert!(answer.traceparent.expect("a traceparent").contains(&trace));
+                assert!(answer.traceparent.expect("the answer has a traceparent header").contains(&trace));
                 check_hops(&deployment, &trace).await;
                 return;
             }
@@ -57,8 +57,9 @@
 async fn check_hops(deployment: &Deployment, trace: &str) {
     wait_for(|| async { spans(deployment, "router", trace).len() >= 4 }).await;
     let router = spans(deployment, "router", trace);
-    let hop =
-        |name: &str| router.iter().find(|span| span["hop"] == name).unwrap_or_else(|| panic!("no {name}"));
+    let hop = |name: &str| {
+        router.iter().find(|span| span["hop"] == name).unwrap_or_else(|| panic!("no span of hop {name}"))
+    };
     let root = hop("router")["span"].clone();
     assert_eq!(hop("router")["parent"], "b7ad6b7169203331");
     for name in ["wait", "claim", "endpoint"] {
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn metrics_show_the_three_measures_and_nothing_secret_is_logged() {
+fn metrics_are_exported_and_no_secret_is_logged() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let call =
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn the_command_line_reads_changes_and_explains_settings() {
+fn the_command_line_reads_and_changes_settings_and_shows_their_origin() {
     task::block_on(async {
         let deployment = Deployment::start(milk(), SHORT_TOKEN_TIME).await;
         let keeper = format!("{}:7601", deployment.ip);
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn wrong_settings_end_a_daemon_with_code_two_and_every_fault() {
+fn invalid_settings_exit_with_code_two_and_list_every_fault() {
     let path = std::env::temp_dir().join(format!("micaspool-wrong-{}.json", std::process::id()));
     std::fs::write(&path, r#"{"instance":"x","hall":"h","extra":1}"#).expect("it can be written");
     for binary in [
