--- a/crates/xtask/src/findings.rs
+++ b/crates/xtask/src/findings.rs
@@ -1,19 +1,19 @@
-//! What a journal entry says went wrong.
+//! Extracts findings from journal entries: broken rules, missed floors, faults and failed gates.
 //!
-//! A day may break no rule and still miss a floor: 0.40 of the worth of one kind of request stood in an entry for a
-//! landing, unread, since days were searched for broken rules alone.
+//! A day can break no rule and still miss a floor. When entries were searched for broken rules alone, a day that
+//! served 0.40 of the worth of one kind of request went unnoticed in the entry of a landing.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Why an entry can't be read.
+/// An error from reading a journal entry.
 #[derive(Debug)]
 pub(crate) enum Error {
-    /// The file can't be opened or read.
+    /// The file can't be read.
     File(PathBuf, std::io::Error),
-    /// It is no journal entry.
+    /// The file isn't a journal entry.
     Entry(PathBuf, serde_json::Error),
 }
 
@@ -21,15 +21,20 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::File(path, error) => {
-                write!(f, "{} can't be read ({error}); check the path", path.display())
+                write!(f, "cannot read {} ({error}); check the path", path.display())
             }
             Error::Entry(path, error) => {
-                write!(f, "{} is no journal entry ({error}); name the JSON files only", path.display())
+                write!(
+                    f,
+                    "{} is not a journal entry ({error}); pass only JSON files of entries",
+                    path.display()
+                )
             }
         }
     }
 }
 
+/// The fields of a journal entry that can hold findings.
 #[derive(Debug, Deserialize)]
 struct JournalEntry {
     #[serde(default)]
@@ -40,6 +45,7 @@
     days: Option<Vec<PlayedDay>>,
 }
 
+/// The results of one day of an entry.
 #[derive(Debug, Deserialize)]
 struct PlayedDay {
     name: String,
@@ -53,49 +59,50 @@
     gate: Option<bool>,
 }
 
-/// One thing that went wrong.
+/// A failure of a day, or of the whole entry if `day` is empty.
 #[derive(Debug)]
 pub(crate) struct Finding {
     entry: PathBuf,
     site: String,
     day: String,
-    what: String,
+    description: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {} {}: {}", self.entry.display(), self.site, self.day, self.what)
+        write!(f, "{} {} {}: {}", self.entry.display(), self.site, self.day, self.description)
     }
 }
 
-/// The findings of one entry, in the order of its days.
-pub(crate) fn of_entry(path: &Path) -> Result<Vec<Finding>, Error> {
+/// Returns the findings of an entry, first its error, then those of its days in order.
+pub(crate) fn read_findings(path: &Path) -> Result<Vec<Finding>, Error> {
     let text = std::fs::read_to_string(path).map_err(|error| Error::File(path.to_owned(), error))?;
     let entry: JournalEntry =
         serde_json::from_str(&text).map_err(|error| Error::Entry(path.to_owned(), error))?;
     let site = entry.site.unwrap_or_default();
-    let finding = |day: &str, what: String| Finding {
+    let finding = |day: &str, description: String| Finding {
         entry: path.to_owned(),
         site: site.clone(),
         day: day.to_owned(),
-        what,
+        description,
     };
     let mut findings: Vec<Finding> = entry.error.into_iter().map(|error| finding("", error)).collect();
     for day in entry.days.unwrap_or_default() {
-        findings.extend(day.faults().into_iter().map(|what| finding(&day.name, what)));
+        findings.extend(day.findings().into_iter().map(|description| finding(&day.name, description)));
     }
     Ok(findings)
 }
 
 impl PlayedDay {
-    fn faults(&self) -> Vec<String> {
+    /// Describes the broken rules, missed floors and fault of the day, or its failed gate if there are none.
+    fn findings(&self) -> Vec<String> {
         let rules = self.rules.iter().map(|(rule, count)| format!("broke {rule} {count} times"));
         let short = self.short.iter().map(|text| format!("short: {text}"));
         let fault = self.fault.iter().map(|fault| format!("fault: {fault}"));
-        let mut faults: Vec<String> = rules.chain(short).chain(fault).collect();
-        if faults.is_empty() && self.gate == Some(false) {
-            faults.push("failed its gate".to_owned());
+        let mut findings: Vec<String> = rules.chain(short).chain(fault).collect();
+        if findings.is_empty() && self.gate == Some(false) {
+            findings.push("failed its gate".to_owned());
         }
-        faults
+        findings
     }
 }
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,5 +1,5 @@
-//! Developers only: writes the committed protocol code of `micaspool-wire` from `proto/`, and reads journal entries
-//! for what must not land unseen.
+//! Tasks for developers: generates the committed protocol code of `micaspool-wire` from `proto/`, and lists the
+//! findings in journal entries.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Tasks of developers.
+/// Run a development task.
 #[derive(FromArgs)]
 struct TaskArgs {
     #[argh(subcommand)]
@@ -24,20 +24,20 @@
     Findings(FindingsArgs),
 }
 
-/// Writes the protocol code.
+/// Generate the protocol code.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "protocol")]
 struct ProtocolArgs {
-    /// the folder to write to; that of micaspool-wire if none is given
+    /// output folder; by default that of micaspool-wire
     #[argh(positional)]
     folder: Option<PathBuf>,
 }
 
-/// Prints each day of journal entries that broke a rule, had a fault, missed a floor or failed its gate.
+/// Print the broken rules, missed floors, faults and failed gates of the days in journal entries.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "findings")]
 struct FindingsArgs {
-    /// the entries to read, JSON files
+    /// journal entries, as JSON files
     #[argh(positional)]
     entries: Vec<PathBuf>,
 }
@@ -51,11 +51,11 @@
     ExitCode::SUCCESS
 }
 
-/// Prints findings; fails when there are any, or when an entry can't be read.
+/// Prints findings. Returns exit code 1 if there are any, or if an entry can't be read.
 fn report(entries: &[PathBuf]) -> ExitCode {
     let mut failed = false;
     for entry in entries {
-        match findings::of_entry(entry) {
+        match findings::read_findings(entry) {
             Ok(found) => {
                 failed |= !found.is_empty();
                 found.iter().for_each(|finding| println!("{finding}"));
--- a/crates/xtask/src/protocol.rs
+++ b/crates/xtask/src/protocol.rs
@@ -1,8 +1,8 @@
-//! Writes the protocol code.
+//! Generates the protocol code.
 
 use std::path::{Path, PathBuf};
 
-/// Generates into `folder`, or into `micaspool-wire` itself.
+/// Generates the code into `folder`, or into `micaspool-wire` if `None`.
 pub(crate) fn write(folder: Option<PathBuf>) {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let target = folder.unwrap_or_else(|| root.join("crates/micaspool-wire/src/generated"));
--- a/crates/xtask/tests/clocks.rs
+++ b/crates/xtask/tests/clocks.rs
@@ -1,15 +1,17 @@
-//! Leases, lives and deadlines are reckoned by the clock that also counts while the machine is suspended.
+//! Leases, lifetimes and deadlines use the boot clock, which also advances while the machine is suspended.
 //!
-//! By the steady clock a process that wakes takes all that it believed for as young as before: it would send on a
-//! grant whose slot was given away long ago, and answer reads as a leader that was replaced. Nothing shows that in a
-//! test, since machines that run tests are not suspended; so the sources are read instead.
+//! The steady clock stops during suspension, so a process that resumes would take expired state for valid: it would
+//! use a grant whose slot was given away long ago, or answer reads as a leader that was replaced. Tests can't show
+//! this, since the machines that run them are not suspended. So this test searches the sources.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Spans of work that are only measured, and the clock itself.
+/// Sources that may use the steady clock: the boot clock itself, and the queue of the logger, which limits its short
+/// waits by it.
 const EXEMPT: [&str; 2] = ["crates/micaspool-clock/", "crates/micaspool-telemetry/src/logging/"];
 
+/// Collects the Rust files below a folder.
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("a folder of the workspace") {
         let path = entry.expect("an entry").path();
@@ -21,7 +23,7 @@
     }
 }
 
-/// True for a word that is the steady clock's and not the end of another.
+/// Returns whether a line contains `Instant` as a whole identifier, not as a part of one such as `BootInstant`.
 fn names_steady_clock(line: &str) -> bool {
     let is_word = |character: char| character.is_alphanumeric() || character == '_';
     line.match_indices("Instant").any(|(at, word)| {
--- a/crates/xtask/tests/current.rs
+++ b/crates/xtask/tests/current.rs
@@ -1,10 +1,10 @@
-//! The committed protocol code is what the generator writes today.
+//! The committed protocol code is up to date with `proto/`.
 
 use std::path::Path;
 use std::process::Command;
 
 #[test]
-fn the_committed_code_is_current() {
+fn the_committed_protocol_code_is_up_to_date() {
     let folder = std::env::temp_dir().join(format!("micaspool-generated-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("the folder can be made");
     let status = Command::new(env!("CARGO_BIN_EXE_xtask"))
--- a/crates/xtask/tests/findings.rs
+++ b/crates/xtask/tests/findings.rs
@@ -1,4 +1,4 @@
-//! Days that must not land unseen.
+//! `xtask findings` reports broken rules, missed floors, faults and failed gates.
 
 use std::process::Command;
 use test_case::test_case;
