--- a/crates/micaspool-replay/src/run/mod.rs
+++ b/crates/micaspool-replay/src/run/mod.rs
@@ -163,12 +163,12 @@
                 self.schedule_after(TICK_INTERVAL, ReplayEvent::Tick);
             }
             ReplayEvent::Probe => self.probe(),
-            ReplayEvent::Heartbeat => {
+            ReplayEvent::SendHeartbeats => {
                 for router in 0..self.trace.header.routers {
                     let session = self.routers.session(router);
                     self.send_to_shard(ShardEvent::Heartbeat(session, 1));
                 }
-                self.schedule_after(HEARTBEAT_INTERVAL, ReplayEvent::Heartbeat);
+                self.schedule_after(HEARTBEAT_INTERVAL, ReplayEvent::SendHeartbeats);
             }
             ReplayEvent::Fault(kind) => self.inject_fault(kind),
             ReplayEvent::NewDispatcher { restore_state } => self.start_dispatcher(restore_state),
--- a/crates/micaspool-replay/src/run/queue.rs
+++ b/crates/micaspool-replay/src/run/queue.rs
@@ -24,7 +24,7 @@
     /// Endpoints are probed for their load.
     Probe,
     /// Every router sends a heartbeat.
-    Heartbeat,
+    SendHeartbeats,
     Fault(FaultKind),
     /// A dispatcher starts in place of the failed one.
     NewDispatcher {
--- a/crates/micaspool-replay/src/run/setup.rs
+++ b/crates/micaspool-replay/src/run/setup.rs
@@ -21,7 +21,7 @@
         }
         self.schedule_after(TICK_INTERVAL, ReplayEvent::Tick);
         self.schedule_after(PROBE_INTERVAL, ReplayEvent::Probe);
-        self.schedule_after(HEARTBEAT_INTERVAL, ReplayEvent::Heartbeat);
+        self.schedule_after(HEARTBEAT_INTERVAL, ReplayEvent::SendHeartbeats);
     }
 
     /// Starts a dispatcher and lets every router join it.
--- a/crates/micaspool-replay/src/standin/handler.rs
+++ b/crates/micaspool-replay/src/standin/handler.rs
@@ -124,12 +124,12 @@
 
 pub(super) struct StandInHandler {
     state: Arc<StandInState>,
-    next_id: AtomicU64,
+    next_number: AtomicU64,
 }
 
 impl StandInHandler {
     pub fn new(state: Arc<StandInState>) -> StandInHandler {
-        StandInHandler { state, next_id: AtomicU64::new(1) }
+        StandInHandler { state, next_number: AtomicU64::new(1) }
     }
 
     fn load_response(&self) -> Response {
@@ -141,7 +141,7 @@
         response
     }
 
-    fn refusal(&self) -> Option<Response> {
+    fn refusal_response(&self) -> Option<Response> {
         let mut response = Response::new(StatusCode::ServiceUnavailable);
         response.insert_header(RUN_HEADER, "not-run");
         if self.state.draining.load(Ordering::SeqCst) {
@@ -157,7 +157,7 @@
     }
 
     async fn run(&self, request: CallerRequest) -> Response {
-        if let Some(refusal) = self.refusal() {
+        if let Some(refusal) = self.refusal_response() {
             return refusal;
         }
         let Some(slot) = SlotGuard::acquire(&self.state) else {
@@ -187,17 +187,17 @@
         if fault == FaultMode::Silent {
             task::sleep(Duration::from_secs(3_600)).await;
         }
-        let token_time = self.state.options.token_time;
+        let per_token = self.state.options.token_time;
         if request.target.starts_with(CHAT_PATH) {
             let call = ModelCall::parse(&request.body);
             return if call.stream {
-                stream_answer(call, token_time, slot, fault)
+                stream_answer(call, per_token, slot, fault)
             } else {
-                task::sleep(token_time * u32::try_from(call.tokens).unwrap_or(u32::MAX)).await;
+                task::sleep(per_token * u32::try_from(call.tokens).unwrap_or(u32::MAX)).await;
                 json_answer(&call, fault)
             };
         }
-        task::sleep(token_time).await;
+        task::sleep(per_token).await;
         let mut response = Response::new(StatusCode::Ok);
         response.set_body(request.body.clone());
         response.insert_header("content-type", "application/json");
@@ -212,7 +212,7 @@
     }
 
     fn next_id(&self) -> RequestId {
-        RequestId(u128::from(self.next_id.fetch_add(1, Ordering::Relaxed)))
+        RequestId(u128::from(self.next_number.fetch_add(1, Ordering::Relaxed)))
     }
 
     async fn handle(&self, request: CallerRequest) -> Response {
--- a/crates/micaspool/benches/parts/requests.rs
+++ b/crates/micaspool/benches/parts/requests.rs
@@ -17,7 +17,7 @@
     println!(
         "{:>10} {:>8} {:>14} {:>16} {:>15} {:>18} {:>14} {:>12}",
         "requests/s",
-        "whole",
+        "complete",
         "router us/req",
         "router bytes/req",
         "dispatch us/req",
@@ -36,14 +36,14 @@
             print_idle(&deployment).await;
         }
         let before = (routers(&deployment).await, dispatcher(&deployment, serving).await);
-        let whole = call_at(&deployment, rate).await;
+        let completed = call_at(&deployment, rate).await;
         let after = (routers(&deployment).await, dispatcher(&deployment, serving).await);
         let count = (rate * SECONDS) as f64;
         let spent: Vec<_> =
             after.0.iter().zip(&before.0).map(|(after, before)| after.since(before)).collect();
         let dispatch = after.1.since(&before.1);
         println!(
-            "{rate:>10} {whole:>8} {:>14.0} {:>16.0} {:>15.0} {:>18.0} {:>14.1} {:>12.1}",
+            "{rate:>10} {completed:>8} {:>14.0} {:>16.0} {:>15.0} {:>18.0} {:>14.1} {:>12.1}",
             spent.iter().map(|spent| spent.cpu_micros).sum::<f64>() / count,
             spent.iter().map(|spent| spent.bytes).sum::<f64>() / count,
             dispatch.cpu_micros / count,
@@ -86,5 +86,5 @@
             call.send().await.is_some_and(|answer| answer.status == 200)
         })
     });
-    join_all(calls.collect::<Vec<_>>()).await.into_iter().filter(|whole| *whole).count()
+    join_all(calls.collect::<Vec<_>>()).await.into_iter().filter(|completed| *completed).count()
 }
--- a/crates/micaspool/benches/parts/sessions.rs
+++ b/crates/micaspool/benches/parts/sessions.rs
@@ -103,8 +103,8 @@
     let heartbeats = task::spawn(async move {
         for number in 2.. {
             task::sleep(Duration::from_secs(1)).await;
-            let heartbeat = v1::Heartbeat { number, revision: 1, advice: Vec::new() };
-            if heartbeat_sender.try_send(message(Body::Heartbeat(heartbeat))).is_err() {
+            let heartbeat_body = v1::Heartbeat { number, revision: 1, advice: Vec::new() };
+            if heartbeat_sender.try_send(message(Body::Heartbeat(heartbeat_body))).is_err() {
                 return;
             }
         }
--- a/crates/xtask/src/findings.rs
+++ b/crates/xtask/src/findings.rs
@@ -88,21 +88,21 @@
     };
     let mut findings: Vec<Finding> = entry.error.into_iter().map(|error| finding("", error)).collect();
     for day in entry.days.unwrap_or_default() {
-        findings.extend(day.findings().into_iter().map(|description| finding(&day.name, description)));
+        findings.extend(day.failures().into_iter().map(|description| finding(&day.name, description)));
     }
     Ok(findings)
 }
 
 impl PlayedDay {
     /// Describes the broken rules, missed floors and fault of the day, or its failed gate if there are none.
-    fn findings(&self) -> Vec<String> {
+    fn failures(&self) -> Vec<String> {
         let rules = self.rules.iter().map(|(rule, count)| format!("broke {rule} {count} times"));
         let short = self.short.iter().map(|text| format!("short: {text}"));
         let fault = self.fault.iter().map(|fault| format!("fault: {fault}"));
-        let mut findings: Vec<String> = rules.chain(short).chain(fault).collect();
-        if findings.is_empty() && self.gate == Some(false) {
-            findings.push("failed its gate".to_owned());
+        let mut failures: Vec<String> = rules.chain(short).chain(fault).collect();
+        if failures.is_empty() && self.gate == Some(false) {
+            failures.push("failed its gate".to_owned());
         }
-        findings
+        failures
     }
 }
