--- a/crates/micaspool/benches/parts/claims.rs
+++ b/crates/micaspool/benches/parts/claims.rs
@@ -36,19 +36,20 @@
         let delays = claim_at(&deployment, rate).await;
         let after = (read(&deployment, leader).await, read(&deployment, follower).await);
         let count = delays.len() as f64;
-        let (lead, follow): (UsageDelta, UsageDelta) = (after.0.since(&before.0), after.1.since(&before.1));
-        let used = self::sync_count(&deployment, leader).await - sync_count;
+        let (leader_usage, follower_usage): (UsageDelta, UsageDelta) =
+            (after.0.since(&before.0), after.1.since(&before.1));
+        let new_syncs = self::sync_count(&deployment, leader).await - sync_count;
         let mut sorted = delays;
         sorted.sort();
         println!(
             "{rate:>9} {:>9.0} {:>12.1} {:>14.0} {:>13.2} {:>15.0} {:>13.1} {:>12.2} {:>12.1}",
-            count / lead.seconds,
+            count / leader_usage.seconds,
             sorted[sorted.len() * 99 / 100].as_secs_f64() * 1e3,
-            lead.cpu_micros / count,
-            lead.core_percent(),
-            follow.cpu_micros / count,
-            lead.kilobytes_per_second(),
-            used as f64 / count,
+            leader_usage.cpu_micros / count,
+            leader_usage.core_percent(),
+            follower_usage.cpu_micros / count,
+            leader_usage.kilobytes_per_second(),
+            new_syncs as f64 / count,
             after.0.resident as f64 / 1e6
         );
     }
--- a/crates/micaspool/benches/parts/delay.rs
+++ b/crates/micaspool/benches/parts/delay.rs
@@ -24,19 +24,19 @@
             deployment.endpoints.values().take(9).map(|endpoint| endpoint.address()).collect();
         let router = vec![deployment.router(0)];
         let _ = call_all(&router, 1, 20).await;
-        let (alone, _) = call_all(&direct, callers, CALLS / 4).await;
+        let (direct_latencies, _) = call_all(&direct, callers, CALLS / 4).await;
         let daemon = deployment.routers[0].as_ref().expect("it runs");
         let before = Usage::read(daemon).await;
-        let (through, seconds) = call_all(&router, callers, CALLS / 4).await;
-        let spent = Usage::read(daemon).await.since(&before);
-        let rate = through.len() as f64 / seconds;
-        let per_core = through.len() as f64 / (spent.cpu_micros / 1e6);
+        let (router_latencies, seconds) = call_all(&router, callers, CALLS / 4).await;
+        let usage_delta = Usage::read(daemon).await.since(&before);
+        let rate = router_latencies.len() as f64 / seconds;
+        let per_core = router_latencies.len() as f64 / (usage_delta.cpu_micros / 1e6);
         println!(
             "{callers:>8} {:>15.2} {:>12.2} {:>15.2} {:>12.2} {rate:>13.0} {per_core:>11.0}",
-            percentile_millis(&alone, 50),
-            percentile_millis(&alone, 99),
-            percentile_millis(&through, 50),
-            percentile_millis(&through, 99)
+            percentile_millis(&direct_latencies, 50),
+            percentile_millis(&direct_latencies, 99),
+            percentile_millis(&router_latencies, 50),
+            percentile_millis(&router_latencies, 99)
         );
     }
 }
--- a/crates/micaspool/benches/parts/requests.rs
+++ b/crates/micaspool/benches/parts/requests.rs
@@ -39,13 +39,13 @@
         let completed = call_at(&deployment, rate).await;
         let after = (routers(&deployment).await, dispatcher(&deployment, serving).await);
         let count = (rate * SECONDS) as f64;
-        let spent: Vec<_> =
+        let usage_deltas: Vec<_> =
             after.0.iter().zip(&before.0).map(|(after, before)| after.since(before)).collect();
         let dispatch = after.1.since(&before.1);
         println!(
             "{rate:>10} {completed:>8} {:>14.0} {:>16.0} {:>15.0} {:>18.0} {:>14.1} {:>12.1}",
-            spent.iter().map(|spent| spent.cpu_micros).sum::<f64>() / count,
-            spent.iter().map(|spent| spent.bytes).sum::<f64>() / count,
+            usage_deltas.iter().map(|delta| delta.cpu_micros).sum::<f64>() / count,
+            usage_deltas.iter().map(|delta| delta.bytes).sum::<f64>() / count,
             dispatch.cpu_micros / count,
             dispatch.bytes / count,
             after.0[0].resident as f64 / 1e6,
@@ -58,8 +58,8 @@
 async fn print_idle(deployment: &Deployment) {
     let before = routers(deployment).await;
     task::sleep(Duration::from_secs(SECONDS)).await;
-    let spent = routers(deployment).await[0].since(&before[0]);
-    let (core, bytes) = (spent.core_percent(), spent.kilobytes_per_second());
+    let usage_delta = routers(deployment).await[0].since(&before[0]);
+    let (core, bytes) = (usage_delta.core_percent(), usage_delta.kilobytes_per_second());
     println!(
         "a router at rest with one shard: {core:.2} percent of a core, {bytes:.2} KB/s of control traffic"
     );
--- a/crates/micaspool/benches/parts/watchers.rs
+++ b/crates/micaspool/benches/parts/watchers.rs
@@ -37,7 +37,7 @@
         let start = Usage::read(keeper).await;
         task::sleep(IDLE_TIME).await;
         let idle = Usage::read(keeper).await;
-        let mut slowest = Duration::ZERO;
+        let mut longest_delay = Duration::ZERO;
         for number in 0..CHANGES {
             let patch = json!({ "policy": { "weight": 2 + number } });
             let started = Instant::now();
@@ -46,7 +46,7 @@
             while mirrors.iter().any(|mirror| mirror.policy().revision.0 < revision) {
                 task::sleep(Duration::from_millis(1)).await;
             }
-            slowest = slowest.max(started.elapsed());
+            longest_delay = longest_delay.max(started.elapsed());
         }
         let end = Usage::read(keeper).await;
         let (idle_usage, change_usage) = (idle.since(&start), end.since(&idle));
@@ -58,7 +58,7 @@
             end.resident as f64 / 1e6,
             (change_usage.cpu_micros - idle_cpu) / CHANGES as f64,
             change_usage.bytes / CHANGES as f64,
-            slowest.as_secs_f64() * 1e3
+            longest_delay.as_secs_f64() * 1e3
         );
     }
 }
