--- a/crates/micaspool-replay/src/generate.rs
+++ b/crates/micaspool-replay/src/generate.rs
@@ -106,6 +106,7 @@
     }
 }
 
+/// Adds the requests of a customer, with exponentially distributed times between arrivals.
 fn generate_arrivals(
     options: &GenerateOptions,
     number: usize,
@@ -142,6 +143,7 @@
     }
 }
 
+/// The mean cost of a request in units, over long and short requests.
 fn mean_cost(options: &GenerateOptions) -> f64 {
     let long = f64::from(options.long_percent) / 100.0;
     long * (LONG_COSTS.0 + LONG_COSTS.1) as f64 / 2.0
--- a/crates/micaspool-replay/src/run/measure.rs
+++ b/crates/micaspool-replay/src/run/measure.rs
@@ -116,6 +116,7 @@
         }
     }
 
+    /// Samples the fairness gap if more than one customer has waiting requests.
     pub fn sample(&mut self) {
         if self.waiting.iter().filter(|count| **count > 0).count() > 1 {
             self.meter.sample();
@@ -127,6 +128,7 @@
         self.prefix_hits += u64::from(is_hit);
     }
 
+    /// Starts to measure the recovery from a lost dispatcher.
     pub fn record_dispatcher_loss(&mut self, now: Moment) {
         self.lost_at = Some(now);
         self.recovered_at = None;
@@ -137,12 +139,14 @@
         self.recovery_meter = Some(meter);
     }
 
+    /// Ends the recovery time at the first grant after a lost dispatcher.
     pub fn record_grant(&mut self, now: Moment) {
         if self.lost_at.is_some() && self.recovered_at.is_none() {
             self.recovered_at = Some(now);
         }
     }
 
+    /// Adds the size of a hello message if a dispatcher was lost before.
     pub fn record_hello(&mut self, bytes: u64) {
         if self.lost_at.is_some() {
             self.recovery_bytes += bytes;
--- a/crates/micaspool-replay/src/run/mod.rs
+++ b/crates/micaspool-replay/src/run/mod.rs
@@ -120,6 +120,7 @@
 }
 
 impl ReplayRun<'_> {
+    /// Processes events in order until every request is answered or the replay ends.
     fn run_events(&mut self) {
         let last = self.trace.requests.last().map_or(0, |request| request.at_millis);
         let end = Moment::from_millis(last) + DRAIN_LIMIT;
@@ -175,6 +176,8 @@
         }
     }
 
+    /// Passes an event to the core and sends the resulting actions to the routers. Events are lost while there is
+    /// no dispatcher.
     fn step(&mut self, event: ShardEvent) {
         let Some(core) = &mut self.core else { return };
         let mut actions = std::mem::take(&mut self.actions);
@@ -262,6 +265,7 @@
         self.schedule_after(Duration::from_micros(micros), ReplayEvent::Deliver { request, run });
     }
 
+    /// Delivers the next step of a request, and settles the request after the last one.
     fn deliver(&mut self, request: RequestId, run: u64) {
         if self.endpoints.run_number(request) != run {
             return;
@@ -305,6 +309,7 @@
         self.send_to_shard(ShardEvent::Submit(session, ticket));
     }
 
+    /// Reports the load of every endpoint to the core.
     fn probe(&mut self) {
         for number in 0..self.trace.header.endpoints {
             let endpoint = endpoint_name(number);
--- a/crates/micaspool-replay/src/standin/handler.rs
+++ b/crates/micaspool-replay/src/standin/handler.rs
@@ -109,6 +109,7 @@
 pub(super) struct SlotGuard(Arc<StandInState>);
 
 impl SlotGuard {
+    /// Occupies a slot. Returns `None` if all slots are occupied.
     fn acquire(state: &Arc<StandInState>) -> Option<SlotGuard> {
         let before = state.running.fetch_add(1, Ordering::SeqCst);
         let guard = SlotGuard(state.clone());
@@ -132,6 +133,7 @@
         StandInHandler { state, next_number: AtomicU64::new(1) }
     }
 
+    /// The load report: the number of running requests and whether the endpoint is draining.
     fn load_response(&self) -> Response {
         let running = self.state.running.load(Ordering::SeqCst);
         let draining = self.state.draining.load(Ordering::SeqCst);
@@ -141,6 +143,7 @@
         response
     }
 
+    /// The refusal of a request if the endpoint is draining or set to refuse requests.
     fn refusal_response(&self) -> Option<Response> {
         let mut response = Response::new(StatusCode::ServiceUnavailable);
         response.insert_header(RUN_HEADER, "not-run");
@@ -156,6 +159,7 @@
         None
     }
 
+    /// Runs a request if a slot is free, and records it.
     async fn run(&self, request: CallerRequest) -> Response {
         if let Some(refusal) = self.refusal_response() {
             return refusal;
