--- a/crates/micaspool-replay/src/run/measure.rs
+++ b/crates/micaspool-replay/src/run/measure.rs
@@ -1,4 +1,4 @@
-//! The measures of a replay.
+//! Collects the measurements of a replay.
 
 use super::endpoints::FakeEndpoints;
 use super::wire::WireCounter;
@@ -8,40 +8,41 @@
 use micaspool_types::{Cost, HallMask, Moment, Weight};
 use serde::Serialize;
 
-/// What a replay measured.
+/// The results of a replay.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReplayReport {
-    /// The trace.
+    /// The name of the trace.
     pub trace: String,
-    /// The policy.
+    /// The name of the policy.
     pub policy: String,
-    /// The largest fairness gap, in units of the largest single request.
+    /// The largest fairness gap, in units of the largest cost of a single request.
     pub gap_largest: f64,
-    /// The gap that 99 in 100 moments stay below, in the same unit.
+    /// The 99th percentile of the sampled gaps, in the same unit.
     pub gap_p99: f64,
-    /// Busy slot time as a part of all slot time in halls for which work waits.
+    /// The busy share of the slot time, over the halls in which waiting requests may run.
     pub utilisation: f64,
-    /// Control bytes for each request.
+    /// Control bytes per request of the trace.
     pub control_bytes: f64,
-    /// Control messages for each request.
+    /// Control messages per request of the trace.
     pub control_messages: f64,
-    /// Requests that got their answer.
+    /// Requests that completed.
     pub done: u64,
-    /// Requests that were refused.
+    /// Requests that the dispatcher refused, or whose last attempt failed.
     pub refused: u64,
-    /// Requests that had no answer when the replay ended; anything but zero is a fault.
+    /// Requests that had neither completed nor been refused when the replay ended. Anything but zero is a
+    /// defect.
     pub unfinished: u64,
-    /// Requests that waited again after a failure.
+    /// Attempts that failed and were queued again.
     pub retries: u64,
-    /// Requests sent to endpoints, for each request of the trace.
+    /// Attempts sent to endpoints, per request of the trace.
     pub sent_ratio: f64,
-    /// The part of requests whose longest prefix was cached where they ran.
+    /// The share of started attempts whose longest prefix was cached at their endpoint.
     pub prefix_hits: f64,
-    /// After a dispatcher was lost: milliseconds to the next grant.
+    /// The time from the last loss of a dispatcher to the next grant that a router used, in milliseconds.
     pub recovery_millis: Option<f64>,
-    /// After a dispatcher was lost: bytes of what routers told the next one.
+    /// The size of the hello messages to all dispatchers that followed a lost one, in bytes.
     pub recovery_bytes: Option<u64>,
-    /// After a dispatcher was lost: the largest gap from then on, in the same unit.
+    /// The largest fairness gap since the last loss of a dispatcher, in units of the largest single cost.
     pub recovery_gap: Option<f64>,
 }
 
@@ -49,7 +50,7 @@
 pub(super) struct Measures {
     customers: Vec<(Weight, HallMask)>,
     meter: GapMeter,
-    after_loss: Option<GapMeter>,
+    recovery_meter: Option<GapMeter>,
     waiting: Vec<i64>,
     busy_micros: u128,
     slot_micros: u128,
@@ -59,7 +60,7 @@
     pub retries: u64,
     pub sent: u64,
     prefix_hits: u64,
-    prefix_asked: u64,
+    prefix_lookups: u64,
     lost_at: Option<Moment>,
     recovered_at: Option<Moment>,
     recovery_bytes: u64,
@@ -72,7 +73,7 @@
             trace.header.customers.iter().map(|c| (weight(c.weight), HallMask(c.halls))).collect();
         Measures {
             meter: GapMeter::new(&customers),
-            after_loss: None,
+            recovery_meter: None,
             waiting: vec![0; customers.len()],
             customers,
             busy_micros: 0,
@@ -83,66 +84,70 @@
             retries: 0,
             sent: 0,
             prefix_hits: 0,
-            prefix_asked: 0,
+            prefix_lookups: 0,
             lost_at: None,
             recovered_at: None,
             recovery_bytes: 0,
         }
     }
 
-    /// Accounts for the time between two events, in which work waited for these halls.
-    pub fn pass(&mut self, from: Moment, to: Moment, halls: HallMask, endpoints: &FakeEndpoints) {
+    /// Adds the busy and total slot time between two events, over the halls in which waiting requests may run.
+    pub fn record_interval(&mut self, from: Moment, to: Moment, halls: HallMask, endpoints: &FakeEndpoints) {
         let (busy, slots) = endpoints.slots_in(halls.0);
         let micros = to.since(from).as_micros();
         self.busy_micros += micros * u128::from(busy);
         self.slot_micros += micros * u128::from(slots);
     }
 
-    /// A customer has more or fewer waiting requests.
-    pub fn waiting(&mut self, customer: usize, change: i64) {
+    /// Changes the number of waiting requests of a customer.
+    pub fn change_waiting(&mut self, customer: usize, change: i64) {
         self.waiting[customer] += change;
         let waits = self.waiting[customer] > 0;
         self.meter.set_waiting(customer, waits);
-        if let Some(meter) = &mut self.after_loss {
+        if let Some(meter) = &mut self.recovery_meter {
             meter.set_waiting(customer, waits);
         }
     }
 
-    pub fn serve(&mut self, customer: usize, cost: Cost) {
+    pub fn record_service(&mut self, customer: usize, cost: Cost) {
         self.meter.record_service(customer, cost);
-        if let Some(meter) = &mut self.after_loss {
+        if let Some(meter) = &mut self.recovery_meter {
             meter.record_service(customer, cost);
         }
     }
 
+    /// Samples the fairness gap if more than one customer has waiting requests.
     pub fn sample(&mut self) {
         if self.waiting.iter().filter(|count| **count > 0).count() > 1 {
             self.meter.sample();
         }
     }
 
-    pub fn prefix(&mut self, hit: bool) {
-        self.prefix_asked += 1;
-        self.prefix_hits += u64::from(hit);
+    pub fn record_prefix(&mut self, is_hit: bool) {
+        self.prefix_lookups += 1;
+        self.prefix_hits += u64::from(is_hit);
     }
 
-    pub fn lose_dispatcher(&mut self, now: Moment) {
+    /// Starts to measure the recovery from a lost dispatcher.
+    pub fn record_dispatcher_loss(&mut self, now: Moment) {
         self.lost_at = Some(now);
         self.recovered_at = None;
         let mut meter = GapMeter::new(&self.customers);
         for (customer, count) in self.waiting.iter().enumerate() {
             meter.set_waiting(customer, *count > 0);
         }
-        self.after_loss = Some(meter);
+        self.recovery_meter = Some(meter);
     }
 
-    pub fn granted(&mut self, now: Moment) {
+    /// Ends the recovery time at the first grant after a lost dispatcher.
+    pub fn record_grant(&mut self, now: Moment) {
         if self.lost_at.is_some() && self.recovered_at.is_none() {
             self.recovered_at = Some(now);
         }
     }
 
-    pub fn note_hello(&mut self, bytes: u64) {
+    /// Adds the size of a hello message if a dispatcher was lost before.
+    pub fn record_hello(&mut self, bytes: u64) {
         if self.lost_at.is_some() {
             self.recovery_bytes += bytes;
         }
@@ -166,10 +171,10 @@
             unfinished: self.unfinished,
             retries: self.retries,
             sent_ratio: self.sent as f64 / requests,
-            prefix_hits: self.prefix_hits as f64 / self.prefix_asked.max(1) as f64,
-            recovery_millis: recovery.map(|(lost, back)| back.since(lost).as_secs_f64() * 1_000.0),
+            prefix_hits: self.prefix_hits as f64 / self.prefix_lookups.max(1) as f64,
+            recovery_millis: recovery.map(|(lost, granted)| granted.since(lost).as_secs_f64() * 1_000.0),
             recovery_bytes: self.lost_at.map(|_| self.recovery_bytes),
-            recovery_gap: self.after_loss.as_ref().map(|meter| meter.report().largest / unit),
+            recovery_gap: self.recovery_meter.as_ref().map(|meter| meter.report().largest / unit),
         }
     }
 }
--- a/crates/micaspool-replay/src/standin/answers.rs
+++ b/crates/micaspool-replay/src/standin/answers.rs
@@ -10,12 +10,12 @@
 use std::io;
 use std::time::Duration;
 
-/// The answer's length when the caller gives none, in tokens.
+/// The length of an answer if the caller sets no `max_tokens`.
 const DEFAULT_TOKENS: u64 = 16;
-/// A token has about this many bytes of prompt.
+/// The number of prompt bytes that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What a stand-in reads from a model call.
+/// The fields of a model call that a stand-in uses.
 #[derive(Debug)]
 pub(super) struct ModelCall {
     pub stream: bool,
@@ -39,7 +39,7 @@
 }
 
 impl ModelCall {
-    pub fn read(body: &[u8]) -> ModelCall {
+    pub fn parse(body: &[u8]) -> ModelCall {
         let raw: RawCall = serde_json::from_slice(body).unwrap_or_default();
         let prompt: usize = raw.messages.iter().map(|message| message.content.len()).sum();
         ModelCall {
@@ -59,13 +59,13 @@
     }
 }
 
-/// A whole answer that echoes the last message.
+/// A JSON answer that echoes the last message.
 pub(super) fn json_answer(call: &ModelCall, fault: FaultMode) -> Response {
     let message = json!({ "role": "assistant", "content": call.echo });
     let body = json!({ "choices": [{ "index": 0, "message": message }], "usage": call.usage() }).to_string();
     let mut response = Response::new(StatusCode::Ok);
     let length = body.len();
-    if fault == FaultMode::ShortBody {
+    if fault == FaultMode::TruncatedBody {
         let half = body.as_bytes()[..length / 2].to_vec();
         response.set_body(Body::from_reader(futures::io::Cursor::new(half), Some(length)));
     } else {
@@ -75,19 +75,29 @@
     response
 }
 
-/// An answer in events: the echo first, then one token after the other, then the usage.
-pub(super) fn stream_answer(call: ModelCall, time: Duration, slot: SlotGuard, fault: FaultMode) -> Response {
+/// A streamed answer: the echo of the last message, then one event per token, then the usage.
+pub(super) fn stream_answer(
+    call: ModelCall,
+    token_time: Duration,
+    slot: SlotGuard,
+    fault: FaultMode,
+) -> Response {
     let mut events = VecDeque::new();
-    events.push_back(event(&call.echo));
+    events.push_back(sse_event(&call.echo));
     for number in 1..call.tokens {
-        events.push_back(event(&format!(" t{number}")));
+        events.push_back(sse_event(&format!(" t{number}")));
     }
-    if fault == FaultMode::ShortBody {
+    if fault == FaultMode::TruncatedBody {
         events.truncate(events.len() / 2);
     }
     let usage = format!("data: {}\n\n", json!({ "choices": [], "usage": call.usage() }));
-    let state =
-        StreamState { events, last: vec![usage, "data: [DONE]\n\n".to_owned()], time, fault, _slot: slot };
+    let state = StreamState {
+        events,
+        closing_events: vec![usage, "data: [DONE]\n\n".to_owned()],
+        token_time,
+        fault,
+        _slot: slot,
+    };
     let reader = Box::pin(event_stream(state)).into_async_read();
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(Body::from_reader(reader, None));
@@ -95,14 +105,14 @@
     response
 }
 
-fn event(content: &str) -> String {
+fn sse_event(content: &str) -> String {
     format!("data: {}\n\n", json!({ "choices": [{ "index": 0, "delta": { "content": content } }] }))
 }
 
 struct StreamState {
     events: VecDeque<String>,
-    last: Vec<String>,
-    time: Duration,
+    closing_events: Vec<String>,
+    token_time: Duration,
     fault: FaultMode,
     _slot: SlotGuard,
 }
@@ -111,16 +121,16 @@
     stream::unfold(Some(state), |state| async move {
         let mut state = state?;
         if let Some(next) = state.events.pop_front() {
-            task::sleep(state.time).await;
+            task::sleep(state.token_time).await;
             return Some((Ok(next.into_bytes()), Some(state)));
         }
-        if state.fault == FaultMode::ShortBody {
+        if state.fault == FaultMode::TruncatedBody {
             return Some((Err(io::ErrorKind::BrokenPipe.into()), None));
         }
-        if state.last.is_empty() {
+        if state.closing_events.is_empty() {
             return None;
         }
-        let next = state.last.remove(0);
+        let next = state.closing_events.remove(0);
         Some((Ok(next.into_bytes()), Some(state)))
     })
 }
--- a/crates/micaspool/benches/decisions.rs
+++ b/crates/micaspool/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! What one decision of the shard core costs, by customers, endpoints and waiting tickets.
+//! Measures the time of a decision of the shard core, by numbers of customers, endpoints and waiting tickets.
 //!
-//! Run with `cargo bench -p micaspool --bench decisions`. A decision is: a grant ends, the freed
-//! slot goes to the next ticket, and a new ticket begins to wait.
+//! Run with `cargo bench -p micaspool --bench decisions`. In each decision a grant ends, the freed slot goes to
+//! the next ticket, and a new ticket is submitted. It also measures the memory of a ticket and of a ledger key.
 
 use micaspool::dispatch::{
     ColdStartLimits, EndpointSpec, GrantOutcome, RequestTicket, RouterHello, SessionId, ShardAction,
@@ -22,7 +22,8 @@
 const DECISIONS: usize = 100_000;
 const SESSION: SessionId = SessionId(1);
 
-struct Load {
+/// A shard core with all slots busy and a constant number of waiting tickets.
+struct DecisionLoad {
     core: ShardCore,
     now: Moment,
     actions: Vec<ShardAction>,
@@ -63,11 +64,11 @@
     }
 }
 
-impl Load {
-    fn new(customers: usize, endpoints: usize, waiting: usize) -> Load {
+impl DecisionLoad {
+    fn new(customers: usize, endpoints: usize, waiting: usize) -> DecisionLoad {
         let options = ShardOptions::builder().recovery_window(Duration::ZERO).max_waiting(usize::MAX).build();
         let now = Moment::from_millis(1_000);
-        let mut load = Load {
+        let mut load = DecisionLoad {
             core: ShardCore::new(now, options),
             now,
             actions: Vec::new(),
@@ -130,6 +131,7 @@
     }
 }
 
+/// The resident memory of this process.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -137,7 +139,7 @@
     kilobytes.unwrap_or(0) * 1_024
 }
 
-/// What a remembered key of the ledger takes, with an answer of 256 bytes and without.
+/// Measures the memory of a ledger key, without an answer and with one of 256 bytes.
 fn ledger_bytes() {
     const KEYS: u64 = 200_000;
     for answer in [0, 256] {
@@ -173,7 +175,7 @@
     for (customers, endpoints) in [(84, 60), (840, 600)] {
         for waiting in [1_000, 10_000, 100_000] {
             let before = resident_bytes();
-            let mut load = Load::new(customers, endpoints, waiting);
+            let mut load = DecisionLoad::new(customers, endpoints, waiting);
             let bytes = resident_bytes().saturating_sub(before) / waiting as u64;
             for _ in 0..DECISIONS / 10 {
                 load.decide();
--- a/crates/micaspool/benches/parts/claims.rs
+++ b/crates/micaspool/benches/parts/claims.rs
@@ -1,6 +1,6 @@
-//! What claims cost the leading keeper and a follower.
+//! Measures the resource usage of the leading keeper and a follower per claim.
 
-use super::usage::{wait_for_turn, Spent, Usage};
+use super::usage::{wait_until_due, Usage, UsageDelta};
 use crate::harness::{milk, wait_for, Deployment};
 use async_std::task;
 use futures::future::join_all;
@@ -8,8 +8,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// The duration of each rate.
 const SECONDS: u64 = 5;
-const LIMIT: Duration = Duration::from_secs(10);
+const CALL_LIMIT: Duration = Duration::from_secs(10);
 
 pub async fn run() {
     println!("claims and their outcomes (256 bytes of answer), for {SECONDS} s at each rate");
@@ -31,23 +32,24 @@
         let leader = deployment.leader().await.expect("a keeper leads");
         let follower = (leader + 1) % 3;
         let before = (read(&deployment, leader).await, read(&deployment, follower).await);
-        let syncs = syncs(&deployment, leader).await;
+        let sync_count = sync_count(&deployment, leader).await;
         let delays = claim_at(&deployment, rate).await;
         let after = (read(&deployment, leader).await, read(&deployment, follower).await);
         let count = delays.len() as f64;
-        let (lead, follow): (Spent, Spent) = (after.0.since(&before.0), after.1.since(&before.1));
-        let used = self::syncs(&deployment, leader).await - syncs;
+        let (leader_usage, follower_usage): (UsageDelta, UsageDelta) =
+            (after.0.since(&before.0), after.1.since(&before.1));
+        let new_syncs = self::sync_count(&deployment, leader).await - sync_count;
         let mut sorted = delays;
         sorted.sort();
         println!(
             "{rate:>9} {:>9.0} {:>12.1} {:>14.0} {:>13.2} {:>15.0} {:>13.1} {:>12.2} {:>12.1}",
-            count / lead.seconds,
+            count / leader_usage.seconds,
             sorted[sorted.len() * 99 / 100].as_secs_f64() * 1e3,
-            lead.cpu_micros / count,
-            lead.core_percent(),
-            follow.cpu_micros / count,
-            lead.kilobytes_a_second(),
-            used as f64 / count,
+            leader_usage.cpu_micros / count,
+            leader_usage.core_percent(),
+            follower_usage.cpu_micros / count,
+            leader_usage.kilobytes_per_second(),
+            new_syncs as f64 / count,
             after.0.resident as f64 / 1e6
         );
     }
@@ -57,7 +59,7 @@
     Usage::read(deployment.keepers[number].as_ref().expect("it runs")).await
 }
 
-async fn syncs(deployment: &Deployment, number: usize) -> u64 {
+async fn sync_count(deployment: &Deployment, number: usize) -> u64 {
     deployment.state(&deployment.keepers[number]).await["syncs"].as_u64().unwrap_or(0)
 }
 
@@ -66,7 +68,7 @@
     let calls = (0..rate * SECONDS).map(|number| {
         let deployment = deployment.clone();
         task::spawn(async move {
-            wait_for_turn(started, number, rate).await;
+            wait_until_due(started, number, rate).await;
             claim(&deployment, rate, number).await
         })
     });
@@ -83,7 +85,7 @@
         traceparent: String::new(),
     };
     let started = Instant::now();
-    deployment.client.claim(request, LIMIT).await.expect("a verdict");
+    deployment.client.claim(request, CALL_LIMIT).await.expect("a verdict");
     let delay = started.elapsed();
     let answer =
         v1::StoredAnswer { status: 200, content_type: "application/json".to_owned(), body: vec![1; 256] };
@@ -94,6 +96,6 @@
         kind: v1::FinishKind::FinishAnswered.into(),
         answer: Some(answer),
     };
-    deployment.client.finish(request, LIMIT).await.expect("it is recorded");
+    deployment.client.finish(request, CALL_LIMIT).await.expect("it is recorded");
     delay
 }
--- a/crates/micaspool/benches/parts/watchers.rs
+++ b/crates/micaspool/benches/parts/watchers.rs
@@ -1,4 +1,4 @@
-//! What settings watchers cost a keeper, and how soon a change is with all of them.
+//! Measures the resource usage of a keeper by settings watchers, and the time until a change reaches all of them.
 
 use super::usage::Usage;
 use crate::harness::{milk, wait_for, Deployment};
@@ -11,7 +11,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIME: Duration = Duration::from_secs(5);
+/// The number of settings changes.
 const CHANGES: u64 = 20;
 
 pub async fn run() {
@@ -34,9 +35,9 @@
         wait_for(|| async { mirrors.iter().all(|mirror| mirror.is_ready()) }).await;
         task::sleep(Duration::from_secs(2)).await;
         let start = Usage::read(keeper).await;
-        task::sleep(IDLE).await;
+        task::sleep(IDLE_TIME).await;
         let idle = Usage::read(keeper).await;
-        let mut slowest = Duration::ZERO;
+        let mut longest_delay = Duration::ZERO;
         for number in 0..CHANGES {
             let patch = json!({ "policy": { "weight": 2 + number } });
             let started = Instant::now();
@@ -45,19 +46,19 @@
             while mirrors.iter().any(|mirror| mirror.policy().revision.0 < revision) {
                 task::sleep(Duration::from_millis(1)).await;
             }
-            slowest = slowest.max(started.elapsed());
+            longest_delay = longest_delay.max(started.elapsed());
         }
         let end = Usage::read(keeper).await;
-        let (resting, changing) = (idle.since(&start), end.since(&idle));
-        let idle_cpu = resting.cpu_micros / resting.seconds * changing.seconds;
+        let (idle_usage, change_usage) = (idle.since(&start), end.since(&idle));
+        let idle_cpu = idle_usage.cpu_micros / idle_usage.seconds * change_usage.seconds;
         println!(
             "{count:>9} {:>12.2} {:>12.2} {:>12.1} {:>14.0} {:>14.0} {:>14.1}",
-            resting.core_percent(),
-            resting.kilobytes_a_second(),
+            idle_usage.core_percent(),
+            idle_usage.kilobytes_per_second(),
             end.resident as f64 / 1e6,
-            (changing.cpu_micros - idle_cpu) / CHANGES as f64,
-            changing.bytes / CHANGES as f64,
-            slowest.as_secs_f64() * 1e3
+            (change_usage.cpu_micros - idle_cpu) / CHANGES as f64,
+            change_usage.bytes / CHANGES as f64,
+            longest_delay.as_secs_f64() * 1e3
         );
     }
 }
--- a/crates/micaspool/src/bin/micaspool-router.rs
+++ b/crates/micaspool/src/bin/micaspool-router.rs
@@ -9,7 +9,7 @@
 use micaspool_telemetry::events::{self, record};
 use std::time::Duration;
 
-/// How long requests in flight may take after the order to stop.
+/// The time limit for requests in flight after the signal to stop.
 const DRAIN_LIMIT: Duration = Duration::from_secs(600);
 
 fn main() {
@@ -18,7 +18,7 @@
 }
 
 async fn run(start: DaemonStart) {
-    let stop = watch_stop_signals().expect("the signals can be taken over");
+    let stop = watch_stop_signals().expect("the signal handlers can be installed");
     let daemon = match run_router(&start.settings, start.incarnation).await {
         Ok(daemon) => daemon,
         Err(error) => {
@@ -29,7 +29,7 @@
     report_ready("router", &[("callers", daemon.callers), ("status", daemon.status)]);
     stop.wait().await;
     record(&events::PROCESS_DRAINING, &[]);
-    let whole = daemon.stop(DRAIN_LIMIT).await;
+    let is_complete = daemon.stop(DRAIN_LIMIT).await;
     record(&events::PROCESS_STOPPED, &[]);
-    std::process::exit(if whole { 0 } else { EXIT_FAILED });
+    std::process::exit(if is_complete { 0 } else { EXIT_FAILED });
 }
--- a/crates/micaspool/src/cli/status.rs
+++ b/crates/micaspool/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `micaspool status`: what each daemon is doing.
+//! `micaspool status`: prints the state of daemons.
 
 use super::fetch::fetch_state;
 use super::{EXIT_DONE, EXIT_FAILED};
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Show what daemons are doing: role, revision in force, leader or cut off, waiting work.
+/// Print the state of daemons: role, settings revision, leader, contact with the keepers, and requests per shard.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 pub struct StatusCommand {
@@ -49,7 +49,7 @@
             format!("keeper {} leader={} revision={revision} {confirmed}", text("role"), text("leader"))
         }
         Some(process) => {
-            let cut = match state["cut_off_seconds"].as_u64() {
+            let connection = match state["cut_off_seconds"].as_u64() {
                 Some(seconds) => format!("cut off for {seconds} s"),
                 None => "in touch".to_owned(),
             };
@@ -58,7 +58,7 @@
                 let name = shard["service"].as_str().unwrap_or("-");
                 format!(" {name}: {} waiting, {} running", shard["waiting"], shard["running"])
             });
-            format!("{process} revision={revision} {cut}{}", shards.collect::<String>())
+            format!("{process} revision={revision} {connection}{}", shards.collect::<String>())
         }
         None => "unknown process".to_owned(),
     }
