--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -211,8 +211,8 @@
     /// Hashes of prefixes that it has evicted.
     pub dropped: Vec<u64>,
     /// Prompt parts that the engine has cached, least recently used first if the order is known.
-    pub kept: Vec<CachedPart>,
-    /// True if `kept` lists all cached parts.
+    pub cached_parts: Vec<CachedPart>,
+    /// True if `cached_parts` lists all cached parts.
     pub whole: bool,
 }
 
--- a/crates/micaspool-dispatch/src/shard/cold.rs
+++ b/crates/micaspool-dispatch/src/shard/cold.rs
@@ -30,7 +30,7 @@
     /// When it may get its next request while it is cold.
     next_grant_at: Moment,
     /// True until that moment.
-    pub spaced: bool,
+    pub limited: bool,
 }
 
 impl ColdStartLimiter {
@@ -102,8 +102,8 @@
     pub(super) fn update_cold_limit(&mut self, now: Moment, endpoint: EndpointIndex) {
         let limiter = &mut self.state_mut(endpoint).availability.cold;
         let wait = limiter.wait(now);
-        limiter.spaced = !wait.is_zero();
-        if limiter.spaced {
+        limiter.limited = !wait.is_zero();
+        if limiter.limited {
             self.wakes.insert((now + wait, endpoint));
         }
         self.reindex(endpoint);
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -31,7 +31,7 @@
     /// Set for a language model engine with a known memory size.
     pub(super) engine: Option<EngineState>,
     /// True while the engine has too much queued prefill work for another prompt.
-    pub reading: bool,
+    pub prefill_limited: bool,
     /// Successive failures.
     pub failures: u32,
     /// Successive broken requests that were tolerated.
@@ -124,7 +124,7 @@
     /// The load in units of `LOAD_PARTS`; `None` unless the endpoint can take a request now.
     fn free_load(&self) -> Option<u32> {
         let taken = self.busy + self.foreign;
-        let free = self.has_slot() && !self.reading && !self.availability.cold.spaced;
+        let free = self.has_slot() && !self.prefill_limited && !self.availability.cold.limited;
         free.then(|| taken * LOAD_PARTS / self.slots.max(1))
     }
 }
@@ -171,7 +171,7 @@
             foreign: 0,
             availability: EndpointAvailability { settings: true, ..EndpointAvailability::default() },
             engine: None,
-            reading: false,
+            prefill_limited: false,
             failures: 0,
             breaks: 0,
             connect_failures: 0,
@@ -274,9 +274,9 @@
     pub(super) fn update_prefill_limit(&mut self, now: Moment, endpoint: EndpointIndex) {
         let state = self.state_mut(endpoint);
         let Some(engine) = &state.engine else { return };
-        state.reading = !engine.has_prefill_budget(now);
+        state.prefill_limited = !engine.has_prefill_budget(now);
         let wake = engine.prefill_budget_at(now);
-        if state.reading && wake > now {
+        if state.prefill_limited && wake > now {
             self.wakes.insert((wake, endpoint));
         }
         self.reindex(endpoint);
--- a/crates/micaspool-dispatch/src/shard/engine.rs
+++ b/crates/micaspool-dispatch/src/shard/engine.rs
@@ -299,7 +299,7 @@
         for prefix in &update.dropped {
             self.cached.drop(*prefix, changes);
         }
-        for part in &update.kept {
+        for part in &update.cached_parts {
             self.cached.touch(part.prefix, u64::from(part.tokens), changes);
         }
         self.evict_excess(changes);
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -44,17 +44,17 @@
     /// True if it can take a request now.
     pub free: bool,
     /// True while its engine has too much queued prefill work for another prompt.
-    pub reading: bool,
+    pub prefill_limited: bool,
     /// Successive failures.
     pub failures: u32,
     /// True while it is cold and its next request is not due.
-    pub spaced: bool,
+    pub cold_limited: bool,
     /// How much longer it is treated as cold; zero if it is warm.
     pub cold: Duration,
     /// How many routers it has asked to rest.
     pub resting_routers: usize,
     /// The prefill rate of its engine; `None` for other endpoints.
-    pub pace: Option<PrefillStatus>,
+    pub prefill: Option<PrefillStatus>,
 }
 
 /// Why an endpoint takes no new work, regardless of its slots.
@@ -127,7 +127,7 @@
     /// The number of running grants.
     pub running: usize,
     /// The number of passes over all waiting tickets.
-    pub rounds: u64,
+    pub passes: u64,
     /// The customers with waiting or running requests, or with any tickets since the shard started.
     pub customers: Vec<CustomerStatus>,
     /// The endpoints.
@@ -144,12 +144,12 @@
 }
 
 impl PrefillStatus {
-    fn of(now: Moment, pace: &PrefillRate) -> PrefillStatus {
+    fn of(now: Moment, rate: &PrefillRate) -> PrefillStatus {
         PrefillStatus {
-            tokens_per_milli: pace.tokens_per_milli(),
-            latency: pace.latency(),
-            age: pace.newest().map(|newest| now.since(newest)),
-            spread: pace.spread(),
+            tokens_per_milli: rate.tokens_per_milli(),
+            latency: rate.latency(),
+            age: rate.newest().map(|newest| now.since(newest)),
+            spread: rate.spread(),
         }
     }
 }
@@ -168,16 +168,16 @@
             slots: state.slots,
             closure: state.closure(),
             free: state.is_free(),
-            reading: state.reading,
+            prefill_limited: state.prefill_limited,
             failures: state.failures,
-            spaced: state.availability.cold.spaced,
+            cold_limited: state.availability.cold.limited,
             cold: if state.availability.cold.is_cold(now) {
                 state.availability.cold.until().since(now)
             } else {
                 Duration::ZERO
             },
             resting_routers: rests.get(&index).copied().unwrap_or_default(),
-            pace: state.engine.as_ref().map(|engine| PrefillStatus::of(now, engine.rate())),
+            prefill: state.engine.as_ref().map(|engine| PrefillStatus::of(now, engine.rate())),
         });
         let awaited = || self.waiting.values().filter_map(|ticket| ticket.waits_for.get());
         let engines: HashSet<EndpointIndex> = awaited().map(|choice| choice.engine).collect();
@@ -189,7 +189,7 @@
             awaiting: awaited().count(),
             awaited_engines: engines.len(),
             running: self.running.len(),
-            rounds: self.pass_number,
+            passes: self.pass_number,
             customers: customers.collect(),
             endpoints: endpoints.collect(),
             suspects: self.suspects.suspected(now),
--- a/crates/micaspool-dispatch/tests/shard/capacity.rs
+++ b/crates/micaspool-dispatch/tests/shard/capacity.rs
@@ -218,7 +218,7 @@
         endpoint: endpoint(1),
         stored: vec![7, 8],
         dropped: vec![],
-        kept: vec![],
+        cached_parts: vec![],
         whole: false,
     }));
     let with_prefix = |number| RequestTicket { prefixes: vec![7, 8], ..ticket(number, "a", 10) };
@@ -237,14 +237,14 @@
         endpoint: endpoint(1),
         stored: vec![7],
         dropped: vec![],
-        kept: vec![],
+        cached_parts: vec![],
         whole: false,
     }));
     harness.step(ShardEvent::Cache(CacheUpdate {
         endpoint: endpoint(1),
         stored: vec![],
         dropped: vec![7],
-        kept: vec![],
+        cached_parts: vec![],
         whole: false,
     }));
     harness.submit(1, RequestTicket { prefixes: vec![7], ..ticket(1, "a", 10) });
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -223,9 +223,14 @@
 #[test]
 fn parts_kept_before_the_shard_started_are_used() {
     let mut harness = engines(2, &["a"]);
-    let kept = vec![CachedPart { prefix: 7, tokens: 13_000 }];
-    let news =
-        CacheUpdate { endpoint: endpoint(1), stored: Vec::new(), dropped: Vec::new(), kept, whole: true };
+    let cached_parts = vec![CachedPart { prefix: 7, tokens: 13_000 }];
+    let news = CacheUpdate {
+        endpoint: endpoint(1),
+        stored: Vec::new(),
+        dropped: Vec::new(),
+        cached_parts,
+        whole: true,
+    };
     harness.step(ShardEvent::Cache(news));
     for number in 0..3 {
         harness.submit(1, prompt(number, "a", (7, 13_000), 1_000));
@@ -262,7 +267,7 @@
         endpoint: endpoint(0),
         stored: Vec::new(),
         dropped: Vec::new(),
-        kept: Vec::new(),
+        cached_parts: Vec::new(),
         whole: false,
     }
 }
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -154,7 +154,7 @@
             endpoint: endpoint(engine),
             stored: Vec::new(),
             dropped: Vec::new(),
-            kept: vec![part],
+            cached_parts: vec![part],
             whole: true,
         };
         fleet.harness.step(ShardEvent::Cache(news));
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -133,7 +133,7 @@
     }
 
     fn pace(&self) -> PrefillStatus {
-        self.harness.core.status(self.harness.now).endpoints[0].pace.expect("the endpoint is an engine")
+        self.harness.core.status(self.harness.now).endpoints[0].prefill.expect("the endpoint is an engine")
     }
 }
 
--- a/crates/micaspool-dispatch/tests/shard/scaling.rs
+++ b/crates/micaspool-dispatch/tests/shard/scaling.rs
@@ -33,16 +33,16 @@
 }
 
 fn rounds(harness: &ShardHarness) -> u64 {
-    harness.core.status(harness.now).rounds
+    harness.core.status(harness.now).passes
 }
 
 fn cache_news(number: usize) -> ShardEvent {
-    let kept = vec![CachedPart { prefix: number as u64, tokens: 3_000 }];
+    let cached_parts = vec![CachedPart { prefix: number as u64, tokens: 3_000 }];
     let news = CacheUpdate {
         endpoint: endpoint(number),
         stored: Vec::new(),
         dropped: Vec::new(),
-        kept,
+        cached_parts,
         whole: false,
     };
     ShardEvent::Cache(news)
--- a/crates/micaspool-dispatcher/src/binding.rs
+++ b/crates/micaspool-dispatcher/src/binding.rs
@@ -41,8 +41,8 @@
             Some(EndpointClosure::Paused) => EndpointBound::Paused,
             Some(_) => EndpointBound::Leaving,
             None if endpoint.free => EndpointBound::Nothing,
-            None if endpoint.spaced => EndpointBound::Cold,
-            None if endpoint.reading => EndpointBound::Reading,
+            None if endpoint.cold_limited => EndpointBound::Cold,
+            None if endpoint.prefill_limited => EndpointBound::Reading,
             None => EndpointBound::Slots,
         }
     }
--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -94,9 +94,14 @@
         tokio::time::sleep((FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE)).await;
     }
 
-    async fn tell(&self, kept: Vec<CachedPart>, dropped: Vec<u64>, whole: bool) -> Result<(), ShardEnded> {
+    async fn tell(
+        &self,
+        cached_parts: Vec<CachedPart>,
+        dropped: Vec<u64>,
+        whole: bool,
+    ) -> Result<(), ShardEnded> {
         let endpoint = self.endpoint.name.clone();
-        let news = CacheUpdate { endpoint, stored: Vec::new(), dropped, kept, whole };
+        let news = CacheUpdate { endpoint, stored: Vec::new(), dropped, cached_parts, whole };
         let sent = self.inputs.send(ShardInput::Event(ShardEvent::Cache(news))).await;
         sent.map_err(|_| ShardEnded)
     }
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -338,7 +338,7 @@
             endpoint,
             stored: answer.stored,
             dropped: answer.dropped,
-            kept: Vec::new(),
+            cached_parts: Vec::new(),
             whole: false,
         };
         let _ = inputs.send(ShardInput::Event(ShardEvent::Cache(news))).await;
--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -96,7 +96,7 @@
 
 /// The slowest learnt pace of a shard's engines, in tokens a millisecond; zero before any was learnt.
 fn slowest_pace(status: &ShardStatus) -> f64 {
-    let learnt = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
+    let learnt = status.endpoints.iter().filter_map(|endpoint| endpoint.prefill);
     let learnt = learnt.filter(|pace| pace.age.is_some()).map(|pace| pace.tokens_per_milli);
     learnt.reduce(f64::min).unwrap_or(0.0)
 }
@@ -130,7 +130,7 @@
                 "failures": endpoint.failures,
                 "cold_ms": endpoint.cold.as_millis() as u64,
                 "rests_for_routers": endpoint.resting_routers,
-                "pace": endpoint.pace.map(pace_json),
+                "pace": endpoint.prefill.map(pace_json),
             })
         });
         json!({
@@ -140,7 +140,7 @@
             "routers": status.routers,
             "waiting": status.waiting,
             "running": status.running,
-            "rounds": status.rounds,
+            "rounds": status.passes,
             "gap": level_gap(&status),
             "customers": customers.collect::<Vec<_>>(),
             "endpoints": endpoints.collect::<Vec<_>>(),
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -177,7 +177,7 @@
         field("endpoints_cold", count(|endpoint| !endpoint.cold.is_zero())),
         field("endpoints_resting", count(|endpoint| endpoint.resting_routers > 0)),
         field("endpoints_free", count(|endpoint| endpoint.free)),
-        field("endpoints_reading", count(|endpoint| endpoint.reading)),
+        field("endpoints_reading", count(|endpoint| endpoint.prefill_limited)),
         field("endpoints_failing", count(|endpoint| endpoint.failures > 0)),
         field("foreign", status.endpoints.iter().map(|endpoint| endpoint.foreign).sum::<u32>()),
     ]
@@ -185,7 +185,7 @@
 
 /// What is known of the paces of engines.
 fn pace_fields(status: &ShardStatus) -> Vec<EventField> {
-    let paces = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
+    let paces = status.endpoints.iter().filter_map(|endpoint| endpoint.prefill);
     let observed: Vec<PrefillStatus> = paces.filter(|pace| pace.age.is_some()).collect();
     let speeds = || observed.iter().map(|pace| pace.tokens_per_milli);
     let latencies: Duration = observed.iter().map(|pace| pace.latency).sum();
--- a/crates/micaspool-replay/src/run/endpoints.rs
+++ b/crates/micaspool-replay/src/run/endpoints.rs
@@ -85,7 +85,7 @@
         let surplus = target.cache.len().saturating_sub(CACHE);
         let dropped = target.cache.drain(..surplus).collect();
         let (endpoint, stored) = (endpoint_name(endpoint), prefixes.to_vec());
-        (hit, CacheUpdate { endpoint, stored, dropped, kept: Vec::new(), whole: false })
+        (hit, CacheUpdate { endpoint, stored, dropped, cached_parts: Vec::new(), whole: false })
     }
 
     /// The number of the present run of a request; zero when it does not run.
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -213,7 +213,7 @@
                     endpoint: engine(number),
                     stored: Vec::new(),
                     dropped: Vec::new(),
-                    kept: (0..NEWS_PARTS).map(part).collect(),
+                    cached_parts: (0..NEWS_PARTS).map(part).collect(),
                     whole: false,
                 };
                 self.step(now, ShardEvent::Cache(news));
