--- a/crates/micaspool-dispatch/tests/shard/capacity.rs
+++ b/crates/micaspool-dispatch/tests/shard/capacity.rs
@@ -130,11 +130,11 @@
 #[test_case(GrantOutcome::Unreachable; "unreachable")]
 #[test_case(GrantOutcome::Refused; "full")]
 #[test_case(GrantOutcome::Broken; "broken")]
-fn after_a_failure_an_endpoint_is_paused_and_then_probed_by_one_request(fate: GrantOutcome) {
+fn after_a_failure_an_endpoint_is_paused_and_then_probed_by_one_request(outcome: GrantOutcome) {
     let mut harness = ShardHarness::new(1, 4, &["a"]);
     harness.join(1, hello("r1", 1));
     harness.submit(1, ticket(1, "a", 10));
-    harness.settle(1, 1, 0, fate);
+    harness.settle(1, 1, 0, outcome);
     harness.take_grants();
     for number in 2..=5 {
         harness.submit(1, ticket(number, "a", 10));
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -84,14 +84,14 @@
     }
 
     /// Submits `per_step` prompts every 10 ms for `millis`. A grant reaches its endpoint after `delay`, and
-    /// its request ends `work` ms later with `fate`.
+    /// its request ends `work` ms later with `outcome`.
     fn run_load(
         &mut self,
         millis: u64,
         per_step: usize,
         mut delay: impl FnMut() -> u64,
         work: u64,
-        mut fate: impl FnMut() -> GrantOutcome,
+        mut outcome: impl FnMut() -> GrantOutcome,
     ) {
         for _ in 0..millis / 10 {
             for _ in 0..per_step {
@@ -111,8 +111,8 @@
                 self.harness.step(ShardEvent::Progress(SessionId(1), request_id(request), Cost(1)));
             }
             for request in take_due(&mut self.running, now) {
-                let fate = fate();
-                self.harness.settle(1, request, 1, fate);
+                let outcome = outcome();
+                self.harness.settle(1, request, 1, outcome);
             }
         }
     }
@@ -266,9 +266,9 @@
             let is_unsent = rng.random_bool(0.3);
             let work = rng.random_range(10..400);
             let mut delays = ChaCha8Rng::seed_from_u64(seed * 2 + shard);
-            let fate = || if is_unsent { GrantOutcome::Unsent } else { GrantOutcome::Done };
+            let outcome = || if is_unsent { GrantOutcome::Unsent } else { GrantOutcome::Done };
             let began = hall.harness.now;
-            hall.run_load(1_200, 1, || delays.random_range(0..spread), work, fate);
+            hall.run_load(1_200, 1, || delays.random_range(0..spread), work, outcome);
             let all = hall.arrivals.into_values().flatten();
             let shift = Duration::from_millis(offset * shard);
             arrivals.extend(all.map(|at| Moment(0) + at.since(began) + shift));
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -224,14 +224,14 @@
 fn parts_kept_before_the_shard_started_are_used() {
     let mut harness = engines(2, &["a"]);
     let cached_parts = vec![CachedPart { prefix: 7, tokens: 13_000 }];
-    let news = CacheUpdate {
+    let update = CacheUpdate {
         endpoint: endpoint(1),
         stored: Vec::new(),
         dropped: Vec::new(),
         cached_parts,
         whole: true,
     };
-    harness.step(ShardEvent::Cache(news));
+    harness.step(ShardEvent::Cache(update));
     for number in 0..3 {
         harness.submit(1, prompt(number, "a", (7, 13_000), 1_000));
         assert_eq!(harness.take_grants().first().map(|grant| grant.endpoint.clone()), Some(endpoint(1)));
@@ -244,7 +244,7 @@
 /// assumptions.
 #[test_case::test_case(CacheUpdate { dropped: vec![7], ..nothing_new() }; "a part is dropped")]
 #[test_case::test_case(CacheUpdate { whole: true, ..nothing_new() }; "a list without the part")]
-fn parts_that_an_engine_dropped_are_not_expected(news: CacheUpdate) {
+fn parts_that_an_engine_dropped_are_not_expected(update: CacheUpdate) {
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(1, "a", (7, 13_000), 10));
     let first = harness.take_grants()[0].endpoint.clone();
@@ -252,7 +252,7 @@
     harness.advance_with_heartbeats(1_000, &[1]);
     let busy = RequestTicket { avoid: Some(other_endpoint(&first)), ..prompt(2, "a", (8, 2_000), 10) };
     harness.submit(1, busy);
-    harness.step(ShardEvent::Cache(CacheUpdate { endpoint: first.clone(), ..news }));
+    harness.step(ShardEvent::Cache(CacheUpdate { endpoint: first.clone(), ..update }));
     harness.take_grants();
     harness.submit(1, prompt(3, "a", (7, 13_000), 10));
     assert_ne!(
--- a/crates/micaspool-dispatch/tests/shard/failure_tolerance.rs
+++ b/crates/micaspool-dispatch/tests/shard/failure_tolerance.rs
@@ -4,16 +4,16 @@
 use micaspool_dispatch::{GrantOutcome, ShardOptions};
 use test_case::test_case;
 
-/// Settles requests with these fates at the only endpoint and returns how many grants the next request gets:
+/// Settles requests with these outcomes at the only endpoint and returns how many grants the next request gets:
 /// 1 while the endpoint is open, 0 while it is paused.
-fn grants_after_fates(tolerated: u32, fates: &[GrantOutcome]) -> usize {
+fn grants_after_outcomes(tolerated: u32, outcomes: &[GrantOutcome]) -> usize {
     let options = ShardOptions::builder().tolerated_breaks(tolerated).build();
     let mut harness = ShardHarness::recovering(1, 4, &["a"], options);
     harness.advance(1_000);
     harness.join(1, hello("r1", 1));
-    for (number, fate) in fates.iter().enumerate() {
+    for (number, outcome) in outcomes.iter().enumerate() {
         harness.submit(1, ticket(number as u128, "a", 10));
-        harness.settle(1, number as u128, 10, *fate);
+        harness.settle(1, number as u128, 10, *outcome);
     }
     harness.take_grants();
     harness.submit(1, ticket(99, "a", 10));
@@ -27,7 +27,7 @@
 #[test_case(2, &[GrantOutcome::Unreachable] => 0; "an unreachable endpoint is paused at once")]
 fn consecutive_failures_beyond_the_tolerance_pause_an_endpoint(
     tolerated: u32,
-    fates: &[GrantOutcome],
+    outcomes: &[GrantOutcome],
 ) -> usize {
-    grants_after_fates(tolerated, fates)
+    grants_after_outcomes(tolerated, outcomes)
 }
--- a/crates/micaspool-dispatch/tests/shard/faults.rs
+++ b/crates/micaspool-dispatch/tests/shard/faults.rs
@@ -42,16 +42,16 @@
 }
 
 #[test_case(&[GrantOutcome::Done, GrantOutcome::Done]; "duplicated")]
-#[test_case(&[GrantOutcome::Done, GrantOutcome::Broken]; "duplicated with another fate")]
-fn a_duplicated_settle_report_frees_its_slot_once(fates: &[GrantOutcome]) {
+#[test_case(&[GrantOutcome::Done, GrantOutcome::Broken]; "duplicated with another outcome")]
+fn a_duplicated_settle_report_frees_its_slot_once(outcomes: &[GrantOutcome]) {
     let mut harness = ShardHarness::new(1, 2, &["a"]);
     harness.join(1, hello("r1", 1));
     for number in 1..=4 {
         harness.submit(1, ticket(number, "a", 10));
     }
     assert_eq!(harness.take_granted_requests(), vec![1, 2]);
-    for fate in fates {
-        harness.settle(1, 1, 5, *fate);
+    for outcome in outcomes {
+        harness.settle(1, 1, 5, *outcome);
     }
     assert_eq!(harness.take_granted_requests(), vec![3]);
 }
--- a/crates/micaspool-dispatch/tests/shard/harness.rs
+++ b/crates/micaspool-dispatch/tests/shard/harness.rs
@@ -162,8 +162,8 @@
         self.step(ShardEvent::Submit(SessionId(session), ticket));
     }
 
-    pub fn settle(&mut self, session: u64, request: u128, cost: u64, fate: GrantOutcome) {
-        self.step(ShardEvent::Settle(SessionId(session), request_id(request), Cost(cost), fate));
+    pub fn settle(&mut self, session: u64, request: u128, cost: u64, outcome: GrantOutcome) {
+        self.step(ShardEvent::Settle(SessionId(session), request_id(request), Cost(cost), outcome));
     }
 
     pub fn report_load(&mut self, endpoint_number: usize, running: u32, draining: bool) {
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -150,14 +150,14 @@
     let mut fleet = EngineFleet::new(40);
     let part = CachedPart { prefix: 7, tokens: 10_000 };
     for engine in 0..HOLDERS {
-        let news = CacheUpdate {
+        let update = CacheUpdate {
             endpoint: endpoint(engine),
             stored: Vec::new(),
             dropped: Vec::new(),
             cached_parts: vec![part],
             whole: true,
         };
-        fleet.harness.step(ShardEvent::Cache(news));
+        fleet.harness.step(ShardEvent::Cache(update));
     }
     let prompt = |number: u128, own: u32| RequestTicket {
         prefixes: vec![part.prefix, 1_000 + number as u64],
--- a/crates/micaspool-dispatch/tests/shard/outage.rs
+++ b/crates/micaspool-dispatch/tests/shard/outage.rs
@@ -45,8 +45,8 @@
         SteadyCallers { harness, next: 1 }
     }
 
-    /// Submits requests for `millis`; each grant is settled at once with `fate`.
-    fn run_for(&mut self, millis: u64, mut fate: impl FnMut() -> GrantOutcome) -> RequestOutcome {
+    /// Submits requests for `millis`; each grant is settled at once with `grant_outcome`.
+    fn run_for(&mut self, millis: u64, mut grant_outcome: impl FnMut() -> GrantOutcome) -> RequestOutcome {
         let mut outcome = RequestOutcome::default();
         for _ in 0..millis / REQUEST_INTERVAL_MILLIS {
             self.next += 1;
@@ -56,7 +56,7 @@
             self.harness.advance_with_heartbeats(REQUEST_INTERVAL_MILLIS, &[1]);
             while !self.harness.actions.is_empty() {
                 for action in std::mem::take(&mut self.harness.actions) {
-                    self.take_action(action, &mut fate, &mut outcome);
+                    self.take_action(action, &mut grant_outcome, &mut outcome);
                 }
             }
         }
@@ -66,16 +66,19 @@
     fn take_action(
         &mut self,
         action: ShardAction,
-        fate: &mut impl FnMut() -> GrantOutcome,
+        grant_outcome: &mut impl FnMut() -> GrantOutcome,
         outcome: &mut RequestOutcome,
     ) {
         match action {
             ShardAction::Grant { request, .. } => {
-                let fate = fate();
-                let counter =
-                    if fate == GrantOutcome::Done { &mut outcome.served } else { &mut outcome.failed };
+                let grant_outcome = grant_outcome();
+                let counter = if grant_outcome == GrantOutcome::Done {
+                    &mut outcome.served
+                } else {
+                    &mut outcome.failed
+                };
                 *counter += 1;
-                self.harness.settle(1, request.0, 1, fate);
+                self.harness.settle(1, request.0, 1, grant_outcome);
             }
             ShardAction::Refuse { .. } => outcome.refused += 1,
             _ => {}
@@ -87,10 +90,10 @@
 #[test_case(12_000, GrantOutcome::Unreachable; "unreachable for twelve seconds")]
 #[test_case(40_000, GrantOutcome::Unreachable; "unreachable for forty seconds")]
 #[test_case(12_000, GrantOutcome::Refused; "full for twelve seconds")]
-fn a_service_is_used_again_soon_after_all_its_endpoints_return(millis: u64, fate: GrantOutcome) {
+fn a_service_is_used_again_soon_after_all_its_endpoints_return(millis: u64, grant_outcome: GrantOutcome) {
     let mut callers = SteadyCallers::new();
     callers.run_for(1_000, || GrantOutcome::Done);
-    callers.run_for(millis, || fate);
+    callers.run_for(millis, || grant_outcome);
     callers.run_for(RECOVERY_MILLIS, || GrantOutcome::Done);
     let after = callers.run_for(1_000, || GrantOutcome::Done);
     assert!(after.served >= 45 && after.refused == 0, "{after:?}");
@@ -118,7 +121,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut callers = SteadyCallers::new();
     callers.run_for(1_000, || GrantOutcome::Done);
-    let draw_fate = |rng: &mut ChaCha8Rng| {
+    let draw_outcome = |rng: &mut ChaCha8Rng| {
         if rng.random_bool(0.5) {
             GrantOutcome::Done
         } else {
@@ -126,7 +129,7 @@
         }
     };
     for second in 0..8 {
-        let outcome = callers.run_for(1_000, || draw_fate(&mut rng));
+        let outcome = callers.run_for(1_000, || draw_outcome(&mut rng));
         assert!(outcome.served > 0, "nothing was served in second {second}: {outcome:?}");
     }
 }
--- a/crates/micaspool-dispatch/tests/shard/poison.rs
+++ b/crates/micaspool-dispatch/tests/shard/poison.rs
@@ -145,9 +145,9 @@
         self.away.iter().any(|(number, _)| number_of(endpoint) == *number)
     }
 
-    fn settle(&mut self, request: u128, fate: GrantOutcome) {
+    fn settle(&mut self, request: u128, outcome: GrantOutcome) {
         let run = self.running.remove(&request).expect("the request is running");
-        self.harness.settle(run.session, request, 10, fate);
+        self.harness.settle(run.session, request, 10, outcome);
         self.take_actions();
     }
 
--- a/crates/micaspool-dispatch/tests/shard/scaling.rs
+++ b/crates/micaspool-dispatch/tests/shard/scaling.rs
@@ -36,16 +36,16 @@
     harness.core.status(harness.now).passes
 }
 
-fn cache_news(number: usize) -> ShardEvent {
+fn cache_update(number: usize) -> ShardEvent {
     let cached_parts = vec![CachedPart { prefix: number as u64, tokens: 3_000 }];
-    let news = CacheUpdate {
+    let update = CacheUpdate {
         endpoint: endpoint(number),
         stored: Vec::new(),
         dropped: Vec::new(),
         cached_parts,
         whole: false,
     };
-    ShardEvent::Cache(news)
+    ShardEvent::Cache(update)
 }
 
 #[test_case(30)]
@@ -57,7 +57,7 @@
     let before = rounds(&harness);
     for index in 0..1_000 {
         harness.now = harness.now + Duration::from_millis(1);
-        harness.step(cache_news(index % engines));
+        harness.step(cache_update(index % engines));
     }
     let passes = rounds(&harness) - before;
     assert!(passes <= MAX_ROUNDS, "{passes} passes over all tickets in a second");
@@ -82,7 +82,7 @@
     let mut harness = saturated_shard(30);
     harness.now = harness.now + Duration::from_millis(15);
     let before = rounds(&harness);
-    harness.step(cache_news(1));
+    harness.step(cache_update(1));
     harness.now = harness.now + Duration::from_millis(5);
     harness.step(ShardEvent::Wake);
     assert_eq!(rounds(&harness) - before, 1);
--- a/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
@@ -163,7 +163,7 @@
             }
             Step::Retry(caller) => self.submit_request(caller),
             Step::Begin(number) => self.begin(number),
-            Step::End(number, fate) => self.end(number, fate),
+            Step::End(number, outcome) => self.end(number, outcome),
             Step::LoseEngine(engine) => self.lose_engine(engine),
             Step::Tick => {
                 self.schedule(self.now + TICK, Step::Tick);
@@ -294,34 +294,34 @@
         self.schedule(self.now + run, Step::End(number, GrantOutcome::Done));
     }
 
-    fn end(&mut self, number: u128, fate: GrantOutcome) {
+    fn end(&mut self, number: u128, outcome: GrantOutcome) {
         let Some(open) = self.open.get(&number).copied() else { return };
         let engine = open.engine.expect("the request was granted");
         let is_lost = matches!(self.engines[engine].loss, Some(LossKind::Gone | LossKind::Silent));
-        if fate == GrantOutcome::Done && is_lost {
+        if outcome == GrantOutcome::Done && is_lost {
             return;
         }
         self.open.remove(&number);
         let load = &self.plan.customers[open.caller.customer];
-        let cost = match fate {
+        let cost = match outcome {
             GrantOutcome::Done => u64::from(load.part_tokens + open.caller.own_tokens),
             _ => 0,
         };
-        self.harness.settle(open.router, number, cost, fate);
-        if fate == GrantOutcome::Unreachable {
+        self.harness.settle(open.router, number, cost, outcome);
+        if outcome == GrantOutcome::Unreachable {
             self.refuse(open.caller, Duration::from_secs(1));
         }
     }
 
     fn lose_engine(&mut self, engine: usize) {
         self.engines[engine].loss = Some(self.plan.loss);
-        let (fate, after) = match self.plan.loss {
+        let (outcome, after) = match self.plan.loss {
             LossKind::Gone => (GrantOutcome::Severed, Duration::ZERO),
             LossKind::Silent => (GrantOutcome::Broken, SILENT_RUN),
             LossKind::Slow => return,
         };
         let running = self.open.iter().filter(|(_, open)| open.engine == Some(engine));
         let running: BTreeSet<u128> = running.map(|(number, _)| *number).collect();
-        running.into_iter().for_each(|number| self.schedule(self.now + after, Step::End(number, fate)));
+        running.into_iter().for_each(|number| self.schedule(self.now + after, Step::End(number, outcome)));
     }
 }
--- a/crates/micaspool-dispatch/tests/shard/suspects.rs
+++ b/crates/micaspool-dispatch/tests/shard/suspects.rs
@@ -123,11 +123,11 @@
 #[test_case(GrantOutcome::Abandoned, false; "a caller that left")]
 #[test_case(GrantOutcome::Broken, false; "a deadline")]
 #[test_case(GrantOutcome::Refused, false; "an endpoint that was full")]
-fn only_a_complete_answer_clears_a_request(fate: GrantOutcome, is_cleared: bool) {
+fn only_a_complete_answer_clears_a_request(outcome: GrantOutcome, is_cleared: bool) {
     let mut harness = fleet(6);
     crash_endpoints(&mut harness, SUSPECT_DIGEST, 1, 2);
     submit_granted(&mut harness, 1, ticket_with_digest(3, SUSPECT_DIGEST));
-    harness.settle(1, 3, 10, fate);
+    harness.settle(1, 3, 10, outcome);
     crash_endpoints(&mut harness, SUSPECT_DIGEST, 4, 1);
     let next = submit_refusal(&mut harness, 1, ticket_with_digest(5, SUSPECT_DIGEST));
     assert_eq!(next.is_none(), is_cleared, "{next:?}");
@@ -136,11 +136,11 @@
 #[test_case(GrantOutcome::Broken; "a deadline or an unusable answer")]
 #[test_case(GrantOutcome::Unreachable; "no connection")]
 #[test_case(GrantOutcome::Draining; "an endpoint that leaves")]
-fn other_failures_are_no_evidence_against_a_request(fate: GrantOutcome) {
+fn other_failures_are_no_evidence_against_a_request(outcome: GrantOutcome) {
     let mut harness = fleet(8);
     for number in 1..=6 {
         submit_granted(&mut harness, 1, ticket_with_digest(number, SUSPECT_DIGEST));
-        harness.settle(1, number, 0, fate);
+        harness.settle(1, number, 0, outcome);
         harness.advance_with_heartbeats(1_000, &[1, 2]);
     }
     assert_eq!(submit_refusal(&mut harness, 1, ticket_with_digest(7, SUSPECT_DIGEST)), None);
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -49,7 +49,7 @@
     /// shows whether it responds.
     fn candidate(&self, sight: &KeeperSight) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
-        let reach = match sight.reach {
+        let health = match sight.reach {
             KeeperReach::Pending => CandidateHealth::Pending,
             KeeperReach::Reached if sight.quiet => CandidateHealth::Unresponsive,
             KeeperReach::Reached => CandidateHealth::Answering,
@@ -57,7 +57,7 @@
         };
         Some(DispatcherCandidate {
             address: DispatcherAddress::Remote(address),
-            kind: CandidateKind::Observed(reach),
+            kind: CandidateKind::Observed(health),
         })
     }
 }
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -113,7 +113,7 @@
         let UsableAnswer { lease, response } = answer;
         let (mut head, body) = response.into_parts();
         let time_left = self.deadline.saturating_duration_since(BootInstant::now());
-        let (cause, fate) = match timeout(time_left, body.collect()).await {
+        let (cause, outcome) = match timeout(time_left, body.collect()).await {
             Ok(Ok(whole)) => {
                 lease.settle(Cost(1), GrantOutcome::Done);
                 strip_hop_by_hop(&mut head.headers);
@@ -125,7 +125,7 @@
             Ok(Err(error)) => (error.to_string(), GrantOutcome::Severed),
             Err(_) => ("response body incomplete at the deadline".to_owned(), GrantOutcome::Broken),
         };
-        lease.settle(Cost(1), fate);
+        lease.settle(Cost(1), outcome);
         Err(cause)
     }
 
@@ -297,7 +297,7 @@
             Ok(Err(error)) => SendFailure::from_error(&error),
             Err(_) => SendFailure::deadline(),
         };
-        lease.settle(Cost(0), failure.fate);
+        lease.settle(Cost(0), failure.outcome);
         Err(failure)
     }
 
--- a/crates/micaspool-gateway/src/proxy/failure.rs
+++ b/crates/micaspool-gateway/src/proxy/failure.rs
@@ -8,7 +8,7 @@
 /// A send without an answer that may be passed on.
 pub(super) struct SendFailure {
     /// The outcome reported for the grant.
-    pub fate: GrantOutcome,
+    pub outcome: GrantOutcome,
     /// The kind of failure in logs and metrics.
     pub kind: &'static str,
     /// The error message for the log.
@@ -23,7 +23,7 @@
     /// No answer arrived before the deadline.
     pub fn deadline() -> SendFailure {
         SendFailure {
-            fate: GrantOutcome::Broken,
+            outcome: GrantOutcome::Broken,
             kind: "deadline",
             cause: "no answer before the deadline".to_owned(),
             not_run: false,
@@ -33,19 +33,25 @@
 
     /// The send failed without a response.
     pub fn from_error(error: &SendError) -> SendFailure {
-        let (kind, fate) = match error {
+        let (kind, outcome) = match error {
             SendError::Unreachable(_) => ("unreachable", GrantOutcome::Unreachable),
             SendError::NotSent => ("not-sent", GrantOutcome::Unreachable),
             SendError::Withheld => ("withheld", GrantOutcome::NotHeld),
             SendError::Broken(_) => ("broken", GrantOutcome::Severed),
         };
         let not_sent = error.is_not_sent();
-        SendFailure { fate, kind, cause: error.to_string(), not_run: not_sent, reached_endpoint: !not_sent }
+        SendFailure {
+            outcome,
+            kind,
+            cause: error.to_string(),
+            not_run: not_sent,
+            reached_endpoint: !not_sent,
+        }
     }
 
     /// A response arrived that can't be passed on.
     pub fn from_answer(verdict: AnswerVerdict, status: StatusCode) -> SendFailure {
-        let (kind, fate, not_run) = match verdict {
+        let (kind, outcome, not_run) = match verdict {
             AnswerVerdict::NotRun(NotRunReason::Full) => ("full", GrantOutcome::Refused, true),
             AnswerVerdict::NotRun(NotRunReason::WrongEndpoint) => {
                 ("other-endpoint", GrantOutcome::Draining, true)
@@ -56,6 +62,6 @@
                 ("unproven-answer", GrantOutcome::Broken, false)
             }
         };
-        SendFailure { fate, kind, cause: format!("status {status}"), not_run, reached_endpoint: true }
+        SendFailure { outcome, kind, cause: format!("status {status}"), not_run, reached_endpoint: true }
     }
 }
--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -50,7 +50,7 @@
 
 impl RelayError {
     /// The outcome reported for the grant of such an answer.
-    fn fate(&self) -> GrantOutcome {
+    fn outcome(&self) -> GrantOutcome {
         match self {
             RelayError::Endpoint(_) => GrantOutcome::Severed,
             RelayError::Deadline => GrantOutcome::Broken,
@@ -195,14 +195,14 @@
 
     fn abort_answer(&mut self, error: RelayError) -> BodyError {
         self.is_ended = true;
-        self.settle(error.fate());
+        self.settle(error.outcome());
         self.log.finish_broken(&error.to_string());
         Box::new(error)
     }
 
-    fn settle(&mut self, fate: GrantOutcome) {
+    fn settle(&mut self, outcome: GrantOutcome) {
         if let Some(lease) = self.lease.take() {
-            lease.settle(self.meter.cost(), fate);
+            lease.settle(self.meter.cost(), outcome);
         }
     }
 
@@ -215,7 +215,7 @@
             return false;
         }
         self.log.log_failure("stream-broken", &cause.to_string(), false);
-        self.settle(error.fate());
+        self.settle(error.outcome());
         let last_event = last.to_string();
         let next = self.attempts.next_answer(&self.gateway, &mut self.log, Some(&last_event)).await;
         match next {
--- a/crates/micaspool-router/src/relay.rs
+++ b/crates/micaspool-router/src/relay.rs
@@ -49,10 +49,10 @@
         }
     }
 
-    fn settle_once(&mut self, fate: GrantOutcome) {
+    fn settle_once(&mut self, outcome: GrantOutcome) {
         let cost = self.meter.cost();
         if let Some(lease) = self.lease.take() {
-            lease.settle(cost, fate);
+            lease.settle(cost, outcome);
             self.metrics.cost.inc_by(cost.0);
         }
         if let Some(mut span) = self.span.take() {
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -183,14 +183,14 @@
         let fields = [field("request", plan.request), field("endpoint", &endpoint), field("error", error)];
         record(kind, &fields);
         self.apply_advice(plan, &endpoint, error);
-        let fate = match error {
+        let outcome = match error {
             EndpointError::Unreachable => GrantOutcome::Unreachable,
             EndpointError::Refused { .. } => GrantOutcome::Refused,
             EndpointError::Draining { .. } => GrantOutcome::Draining,
             EndpointError::ConnectionLost => GrantOutcome::Severed,
             EndpointError::NoAnswer | EndpointError::WrongRequest => GrantOutcome::Broken,
         };
-        grant.lease.settle(Cost(0), fate);
+        grant.lease.settle(Cost(0), outcome);
         if error.is_not_run() || plan.is_repeatable {
             AttemptEnd::Retry(endpoint)
         } else {
--- a/crates/micaspool-router/src/shard_client/lease.rs
+++ b/crates/micaspool-router/src/shard_client/lease.rs
@@ -87,21 +87,21 @@
     }
 
     /// Ends the grant with its cost and outcome.
-    pub fn settle(mut self, cost: Cost, fate: GrantOutcome) {
-        self.end_once(cost, fate);
+    pub fn settle(mut self, cost: Cost, outcome: GrantOutcome) {
+        self.end_once(cost, outcome);
     }
 
-    fn end_once(&mut self, cost: Cost, fate: GrantOutcome) {
+    fn end_once(&mut self, cost: Cost, outcome: GrantOutcome) {
         if !self.is_ended {
             self.is_ended = true;
-            self.client.lock_state().settle(self.request, cost, fate);
+            self.client.lock_state().settle(self.request, cost, outcome);
         }
     }
 }
 
 impl Drop for GrantLease {
     fn drop(&mut self) {
-        let fate = if self.is_sent { GrantOutcome::Abandoned } else { GrantOutcome::Unsent };
-        self.end_once(self.delivered, fate);
+        let outcome = if self.is_sent { GrantOutcome::Abandoned } else { GrantOutcome::Unsent };
+        self.end_once(self.delivered, outcome);
     }
 }
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -231,18 +231,18 @@
     }
 
     /// Ends a grant and reports its cost and outcome.
-    pub fn settle(&mut self, request: RequestId, cost: Cost, fate: GrantOutcome) {
+    pub fn settle(&mut self, request: RequestId, cost: Cost, outcome: GrantOutcome) {
         if let Some(grant) = self.running.remove(&request) {
-            self.record_outcome(&grant, fate);
-            self.send_settle(request, cost, fate);
+            self.record_outcome(&grant, outcome);
+            self.send_settle(request, cost, outcome);
         }
     }
 
     /// Remembers requests during which an endpoint seems to have crashed, so that the next hello carries them.
-    fn record_outcome(&mut self, grant: &HeldGrant, fate: GrantOutcome) {
+    fn record_outcome(&mut self, grant: &HeldGrant, outcome: GrantOutcome) {
         let Some(digest) = grant.digest else { return };
         let now = self.current_moment();
-        match fate {
+        match outcome {
             GrantOutcome::Severed => {
                 self.crashes.note_crash(now, digest, &grant.customer, &grant.endpoint);
             }
@@ -262,8 +262,8 @@
         }
     }
 
-    fn send_settle(&mut self, request: RequestId, cost: Cost, fate: GrantOutcome) {
-        self.send(Body::Settle(settle_message(request, cost, fate)));
+    fn send_settle(&mut self, request: RequestId, cost: Cost, outcome: GrantOutcome) {
+        self.send(Body::Settle(settle_message(request, cost, outcome)));
     }
 
     /// Handles a message from the dispatcher. Returns false if the dispatcher asks for a new session.
--- a/crates/micaspool-router/tests/link.rs
+++ b/crates/micaspool-router/tests/link.rs
@@ -252,14 +252,14 @@
 #[test_case(Behaviour::Moves, GrantOutcome::Done => 0; "a complete answer")]
 #[test_case(Behaviour::Moves, GrantOutcome::Broken => 0; "a deadline")]
 #[test_case(Behaviour::ClearsAndMoves, GrantOutcome::Severed => 0; "a request that the dispatcher cleared")]
-fn hello_to_the_next_dispatcher_carries_crash_records(behaviour: Behaviour, fate: GrantOutcome) -> usize {
+fn hello_to_the_next_dispatcher_carries_crash_records(behaviour: Behaviour, outcome: GrantOutcome) -> usize {
     task::block_on(async {
         let received = SharedMessages::default();
         let address = start_recording(behaviour, received.clone()).await;
         let client = client(address, address);
         let mut lease = client.acquire(ticket(1), None).await.expect("the dispatcher grants");
         lease.mark_sent();
-        lease.settle(Cost(1), fate);
+        lease.settle(Cost(1), outcome);
         wait_for(&received, |received| received.hellos.len() > 1).await;
         let received = received.lock().expect("the lock is not poisoned");
         received.hellos[1].crashes.len()
