--- a/crates/micaspool-fair/src/index.rs
+++ b/crates/micaspool-fair/src/index.rs
@@ -66,18 +66,18 @@
 /// The position of a search in one placement class.
 struct ClassCursor<'a> {
     entry: (Rank, CustomerIndex),
-    rest: std::collections::btree_set::Iter<'a, (Rank, CustomerIndex)>,
+    remaining: std::collections::btree_set::Iter<'a, (Rank, CustomerIndex)>,
 }
 
 impl<'a> ClassCursor<'a> {
     fn start(class: &'a BTreeSet<(Rank, CustomerIndex)>) -> Option<ClassCursor<'a>> {
-        let mut rest = class.iter();
-        let entry = *rest.next()?;
-        Some(ClassCursor { entry, rest })
+        let mut remaining = class.iter();
+        let entry = *remaining.next()?;
+        Some(ClassCursor { entry, remaining })
     }
 
     fn advance(&mut self) -> bool {
-        let next = self.rest.next();
+        let next = self.remaining.next();
         self.entry = next.copied().unwrap_or(self.entry);
         next.is_some()
     }
--- a/crates/micaspool-fair/src/policy/mod.rs
+++ b/crates/micaspool-fair/src/policy/mod.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Debug, Hash)]
 pub struct Rank(pub u64);
 
-/// What a policy is told of the first waiting request of a customer.
+/// The properties of a customer's first waiting request that policies use.
 #[derive(Clone, Copy, Debug)]
 pub struct HeadTicket {
     /// Its position in the shard's arrival order.
