--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -36,7 +36,7 @@
 /// The memory that a gateway uses without any callers, in bytes. 13 MB were measured on the users' small sites.
 const BASELINE_BYTES: u64 = 30_000_000;
 /// The memory of one caller connection, including its request and the connection to the endpoint, in bytes.
-/// On the grown milk site a gateway with 3,900 file descriptors, about 3,000 callers, used 127 MB, and one
+/// On a large site of the users a gateway with 3,900 file descriptors, about 3,000 callers, used 127 MB, and one
 /// gateway more than 160 MB; half of the callers may have a long body that is not read yet.
 const CONNECTION_BYTES: u64 = 55_000;
 /// One in this many connections is reserved for refusing callers immediately. A refusal occupies its
@@ -142,8 +142,8 @@
         self
     }
 
-    /// Sets the board of back-off advice from endpoints. It is shared with the probe, because a resting endpoint
-    /// must not be probed either.
+    /// Sets the store of the advice that endpoints give. It is shared with the probe, because a resting endpoint must
+    /// not be probed either.
     pub fn advice(mut self, advice: Arc<SharedAdvice>) -> Self {
         self.options.advice = advice;
         self
--- a/crates/micaspool-gateway/src/dialect.rs
+++ b/crates/micaspool-gateway/src/dialect.rs
@@ -118,6 +118,7 @@
     /// Classifies the head of an endpoint's response to the request with this id.
     fn classify_answer(&self, head: &response::Parts, id: &str) -> AnswerVerdict;
 
-    /// Reads the back-off advice in the head of an endpoint's response.
+    /// Reads the advice in the head of an endpoint's response: to send nothing for a while (a rest), or that the
+    /// endpoint is leaving.
     fn advice(&self, head: &response::Parts) -> HeaderAdvice;
 }
--- a/crates/micaspool-gateway/src/metrics.rs
+++ b/crates/micaspool-gateway/src/metrics.rs
@@ -46,7 +46,7 @@
     pub callers_open: Gauge,
     /// The number of the plan in force.
     pub plan_number: Gauge,
-    /// Endpoints that asked this process to back off.
+    /// Endpoints that asked this process to rest.
     pub endpoints_resting: Gauge,
     /// Endpoints that announced that they are leaving.
     pub endpoints_leaving: Gauge,
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -301,8 +301,7 @@
         Err(failure)
     }
 
-    /// Applies the back-off advice in the head of an endpoint's answer and reports it to the dispatcher before the
-    /// grant ends.
+    /// Applies the advice in the head of an endpoint's answer and reports it to the dispatcher before the grant ends.
     fn apply_advice(&self, gateway: &Gateway, endpoint: &EndpointRecord, head: &response::Parts) {
         let parts = &gateway.shared.parts;
         let parsed = parts.dialect.advice(head);
--- a/crates/micaspool-gateway/src/proxy/mod.rs
+++ b/crates/micaspool-gateway/src/proxy/mod.rs
@@ -55,7 +55,7 @@
     pub local_dispatcher: FleetDispatcher,
     /// The pool of connections to endpoints.
     pub pool: Arc<EndpointPool>,
-    /// The back-off advice that endpoints gave this process.
+    /// The advice that endpoints gave this process: to send nothing for a while (a rest), or that they are leaving.
     pub advice: Arc<SharedAdvice>,
     /// The headers and statuses that callers and endpoints use.
     pub dialect: Arc<dyn GatewayDialect>,
--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -189,8 +189,8 @@
         self.is_ended = true;
         self.settle(GrantOutcome::Done);
         self.log.finish();
-        let rest = self.splitter.as_mut().map(EventSplitter::take_partial).unwrap_or_default();
-        (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
+        let partial = self.splitter.as_mut().map(EventSplitter::take_partial).unwrap_or_default();
+        (!partial.is_empty()).then(|| Ok(Frame::data(partial)))
     }
 
     fn abort_answer(&mut self, error: RelayError) -> BodyError {
--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -98,7 +98,7 @@
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
-    /// Logs a grant that is not used because the endpoint asked this process to back off or announced that it is
+    /// Logs a grant that is not used because the endpoint asked this process to rest or announced that it is
     /// leaving.
     pub fn log_withheld_grant(&self, advice_record: &AdviceRecord) {
         let held_as = if advice_record.advice.leaving { "said-leaving" } else { "resting" };
