--- a/crates/micaspool-router/src/endpoint.rs
+++ b/crates/micaspool-router/src/endpoint.rs
@@ -47,7 +47,7 @@
     Refused {
         /// True if the endpoint stated that nothing ran.
         is_proved_not_run: bool,
-        /// The back-off time that the endpoint asked for; zero if none.
+        /// The rest that the endpoint asked for: how long it wants no requests from this router. Zero if none.
         rest: Duration,
     },
     /// The endpoint is draining and accepts no new requests.
@@ -77,7 +77,7 @@
 
 impl EndpointError {
     /// Returns how long the endpoint must not be sent requests, according to its response; zero if it asked for no
-    /// back-off.
+    /// rest.
     pub fn rest(self) -> Duration {
         match self {
             EndpointError::Refused { rest, .. } => rest,
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Applies the back-off time of an endpoint that rejected a request and reports it to the dispatcher before the
-    /// grant ends.
+    /// Applies the rest that an endpoint asked for when it rejected a request, and reports it to the dispatcher before
+    /// the grant ends.
     fn apply_advice(&self, plan: &CallPlan, endpoint: &EndpointName, error: EndpointError) {
         let request = plan.request.to_string();
         let source = AdviceSource { endpoint, service: &plan.service, request: &request };
--- a/crates/micaspool-router/src/shard_client/link.rs
+++ b/crates/micaspool-router/src/shard_client/link.rs
@@ -105,8 +105,8 @@
         let now = self.now();
         self.choice.update(now, &places);
         self.candidates = candidates;
-        let is_kept = self.choice.current().is_some() && !self.choice.has_lost_current(now);
-        is_kept || !had_current
+        let has_current = self.choice.current().is_some() && !self.choice.has_lost_current(now);
+        has_current || !had_current
     }
 
     fn rank_of(&self, address: &DispatcherAddress) -> Option<usize> {
--- a/crates/micaspool-router/src/shard_client/mod.rs
+++ b/crates/micaspool-router/src/shard_client/mod.rs
@@ -40,7 +40,7 @@
     pub incarnation: Incarnation,
     /// The dispatchers that may be used.
     pub dispatchers: Arc<dyn DispatcherList>,
-    /// The back-off advice that endpoints gave this process.
+    /// The advice that endpoints gave this process: to send nothing for a while (a rest), or that they are leaving.
     pub advice: Arc<SharedAdvice>,
     /// Counts the control traffic, in bytes.
     pub counter: TrafficCounter,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Reports an endpoint's back-off advice to the dispatcher. Later dispatchers receive it in the hello.
+    /// Reports an endpoint's advice to the dispatcher. Later dispatchers receive it in the hello.
     pub fn report_advice(&self, advice: AdviceRecord) {
         self.lock_state().report_advice(&advice);
     }
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -112,8 +112,8 @@
         self.link = Some(link);
         self.last_pulse = BootInstant::now();
         // The hello contains the waiting tickets, and the dispatcher answers those without an order number.
-        let is_asking = self.waiting.values().any(|entry| entry.ticket.order.is_none());
-        self.unanswered_since = is_asking.then(BootInstant::now);
+        let awaits_reply = self.waiting.values().any(|entry| entry.ticket.order.is_none());
+        self.unanswered_since = awaits_reply.then(BootInstant::now);
     }
 
     /// Records that the dispatcher has accepted the stream.
@@ -166,8 +166,8 @@
         self.send(Body::Heartbeat(v1::Heartbeat { number, ..v1::Heartbeat::default() }));
     }
 
-    /// Reports an endpoint's back-off advice. It is sent in a heartbeat without a number, because a dispatcher that
-    /// doesn't support advice would close the stream on an unknown message.
+    /// Reports an endpoint's advice. It is sent in a heartbeat without a number, because a dispatcher that doesn't
+    /// support advice would close the stream on an unknown message.
     pub fn report_advice(&mut self, advice: &AdviceRecord) {
         let advice = vec![advice_message(advice)];
         self.send(Body::Heartbeat(v1::Heartbeat { advice, ..v1::Heartbeat::default() }));
