--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -116,8 +116,8 @@
     Severed,
     /// The router did not send the request.
     Unsent,
-    /// The router does not hold the endpoint as serving, as just after its start, or the endpoint asked
-    /// it to rest; nothing ran. Says nothing about the endpoint.
+    /// The router does not know the endpoint as serving, for example just after its own start, or the
+    /// endpoint asked the router to rest; nothing ran. Says nothing about the endpoint.
     NotHeld,
 }
 
--- a/crates/micaspool-dispatch/src/options.rs
+++ b/crates/micaspool-dispatch/src/options.rs
@@ -74,7 +74,7 @@
         self
     }
 
-    /// Sets when, and for how long, requests are quarantined that crash endpoints.
+    /// Sets when, and for how long, requests that crash endpoints are quarantined.
     pub fn quarantine(mut self, quarantine: QuarantineOptions) -> Self {
         self.options.quarantine = quarantine;
         self
@@ -86,7 +86,8 @@
         self
     }
 
-    /// Sets the routers after whose joining a new shard stops waiting for others.
+    /// Sets the routers that a new shard expects. Once all of them have joined, it stops waiting for
+    /// others.
     pub fn expected_routers(mut self, routers: BTreeSet<InstanceName>) -> Self {
         self.options.expected_routers = routers;
         self
--- a/crates/micaspool-dispatch/src/shard/advice.rs
+++ b/crates/micaspool-dispatch/src/shard/advice.rs
@@ -28,8 +28,8 @@
         self.refuse_resting(now, router, actions);
     }
 
-    /// Records the advice that endpoints gave to a router. An endpoint that is leaving tells everyone
-    /// and is closed for all routers; a rest applies to this router only.
+    /// Records the advice that endpoints gave to a router. An endpoint that announces that it is leaving
+    /// is closed for all routers; a rest applies to this router only.
     pub(super) fn record_advice(&mut self, now: Moment, router: RouterIndex, advice: &[AdviceRecord]) {
         for record in advice {
             let endpoint = self.endpoints.ensure(&record.endpoint);
@@ -91,7 +91,7 @@
         });
         let mut soonest: Option<Moment> = None;
         for endpoint in in_use {
-            let until = self.routers.rests_until(now, router, endpoint)?;
+            let until = self.routers.rest_until(now, router, endpoint)?;
             soonest = Some(soonest.map_or(until, |before| before.min(until)));
         }
         soonest
@@ -101,7 +101,7 @@
     /// or was asked to rest.
     pub(super) fn is_blocked_for(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> bool {
         self.routers.lacks_endpoint(now, router, endpoint)
-            || self.routers.rests_until(now, router, endpoint).is_some()
+            || self.routers.rest_until(now, router, endpoint).is_some()
     }
 
     /// True while all endpoints that the ticket may use have asked its router to rest.
--- a/crates/micaspool-dispatch/src/shard/availability.rs
+++ b/crates/micaspool-dispatch/src/shard/availability.rs
@@ -14,8 +14,8 @@
     pub listed: bool,
     /// When its latest load report said that it is draining. Only a report requested later reopens it.
     pub draining_since: Option<Moment>,
-    /// It told a router that it is leaving, which is final.
-    pub said_leaving: bool,
+    /// It announced to a router that it is leaving, which is final.
+    pub announced_leaving: bool,
     /// Its data hall is evacuated.
     pub evacuated: bool,
     /// It failed, refused a request or said that it is leaving, and gets no requests until this moment.
@@ -30,7 +30,7 @@
     /// True if the endpoint is known to be leaving or to have left, which explains that its connections
     /// end.
     pub fn is_leaving(&self) -> bool {
-        self.settings || self.listed || self.draining_since.is_some() || self.said_leaving
+        self.settings || self.listed || self.draining_since.is_some() || self.announced_leaving
     }
 
     /// True if it may take new work once it has a slot, even if only one request at a time.
@@ -43,7 +43,7 @@
         let causes = [
             (self.settings, EndpointClosure::Settings),
             (self.listed, EndpointClosure::Listed),
-            (self.draining_since.is_some() || self.said_leaving, EndpointClosure::Draining),
+            (self.draining_since.is_some() || self.announced_leaving, EndpointClosure::Draining),
             (self.evacuated, EndpointClosure::Evacuated),
             (self.paused_until.is_some(), EndpointClosure::Paused),
         ];
--- a/crates/micaspool-dispatch/src/shard/cold.rs
+++ b/crates/micaspool-dispatch/src/shard/cold.rs
@@ -29,7 +29,7 @@
     inferred_until: Moment,
     /// When it may get its next request while it is cold.
     next_grant_at: Moment,
-    /// True until that moment.
+    /// True if that moment had not come when the limit was last updated.
     pub limited: bool,
 }
 
--- a/crates/micaspool-dispatch/src/shard/copies.rs
+++ b/crates/micaspool-dispatch/src/shard/copies.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 
 /// The copies of each request by its digest, kept for all requests. Searching 16,000 running requests
-/// on 320 engines takes some 90 us per ticket in doubt, and the crash of many engines brings thousands
-/// into doubt at once.
+/// on 320 engines takes some 90 us per ticket of a doubted or suspected request, and the crash of many
+/// engines makes thousands of requests doubted at once.
 #[derive(Debug, Default)]
 pub(super) struct CopyCounts {
     waiting: HashMap<RequestDigest, u32>,
--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -348,9 +348,10 @@
         }
     }
 
-    /// Closes an endpoint that told a router that it is leaving. After a restart it has another name.
+    /// Closes an endpoint that announced to a router that it is leaving. After a restart it has another
+    /// name.
     pub fn note_leaving(&mut self, endpoint: EndpointIndex) {
-        self.state_mut(endpoint).availability.said_leaving = true;
+        self.state_mut(endpoint).availability.announced_leaving = true;
         self.reindex(endpoint);
     }
 
--- a/crates/micaspool-dispatch/src/shard/engine.rs
+++ b/crates/micaspool-dispatch/src/shard/engine.rs
@@ -175,9 +175,9 @@
     fn own_prefill_time(&self, now: Moment) -> Duration {
         let Some(oldest) = self.pending.front() else { return Duration::ZERO };
         let passed = now.since(self.prefill_start(oldest));
-        let rest = self.rate.prefill_time(self.pending_tokens).saturating_sub(passed);
+        let remaining = self.rate.prefill_time(self.pending_tokens).saturating_sub(passed);
         let usual = self.rate.prefill_time(oldest.tokens) * LATE_FACTOR + self.rate.latency() * 2;
-        rest + passed.saturating_sub(usual)
+        remaining + passed.saturating_sub(usual)
     }
 
     /// When processing of `prompt`, the oldest pending one, began: at its grant, or when the previous
@@ -189,9 +189,9 @@
 
     /// How many tokens of a prompt are not cached here; at least one.
     pub fn uncached_tokens(&self, prompt: &PromptShape) -> u64 {
-        let held = prompt.parts().take_while(|(prefix, _)| self.cached.has(*prefix));
-        let held: u64 = held.map(|(_, tokens)| tokens).sum();
-        prompt.total.saturating_sub(held).max(1)
+        let cached = prompt.parts().take_while(|(prefix, _)| self.cached.has(*prefix));
+        let cached: u64 = cached.map(|(_, tokens)| tokens).sum();
+        prompt.total.saturating_sub(cached).max(1)
     }
 
     /// The weighted delay of a prompt's first token in microseconds, if `tokens_before` tokens for
@@ -269,8 +269,8 @@
         let known = u32::try_from(self.pending.len()).unwrap_or(u32::MAX);
         let others = waiting.saturating_sub(known);
         if others > UNATTRIBUTED_WAITING {
-            let held = (self.rate.mean_prefill_time() * others).min(MAX_HOLD);
-            self.others_until = self.others_until.max(now + held);
+            let hold = (self.rate.mean_prefill_time() * others).min(MAX_HOLD);
+            self.others_until = self.others_until.max(now + hold);
         }
     }
 
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -1,5 +1,5 @@
-//! Evidence for and against a suspected request: the outcomes of its runs, and signs of life from its
-//! endpoints.
+//! Evidence for and against a suspected request: the outcomes of its runs, and responses that show that
+//! its endpoints are alive.
 
 use super::endpoints::EndpointIndex;
 use super::routers::RouterIndex;
@@ -15,7 +15,7 @@
 /// runs up to 0.7 s after the first. Later events show that the endpoint is alive.
 const STRAGGLER_WINDOW: Duration = Duration::from_secs(1);
 /// A load report refutes crashes recorded up to this long before it was requested. The endpoint's
-/// address may belong to another one some two seconds after its end.
+/// address may belong to another one some two seconds after its crash.
 pub(super) const REPORT_WINDOW: Duration = Duration::from_millis(1_500);
 /// The interval between checks for expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
@@ -48,8 +48,8 @@
         let endpoint = self.endpoints.name(ended.endpoint).clone();
         let customer = self.customers.get(ended.customer).name.clone();
         if self.endpoints.is_leaving(ended.endpoint) {
-            // The endpoint ended because it was told to. The router that saw it gets the record, which
-            // does not include this end.
+            // An endpoint that is leaving is expected to end, so this is no crash. The router that
+            // reported it gets the record without it.
             let record = self.record_of(now, digest, &customer);
             let session = self.routers.session(ended.router);
             actions.extend(session.map(|session| ShardAction::SendRecord { session, record }));
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -94,7 +94,7 @@
     /// The first tickets of a customer that are considered for a free endpoint. Tickets of disconnected
     /// routers are skipped without being counted: they stay queued until the lease ends and would block
     /// the customer's other tickets. The same holds for routers that all usable endpoints have asked to
-    /// back off.
+    /// rest.
     fn candidate_tickets(&self, now: Moment, customer: CustomerIndex) -> impl Iterator<Item = &RequestId> {
         let queue = self.customers.get(customer).queue.values();
         let usable = queue.filter(move |request| {
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -174,7 +174,7 @@
     /// different dispatchers, including their own, which began counting at different times. Otherwise a
     /// customer whose level was counted for longer would be served nothing until all others had reached
     /// it.
-    pub(super) fn bring_levels_together(&mut self) {
+    pub(super) fn cap_recovered_levels(&mut self) {
         let levels = self.customers.iter().map(|state| state.level(self.options.policy.as_ref()));
         let Some(lowest) = levels.filter(|level| level.0 > 0).min() else { return };
         if self.idle_credit == Cost(0) {
--- a/crates/micaspool-dispatch/src/shard/mod.rs
+++ b/crates/micaspool-dispatch/src/shard/mod.rs
@@ -251,7 +251,7 @@
         if now >= until || all_joined {
             self.recovering_until = None;
             self.next_pass_due = now;
-            self.bring_levels_together();
+            self.cap_recovered_levels();
         }
     }
 
--- a/crates/micaspool-dispatch/src/shard/prefill.rs
+++ b/crates/micaspool-dispatch/src/shard/prefill.rs
@@ -79,8 +79,8 @@
     /// Microseconds per token according to the fit, which assigns that time to the mean latency.
     fitted_per_token: f64,
     /// Decayed sums of the observed tokens, and of their time above the latency in microseconds.
-    read_tokens: f64,
-    read_micros: f64,
+    prefilled_tokens: f64,
+    prefill_micros: f64,
     sums: FitSums,
     observed: u64,
     newest: Moment,
@@ -124,8 +124,8 @@
             mean_latency: INITIAL_LATENCY.as_micros() as f64,
             per_token: 0.0,
             fitted_per_token: 0.0,
-            read_tokens: 0.0,
-            read_micros: 0.0,
+            prefilled_tokens: 0.0,
+            prefill_micros: 0.0,
             sums: FitSums::default(),
             observed: 0,
             newest: Moment(0),
@@ -148,8 +148,8 @@
         self.sums = FitSums::default();
         self.sums.add(false, PRIOR_TOKENS, PRIOR_TOKENS * self.per_token);
         self.fitted_per_token = self.per_token;
-        self.read_tokens = PRIOR_TOKENS;
-        self.read_micros = PRIOR_TOKENS * self.per_token;
+        self.prefilled_tokens = PRIOR_TOKENS;
+        self.prefill_micros = PRIOR_TOKENS * self.per_token;
     }
 
     /// The time per token in microseconds, once there are enough observations for others to start from
@@ -205,10 +205,10 @@
             self.note_latency(micros - tokens * self.fitted_per_token);
         }
         let prefill_time = if idle { (micros - self.latency).max(0.0) } else { micros };
-        self.read_tokens = self.read_tokens * factor + tokens;
-        self.read_micros = self.read_micros * factor + prefill_time;
+        self.prefilled_tokens = self.prefilled_tokens * factor + tokens;
+        self.prefill_micros = self.prefill_micros * factor + prefill_time;
         let (least, most) = PER_TOKEN_RANGE;
-        self.per_token = (self.read_micros / self.read_tokens).clamp(least, most);
+        self.per_token = (self.prefill_micros / self.prefilled_tokens).clamp(least, most);
         self.update_statistics(tokens, expected, micros);
         self.observed += 1;
         self.newest = now;
--- a/crates/micaspool-dispatch/src/shard/reports.rs
+++ b/crates/micaspool-dispatch/src/shard/reports.rs
@@ -10,7 +10,7 @@
 /// The lifetime of a report in intervals between two reports, which allows one to be lost. The more
 /// engines there are, the less often each is polled: 320 every 3.2 s, 600 every 6 s.
 const LIFETIME_INTERVALS: u32 = 2;
-/// A longer interval does not show how often the endpoint is polled, only that it was out of reach.
+/// A longer interval does not show how often the endpoint is polled, only that it was unreachable.
 const MAX_INTERVAL: Duration = Duration::from_secs(8);
 
 /// The requests of others at an endpoint according to its latest load report.
--- a/crates/micaspool-dispatch/src/shard/retry_after.rs
+++ b/crates/micaspool-dispatch/src/shard/retry_after.rs
@@ -25,8 +25,8 @@
 
     /// How long it takes to serve the customer's demand of one window.
     fn demand_service_time(&self, now: Moment, state: &CustomerState) -> Duration {
-        let asked = state.demand_rate.per_second(now) * DEMAND_WINDOW.as_secs_f64();
-        let seconds = asked / self.service_rate(now, state);
+        let demand = state.demand_rate.per_second(now) * DEMAND_WINDOW.as_secs_f64();
+        let seconds = demand / self.service_rate(now, state);
         Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_AFTER).min(MAX_RETRY_AFTER)
     }
 }
--- a/crates/micaspool-dispatch/src/shard/routers.rs
+++ b/crates/micaspool-dispatch/src/shard/routers.rs
@@ -185,7 +185,7 @@
     }
 
     /// Until when a router may send nothing to an endpoint; `None` if it may.
-    pub fn rests_until(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> Option<Moment> {
+    pub fn rest_until(&self, now: Moment, router: RouterIndex, endpoint: EndpointIndex) -> Option<Moment> {
         let until = self.states.get(&router).and_then(|state| state.rests.get(&endpoint)).copied();
         until.filter(|until| now < *until)
     }
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -64,9 +64,9 @@
     Settings,
     /// The platform lists it as leaving.
     Listed,
-    /// It said so itself.
+    /// It reported that it is draining, or announced that it is leaving.
     Draining,
-    /// Its data hall is evacuated by order of an operator.
+    /// An operator has evacuated its data hall.
     Evacuated,
     /// It failed, refused a request or could not be reached, and is paused.
     Paused,
--- a/crates/micaspool-dispatch/src/shard/suspects.rs
+++ b/crates/micaspool-dispatch/src/shard/suspects.rs
@@ -34,7 +34,7 @@
     All,
 }
 
-/// The requests in doubt, and the routers to notify of changes.
+/// The doubted, suspected and quarantined requests, and the routers to notify of changes.
 #[derive(Debug)]
 pub(super) struct SuspectTracker {
     pub(super) table: CrashTable,
@@ -128,7 +128,7 @@
 
 impl ShardCore {
     /// Why a ticket is refused because of the crashes of its request. Measured on nine endpoints with
-    /// one to eight callers that repeat a crashing request: without this check it ended 34 to 82
+    /// one to eight callers that repeat a crashing request: without this check it crashed 34 to 82
     /// endpoints in 40 s, with it at most four, and up to six if copies run side by side.
     pub(super) fn quarantine_refusal(&self, now: Moment, ticket: &RequestTicket) -> Option<TicketRefusal> {
         let digest = ticket.digest?;
@@ -139,7 +139,7 @@
                 let retry_after = self.quarantine_retry_after(now, digest, until);
                 Some(TicketRefusal { reason: RefusalReason::Quarantined, retry_after })
             }
-            // Its router would send it on from the endpoint that has just crashed.
+            // Its router would resend it at once after the crash of the endpoint that ran it.
             RequestStanding::Suspected if ticket.attempt > 0 => {
                 Some(TicketRefusal { reason: RefusalReason::Quarantined, retry_after: COPY_WAIT })
             }
@@ -160,8 +160,8 @@
     }
 
     /// The endpoints that a ticket must avoid because of the crashes of its request; `None` if it may
-    /// not run now. Suspected requests never share an endpoint, so the next crash tells the cause from
-    /// a request that ran beside it. If they share, a harmless request is quarantined in 12 of 300
+    /// not run now. Suspected requests never share an endpoint, so the next crash distinguishes the cause
+    /// from a request that ran beside it. If they share, a harmless request is quarantined in 12 of 300
     /// draws (nine endpoints with thirty runs each, whose callers retry at once); if they don't, in
     /// none.
     pub(super) fn isolation_exclusions(
@@ -198,11 +198,11 @@
         let mut copies: Vec<(OrderNumber, RequestId)> =
             copies.map(|(request, ticket)| (ticket.place.order, *request)).collect();
         copies.sort_unstable();
-        let (reason, kept, retry_after) = match change.after {
+        let (reason, retained, retry_after) = match change.after {
             RequestStanding::Quarantined { .. } => (RefusalReason::Quarantined, 0, FRESH_QUARANTINE_WAIT),
             _ => (RefusalReason::CopyRunning, usize::from(!self.copies.is_running(digest)), COPY_WAIT),
         };
-        for (_, request) in copies.into_iter().skip(kept) {
+        for (_, request) in copies.into_iter().skip(retained) {
             let Some(ticket) = self.drop_waiting(request) else { continue };
             let Some(session) = self.routers.session(ticket.router) else { continue };
             actions.push(ShardAction::Refuse {
