--- a/crates/micaspool-dispatch/tests/shard/capacity.rs
+++ b/crates/micaspool-dispatch/tests/shard/capacity.rs
@@ -54,7 +54,7 @@
 }
 
 /// Foreign requests known from load reports are forgotten when no further report arrives; otherwise an
-/// endpoint that is no longer heard from would stay full for ever.
+/// endpoint that stops reporting would stay full for ever.
 #[test]
 fn foreign_slots_are_freed_when_load_reports_stop() {
     let mut harness = single_slot_harness(1);
--- a/crates/micaspool-dispatch/tests/shard/choice.rs
+++ b/crates/micaspool-dispatch/tests/shard/choice.rs
@@ -110,7 +110,7 @@
 
 const ANSWERS: CandidateKind = CandidateKind::Observed(CandidateHealth::Answering);
 const LOST: CandidateKind = CandidateKind::Observed(CandidateHealth::Lost);
-const QUIET: CandidateKind = CandidateKind::Observed(CandidateHealth::Unresponsive);
+const UNRESPONSIVE: CandidateKind = CandidateKind::Observed(CandidateHealth::Unresponsive);
 const PENDING: CandidateKind = CandidateKind::Observed(CandidateHealth::Pending);
 
 /// Four candidates whose reachability another stream reports, then the router's own dispatcher as the last
@@ -133,23 +133,23 @@
 
 /// Returns the candidates that a router connects to, each with its time in milliseconds, when all four
 /// dispatchers are lost and become reachable again at the times in `reached`.
-fn moves_after_return(router: &str, reached: [u64; 4]) -> Vec<(u64, usize)> {
+fn switches_after_return(router: &str, reached: [u64; 4]) -> Vec<(u64, usize)> {
     let router = InstanceName::parse(router).expect("valid name");
     let options = ChoiceOptions::spread_for(&router);
     let mut choice = CandidateChoice::of(at(0), with_last_resort([ANSWERS; 4]), options);
     choice.connected(0);
     choice.update(at(0), &ranked_kinds([LOST; 4]));
     choice.failed(at(0), 0);
-    let mut moves = Vec::new();
+    let mut switches = Vec::new();
     for millis in (1..6_000).step_by(20) {
         let kinds = reached.map(|moment| if millis >= moment { ANSWERS } else { LOST });
         choice.update(at(millis), &ranked_kinds(kinds));
         if let ChoiceStep::Connect(rank) = choice.next(at(millis)) {
             choice.connected(rank);
-            moves.push((millis, rank));
+            switches.push((millis, rank));
         }
     }
-    moves
+    switches
 }
 
 #[test]
@@ -158,38 +158,38 @@
         [[300, 0, 100, 400], [500, 450, 100, 0], [0, 200, 200, 400], [250, 500, 0, 300]];
     for number in 0..295 {
         let reached = orders[number % orders.len()].map(|moment| 2_000 + moment);
-        let moves = moves_after_return(&format!("entry-{number}"), reached);
-        let targets: Vec<usize> = moves.iter().map(|(_, rank)| *rank).collect();
-        assert_eq!(targets, [4, 0], "the last resort, then the best candidate: {moves:?}");
-        let converged_at = moves[1].0;
-        assert!(converged_at <= 4_000, "within two seconds of the first return: {moves:?}");
+        let switches = switches_after_return(&format!("entry-{number}"), reached);
+        let targets: Vec<usize> = switches.iter().map(|(_, rank)| *rank).collect();
+        assert_eq!(targets, [4, 0], "the last resort, then the best candidate: {switches:?}");
+        let converged_at = switches[1].0;
+        assert!(converged_at <= 4_000, "within two seconds of the first return: {switches:?}");
     }
 }
 
 #[test]
-fn moves_of_many_routers_are_spread_over_time() {
+fn switches_of_many_routers_are_spread_over_time() {
     let mut by_tenth = std::collections::BTreeMap::new();
     for number in 0..295 {
-        let moves = moves_after_return(&format!("entry-{number}"), [2_000; 4]);
-        *by_tenth.entry(moves[1].0 / 100).or_insert(0) += 1;
+        let switches = switches_after_return(&format!("entry-{number}"), [2_000; 4]);
+        *by_tenth.entry(switches[1].0 / 100).or_insert(0) += 1;
     }
     assert!(by_tenth.values().all(|count| *count <= 295 / 3), "{by_tenth:?}");
 }
 
 #[test]
-fn a_flapping_best_candidate_does_not_delay_the_move() {
+fn a_flapping_best_candidate_does_not_delay_the_switch() {
     let mut choice = CandidateChoice::of(at(0), with_last_resort([LOST; 4]), ChoiceOptions::default());
     assert_eq!(choice.next(at(0)), ChoiceStep::Connect(4));
     choice.connected(4);
-    let mut moved = None;
+    let mut switched = None;
     for millis in (0..5_000).step_by(100) {
         let best = if (millis / 300) % 2 == 0 { ANSWERS } else { LOST };
         choice.update(at(millis), &ranked_kinds([best, LOST, ANSWERS, LOST]));
-        if let (None, ChoiceStep::Connect(rank)) = (moved, choice.next(at(millis))) {
-            moved = Some((millis, rank));
+        if let (None, ChoiceStep::Connect(rank)) = (switched, choice.next(at(millis))) {
+            switched = Some((millis, rank));
         }
     }
-    let (millis, rank) = moved.expect("the router moves");
+    let (millis, rank) = switched.expect("the router switches");
     assert_eq!(rank, 2);
     assert!(millis <= 1_300, "{millis}");
 }
@@ -239,13 +239,13 @@
 }
 
 #[test]
-fn routers_do_not_scatter_while_other_dispatchers_are_quiet_but_not_lost() {
+fn routers_do_not_scatter_while_other_dispatchers_are_unresponsive_but_not_lost() {
     let mut choice = connected_to_best();
-    choice.update(at(900), &ranked_kinds([QUIET; 4]));
+    choice.update(at(900), &ranked_kinds([UNRESPONSIVE; 4]));
     choice.failed(at(900), 0);
     assert_eq!(choice.next(at(900)), ChoiceStep::Connect(4));
     choice.connected(4);
-    choice.update(at(1_300), &ranked_kinds([LOST, QUIET, LOST, LOST]));
+    choice.update(at(1_300), &ranked_kinds([LOST, UNRESPONSIVE, LOST, LOST]));
     assert!(matches!(choice.next(at(1_300)), ChoiceStep::Wait(_)));
     choice.update(at(2_000), &ranked_kinds([ANSWERS, LOST, ANSWERS, LOST]));
     assert!(matches!(choice.next(at(2_100)), ChoiceStep::Wait(_)));
@@ -253,9 +253,9 @@
 }
 
 #[test]
-fn a_quiet_dispatcher_keeps_its_routers() {
+fn an_unresponsive_dispatcher_keeps_its_routers() {
     let mut choice = connected_to_best();
-    choice.update(at(5_000), &ranked_kinds([QUIET, ANSWERS, ANSWERS, ANSWERS]));
+    choice.update(at(5_000), &ranked_kinds([UNRESPONSIVE, ANSWERS, ANSWERS, ANSWERS]));
     assert!(!choice.has_lost_current(at(9_000)));
     assert_eq!(choice.current(), Some(0));
 }
--- a/crates/micaspool-dispatch/tests/shard/closing.rs
+++ b/crates/micaspool-dispatch/tests/shard/closing.rs
@@ -3,7 +3,7 @@
 //! Guards against one router's settle report closing an endpoint for all routers. 41 of 58 routers restarted
 //! after a power loss and were granted endpoints that their own lists did not hold yet; they returned the
 //! grants as draining. One such report closed the endpoint for every router until a load report reopened it,
-//! and endpoints of a plain service are not asked for load reports. Uploads of a service with three healthy
+//! and endpoints of a plain service are not polled for load reports. Uploads of a service with three healthy
 //! endpoints were refused for seven seconds and earned 0.52 of their value: 3 endpoints were open at 13.7 s,
 //! 1 at 17.8 s and 0 from 23.9 s to 30 s, with 250 tickets waiting, while other instances' shards of the
 //! same service had all 3 open.
@@ -18,8 +18,8 @@
     harness
 }
 
-/// A restarted router holds one of three endpoints and is granted that one by the third try at the latest,
-/// while other routers go on using all three.
+/// A restarted router holds one of three endpoints and gets it with the third grant at the latest, while
+/// other routers go on using all three.
 #[test]
 fn an_endpoint_unknown_to_one_router_stays_open_for_others() {
     let mut harness = without_load_reports();
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -2,7 +2,7 @@
 //! of short requests.
 //!
 //! A cold endpoint fails when more requests than 1.5 times its sustained rate plus five arrive within one
-//! second, from all senders together. Limited by reading speed alone, an engine would get thirty short
+//! second, from all senders together. Limited by its prefill rate alone, an engine would get thirty short
 //! prompts a second.
 
 use crate::harness::{customer, endpoint, hello, request_id, ticket, ShardHarness};
@@ -30,7 +30,7 @@
 const FIRST_EVENT_DELAY: Duration = Duration::from_millis(10);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn cold_terms() -> ColdStartLimits {
+fn cold_limits() -> ColdStartLimits {
     ColdStartLimits {
         start: Duration::from_millis(COLD_MILLIS),
         request_time: Duration::from_secs_f64(1.0 / SUSTAINED_RATE),
@@ -54,7 +54,7 @@
         let mut harness = ShardHarness::recovering(engines, SLOTS, &["a", "b"], options);
         harness.advance(1_000);
         harness.update_policy(|policy| {
-            policy.cold = cold_terms();
+            policy.cold = cold_limits();
             policy.planned_pace = 50.0;
             for spec in &mut policy.endpoints {
                 spec.memory_tokens = 500_000;
@@ -203,9 +203,9 @@
     assert!(hall.arrivals[&endpoint(0)].len() > 5);
 }
 
-/// Without cold terms endpoints are not limited after a start.
+/// Without cold-start limits, endpoints get any number of requests after a start.
 #[test]
-fn grants_are_not_spread_without_cold_terms() {
+fn grants_are_not_spaced_without_cold_start_limits() {
     let mut hall = ColdHall::new(2, ShardOptions::default());
     hall.harness.update_policy(|policy| policy.cold = ColdStartLimits::default());
     hall.turn_cold();
@@ -213,9 +213,9 @@
     assert!(hall.max_arrivals_per_second() > 20, "{}", hall.max_arrivals_per_second());
 }
 
-/// A prompt does not wait for a cold engine that keeps its parts while a warm one can read it in time.
+/// A prompt does not wait for a cold engine that caches its parts while a warm one can prefill it in time.
 #[test]
-fn a_warm_engine_is_chosen_over_a_cold_one_that_keeps_the_parts() {
+fn a_warm_engine_is_chosen_over_a_cold_one_that_caches_the_parts() {
     let mut hall = ColdHall::new(2, ShardOptions::default());
     let known = |number: u128| RequestTicket {
         prefixes: vec![77],
--- a/crates/micaspool-dispatch/tests/shard/engine_objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/engine_objectives.rs
@@ -3,7 +3,7 @@
 //! Guards against judging each ticket by the length of its customer's whole queue. A customer asked for more
 //! than its share. Of its questions, with an objective of 600 ms, 404 of 940 were refused on arrival within
 //! two seconds; of its dossiers, with an objective of one second, 138 of 1,099. The queue was as long as
-//! dossiers tolerate, some 610 ms without their own reading time, and too long for questions, which tolerate
+//! dossiers tolerate, some 610 ms without their own prefill time, and too long for questions, which tolerate
 //! some 530 ms. The decision log of one shard and second shows `objective_ms="600" grants="536"
 //! refused_on_arrival="404"` and `objective_ms="1000" grants="917" refused_on_arrival="138"`.
 
@@ -17,9 +17,9 @@
 use test_case::test_case;
 
 const ENGINES: usize = 4;
-/// Tokens per millisecond that an engine reads.
+/// The prefill rate of an engine, in tokens per millisecond.
 const PACE: u64 = 50;
-/// Time from the end of reading to the first event, in milliseconds.
+/// Time from the end of prefill to the first event, in milliseconds.
 const LATENCY: u64 = 50;
 /// Time that a request runs after its first event, in milliseconds.
 const RUN: u64 = 300;
@@ -50,7 +50,7 @@
 /// Outcomes of the requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct KindOutcome {
-    asked: u32,
+    submitted: u32,
     in_time: u32,
     refused: u32,
 }
@@ -110,7 +110,7 @@
 
     fn submit(&mut self, now: u64, number: u128, index: usize) {
         let kind = self.kinds[index];
-        self.outcomes[index].asked += 1;
+        self.outcomes[index].submitted += 1;
         self.open.insert(number, (index, now));
         let prompt = RequestTicket {
             prefixes: vec![number as u64],
@@ -167,8 +167,8 @@
 #[test_case(&[QUESTIONS, DOSSIERS, ARCHIVES], 3; "and prompts that are always late")]
 fn a_kind_with_a_short_objective_is_served_its_part(kinds: &[PromptKind], seed: u64) {
     let outcomes = EngineQueue::new(kinds).play(seed);
-    let served = |outcome: &KindOutcome| 1.0 - f64::from(outcome.refused) / f64::from(outcome.asked);
-    let in_time = |outcome: &KindOutcome| f64::from(outcome.in_time) / f64::from(outcome.asked);
+    let served = |outcome: &KindOutcome| 1.0 - f64::from(outcome.refused) / f64::from(outcome.submitted);
+    let in_time = |outcome: &KindOutcome| f64::from(outcome.in_time) / f64::from(outcome.submitted);
     let [question, dossier] = [&outcomes[0], &outcomes[1]];
     assert!(served(question) >= 0.75 * served(dossier), "{outcomes:?}");
     assert!(in_time(question) >= 0.3 && in_time(dossier) >= 0.6, "{outcomes:?}");
--- a/crates/micaspool-dispatch/tests/shard/engines.rs
+++ b/crates/micaspool-dispatch/tests/shard/engines.rs
@@ -1,4 +1,4 @@
-//! Engines: which one reads a prompt, how much work an engine is granted in advance, and which tickets are
+//! Engines: which one gets a prompt, how much work an engine is granted in advance, and which tickets are
 //! refused in time.
 
 use crate::harness::{endpoint, hello, ticket, ShardHarness};
@@ -14,7 +14,7 @@
 /// users' sites.
 const CREDIT: Cost = Cost(29_000);
 
-/// The pace that settings plan for an engine, in tokens per millisecond; the engines here keep it.
+/// The prefill rate that settings plan for an engine, in tokens per millisecond; the engines here have it.
 const PACE: u64 = 35;
 
 /// A shard of engines with 64 slots each.
@@ -46,40 +46,40 @@
     harness.settle(1, number, cost, GrantOutcome::Done);
 }
 
-/// Lets the engine read the `missing` tokens of a prompt, then runs the request.
-fn read(harness: &mut ShardHarness, number: u128, missing: u64, cost: u64) {
+/// Lets the engine prefill the `missing` tokens of a prompt, then runs the request.
+fn prefill_and_run(harness: &mut ShardHarness, number: u128, missing: u64, cost: u64) {
     harness.advance_with_heartbeats(missing / PACE + 30, &[1]);
     run(harness, number, cost);
 }
 
 #[test]
-fn a_prompt_waits_for_the_engine_that_keeps_its_long_part_when_that_is_faster() {
+fn a_prompt_waits_for_the_engine_that_caches_its_long_part_when_that_is_faster() {
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(1, "a", (7, 13_000), 500));
     let first = harness.take_grants()[0].endpoint.clone();
-    read(&mut harness, 1, 13_500, 13_500);
+    prefill_and_run(&mut harness, 1, 13_500, 13_500);
     harness.advance_with_heartbeats(1_000, &[1]);
     harness.submit(1, prompt(2, "a", (7, 13_000), 8_000));
     assert_eq!(harness.take_grants()[0].endpoint, first);
     harness.submit(1, prompt(3, "a", (7, 13_000), 500));
     assert!(
         harness.take_grants().is_empty(),
-        "the engine with the part is busy for 229 ms; reading the part again takes 371 ms"
+        "the engine with the part is busy for 229 ms; another one prefills the part in 371 ms"
     );
-    read(&mut harness, 2, 8_000, 21_000);
+    prefill_and_run(&mut harness, 2, 8_000, 21_000);
     harness.advance_with_heartbeats(50, &[1]);
     assert_eq!(harness.take_grants()[0].endpoint, first);
 }
 
 #[test]
-fn a_short_shared_part_is_read_again_instead_of_waiting() {
+fn a_short_shared_part_is_prefilled_again_instead_of_waiting() {
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(1, "a", (7, 300), 500));
     run(&mut harness, 1, 800);
     harness.submit(1, prompt(2, "a", (7, 300), 20_000));
     harness.take_grants();
     harness.submit(1, prompt(3, "a", (7, 300), 500));
-    assert_eq!(harness.take_grants().len(), 1, "another engine reads 300 tokens sooner");
+    assert_eq!(harness.take_grants().len(), 1, "another engine prefills 300 tokens sooner");
 }
 
 #[test]
@@ -91,11 +91,11 @@
     let at_once = harness.take_grants().len();
     assert!((2..=4).contains(&at_once), "{at_once} prompts of 2,000 tokens at once");
     for number in 0..at_once as u128 {
-        read(&mut harness, number, 2_000, 2_000);
+        prefill_and_run(&mut harness, number, 2_000, 2_000);
     }
     harness.advance_with_heartbeats(1_000, &[1]);
     let later = harness.take_grants().len();
-    assert!((2..=9).contains(&later), "unread prompts limit further grants, {later} followed");
+    assert!((2..=9).contains(&later), "prompts without a first event limit further grants, {later} followed");
 }
 
 #[test]
@@ -103,7 +103,7 @@
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(0, "a", (7, 13_000), 10));
     let first = harness.take_grants()[0].endpoint.clone();
-    read(&mut harness, 0, 13_010, 13_010);
+    prefill_and_run(&mut harness, 0, 13_010, 13_010);
     for number in 1..60 {
         harness.advance_with_heartbeats(1_000, &[1]);
         let filler = RequestTicket {
@@ -111,7 +111,7 @@
             ..prompt(number, "a", (100 + number as u64, 13_000), 10)
         };
         harness.submit(1, filler);
-        read(&mut harness, number, 13_010, 13_010);
+        prefill_and_run(&mut harness, number, 13_010, 13_010);
     }
     let busy = RequestTicket { avoid: Some(other_endpoint(&first)), ..prompt(98, "a", (98, 10), 10) };
     harness.submit(1, busy);
@@ -121,7 +121,7 @@
     assert_ne!(
         harness.take_grants()[0].endpoint,
         first,
-        "neither engine keeps the part, and the other one is idle"
+        "neither engine caches the part, and the other one is idle"
     );
 }
 
@@ -147,7 +147,7 @@
     assert_eq!(harness.refusals(), [(2, RefusalReason::Overdue)]);
 }
 
-/// Two customers together ask for more than the engine can read, one of them fifty times as often. Long
+/// Two customers together send more than the engine can prefill, one of them fifty times as often. Long
 /// prompts keep the engine busy for longer than a ticket may wait, so that the flood has a ticket ready
 /// whenever the engine becomes free, and the small customer seldom has. The small customer must still get
 /// its share.
@@ -156,7 +156,7 @@
     let mut harness = engines(1, &["flood", "small"]);
     harness.update_policy(|policy| policy.idle_credit = CREDIT);
     let mut served = HashMap::from([("flood", 0_u64), ("small", 0)]);
-    let mut asked = 0;
+    let mut submitted = 0;
     let mut running: Vec<(u128, &str)> = Vec::new();
     let mut number = 0;
     for round in 0..600 {
@@ -172,7 +172,7 @@
         }
         if round % 25 == 0 {
             send(&mut harness, "small");
-            asked += 20_010;
+            submitted += 20_010;
         }
         harness.advance_with_heartbeats(50, &[1]);
         let granted = harness.take_granted_requests();
@@ -186,7 +186,11 @@
         });
     }
     let small = served["small"];
-    assert!(small * 10 >= asked * 9, "small asked for {asked} and got {small}, flood {}", served["flood"]);
+    assert!(
+        small * 10 >= submitted * 9,
+        "small submitted {submitted} tokens and got {small}, flood {}",
+        served["flood"]
+    );
 }
 
 /// A customer that used an engine alone is not delayed for that later: once others arrive, all are served
@@ -221,7 +225,7 @@
 
 /// A shard that starts beside running engines uses the parts that these report.
 #[test]
-fn parts_kept_before_the_shard_started_are_used() {
+fn parts_cached_before_the_shard_started_are_used() {
     let mut harness = engines(2, &["a"]);
     let cached_parts = vec![CachedPart { prefix: 7, tokens: 13_000 }];
     let update = CacheUpdate {
@@ -235,7 +239,7 @@
     for number in 0..3 {
         harness.submit(1, prompt(number, "a", (7, 13_000), 1_000));
         assert_eq!(harness.take_grants().first().map(|grant| grant.endpoint.clone()), Some(endpoint(1)));
-        read(&mut harness, number, 1_000, 14_000);
+        prefill_and_run(&mut harness, number, 1_000, 14_000);
         harness.advance_with_heartbeats(50, &[1]);
     }
 }
@@ -248,7 +252,7 @@
     let mut harness = engines(2, &["a"]);
     harness.submit(1, prompt(1, "a", (7, 13_000), 10));
     let first = harness.take_grants()[0].endpoint.clone();
-    read(&mut harness, 1, 13_010, 13_010);
+    prefill_and_run(&mut harness, 1, 13_010, 13_010);
     harness.advance_with_heartbeats(1_000, &[1]);
     let busy = RequestTicket { avoid: Some(other_endpoint(&first)), ..prompt(2, "a", (8, 2_000), 10) };
     harness.submit(1, busy);
@@ -258,7 +262,7 @@
     assert_ne!(
         harness.take_grants()[0].endpoint,
         first,
-        "neither engine keeps the part, and the other one is idle"
+        "neither engine caches the part, and the other one is idle"
     );
 }
 
@@ -291,7 +295,7 @@
     assert_eq!(harness.refusals().len(), late.len(), "the small customer has nothing in the queue");
 }
 
-/// A queue that engines can read in time is not refused, however little its customer received lately.
+/// A queue that engines can prefill in time is not refused, however little its customer received lately.
 #[test]
 fn a_burst_that_idle_engines_can_take_is_not_refused() {
     let mut harness = engines(6, &["a"]);
@@ -299,5 +303,5 @@
         let ticket = prompt(number, "a", (number as u64, 10), 600);
         harness.submit(1, RequestTicket { objective: Some(Duration::from_millis(600)), ..ticket });
     }
-    assert!(harness.refusals().is_empty(), "18,000 tokens are read in 90 ms");
+    assert!(harness.refusals().is_empty(), "18,000 tokens are prefilled in 90 ms");
 }
--- a/crates/micaspool-dispatch/tests/shard/faults.rs
+++ b/crates/micaspool-dispatch/tests/shard/faults.rs
@@ -104,7 +104,7 @@
 }
 
 /// Guards against counting the tickets of lost streams among the first sixteen tickets of a customer, which
-/// are the only ones considered for a free endpoint. With a hall cut off, the tickets of its routers stood
+/// are the only ones considered for a free endpoint. With a hall cut off, the tickets of its routers were
 /// first in the queue that all public requests share, and uploads of the other halls waited until their
 /// deadlines beside free endpoints for two seconds. In that time 51 grants were made with two of three
 /// endpoints free and 202 tickets waiting; the gateways logged deadline-passed after 741 ms and no refusal.
--- a/crates/micaspool-dispatch/tests/shard/harness.rs
+++ b/crates/micaspool-dispatch/tests/shard/harness.rs
@@ -86,7 +86,7 @@
     pub order: OrderNumber,
 }
 
-/// A shard core, the actions it has returned and the time it is told.
+/// A shard core, the actions that it has returned and the current time that is passed to it.
 pub struct ShardHarness {
     pub now: Moment,
     pub core: ShardCore,
--- a/crates/micaspool-dispatch/tests/shard/herding.rs
+++ b/crates/micaspool-dispatch/tests/shard/herding.rs
@@ -1,8 +1,8 @@
-//! Tickets whose prompts begin with common parts, and engines that keep these parts.
+//! Tickets whose prompts begin with common parts, and engines that cache these parts.
 //!
 //! Guards against estimating the wait for an engine without the tickets that already wait for it. Settlement
 //! letters begin with one of four common parts. The first letters went to a few engines; each later one
-//! found these busy, expected only their reading time, and waited for them among many others, so that no
+//! found these busy, expected only their prefill time, and waited for them among many others, so that no
 //! other engine was ever given the common parts. On a calm day 2,490 of 4,035 letters were refused, after
 //! 583 ms in the median with an objective of 800 ms, while 100 of 140 engines were free and other kinds were
 //! served. From the first second to the last all letters ran at 12 of the 140 engines, the other kinds of
@@ -17,9 +17,9 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Tokens per millisecond that an engine reads.
+/// The prefill rate of an engine, in tokens per millisecond.
 const PACE: u64 = 40;
-/// Time from the end of reading to the first event, in milliseconds.
+/// Time from the end of prefill to the first event, in milliseconds.
 const LATENCY: u64 = 50;
 /// Time that a request runs after its first event, in milliseconds.
 const RUN: u64 = 300;
@@ -36,12 +36,12 @@
     End(u128),
 }
 
-/// Engines that read in order of arrival and keep what they have read.
+/// Engines that prefill prompts in order of arrival and cache their common parts.
 struct EngineFleet {
     harness: ShardHarness,
     due: BTreeMap<(u64, u128), Step>,
     busy_until: HashMap<EndpointName, u64>,
-    kept: HashMap<EndpointName, BTreeSet<u64>>,
+    cached: HashMap<EndpointName, BTreeSet<u64>>,
     refused: Vec<u128>,
 }
 
@@ -59,7 +59,7 @@
             harness,
             due: BTreeMap::new(),
             busy_until: HashMap::new(),
-            kept: HashMap::new(),
+            cached: HashMap::new(),
             refused: Vec::new(),
         }
     }
@@ -103,7 +103,7 @@
             match action {
                 ShardAction::Grant { request, endpoint, .. } => {
                     let is_new =
-                        self.kept.entry(endpoint.clone()).or_default().insert(common_part(request.0));
+                        self.cached.entry(endpoint.clone()).or_default().insert(common_part(request.0));
                     let missing = u64::from(if is_new { COMMON_TOKENS + OWN_TOKENS } else { OWN_TOKENS });
                     let until = self.busy_until.entry(endpoint).or_default();
                     *until = now.max(*until) + missing / PACE;
@@ -120,31 +120,31 @@
     (number % COMMON_PARTS) as u64
 }
 
-/// The engines can read nearly twice what is asked: hardly any request is refused, and the common parts
-/// spread to as many engines as needed.
+/// The engines can prefill nearly twice what is submitted: hardly any request is refused, and the common
+/// parts spread to as many engines as needed.
 #[test_case(12, 30; "a dozen engines")]
 #[test_case(60, 5; "sixty engines")]
 fn common_parts_spread_to_as_many_engines_as_are_needed(engines: usize, gap: u64) {
     let mut fleet = EngineFleet::new(engines);
-    let mut asked = 0;
+    let mut submitted = 0;
     for now in 0..6_000 {
         if now % gap == 0 {
-            fleet.submit(asked);
-            asked += 1;
+            fleet.submit(submitted);
+            submitted += 1;
         }
         fleet.advance(now);
     }
     let refused = fleet.refused.len();
     assert!(
-        refused * 50 <= asked as usize,
-        "{refused} of {asked} were refused, {} engines",
-        fleet.kept.len()
+        refused * 50 <= submitted as usize,
+        "{refused} of {submitted} were refused, {} engines",
+        fleet.cached.len()
     );
 }
 
-/// Among many engines that keep a part, free ones are found even if busy ones kept it earlier.
+/// Among many engines that cache a part, free ones are found even if busy ones cached it earlier.
 #[test]
-fn a_free_engine_is_found_among_busy_ones_that_keep_the_part() {
+fn a_free_engine_is_found_among_busy_ones_that_cache_the_part() {
     const HOLDERS: usize = 20;
     const BUSY: usize = 17;
     let mut fleet = EngineFleet::new(40);
@@ -174,6 +174,7 @@
     assert_eq!(granted, (0..HOLDERS).map(endpoint).collect::<Vec<_>>(), "each holder gets one request");
     fleet.harness.advance_with_heartbeats(50, &[1]);
     fleet.harness.submit(1, prompt(100, 500));
-    let found = fleet.harness.take_grants().pop().expect("three holders have read their prompts").endpoint;
+    let found =
+        fleet.harness.take_grants().pop().expect("three holders have prefilled their prompts").endpoint;
     assert!(granted[BUSY..].contains(&found), "{found:?}");
 }
--- a/crates/micaspool-dispatch/tests/shard/limits.rs
+++ b/crates/micaspool-dispatch/tests/shard/limits.rs
@@ -40,15 +40,15 @@
     let mut harness = ShardHarness::new(2, 4, &["a"]);
     harness.join(1, hello("r1", 1));
     let mut ends = BTreeMap::new();
-    let (mut asked, mut in_time, mut late) = (0_u128, 0, 0);
+    let (mut submitted, mut in_time, mut late) = (0_u128, 0, 0);
     let mut longest = Duration::ZERO;
     for now in 0..4_000_u64 {
         harness.now = harness.now + Duration::from_millis(1);
         if now % 5 < 2 {
             let objective = Some(Duration::from_millis(OBJECTIVE));
-            harness.submit(1, RequestTicket { objective, ..ticket(asked, "a", 1) });
-            ends.insert(asked, now);
-            asked += 1;
+            harness.submit(1, RequestTicket { objective, ..ticket(submitted, "a", 1) });
+            ends.insert(submitted, now);
+            submitted += 1;
         }
         harness.step(ShardEvent::Heartbeat(SessionId(1), 1));
         for action in std::mem::take(&mut harness.actions) {
@@ -74,7 +74,7 @@
             harness.settle(1, request, 1, GrantOutcome::Done);
         }
     }
-    assert!(in_time > 700, "{in_time} of {asked} in time, of 800 that the endpoints can serve");
+    assert!(in_time > 700, "{in_time} of {submitted} in time, of 800 that the endpoints can serve");
     assert!(late * 20 < in_time, "{late} late, {in_time} in time");
     assert!(longest <= Duration::from_millis(OBJECTIVE), "refused after {longest:?}");
 }
--- a/crates/micaspool-dispatch/tests/shard/objectives.rs
+++ b/crates/micaspool-dispatch/tests/shard/objectives.rs
@@ -1,7 +1,7 @@
 //! Requests of one customer with different objectives, at a small service.
 //!
 //! Guards against comparing the time that the whole queue takes with the wait that each ticket tolerates.
-//! Two of three endpoints were lost, and the third was asked for somewhat more than it can serve. All
+//! Two of three endpoints were lost, and the third got somewhat more requests than it can serve. All
 //! requests waited in one queue in the order of arrival. It grew until it was too long for some kind, and
 //! from then on it was too long for each ticket of a kind that tolerates less. Pickup records, with an
 //! objective of 150 ms, earned 0.09 of their value from then on, readings, with an objective of 200 ms,
@@ -32,38 +32,38 @@
 struct RequestKind {
     /// The objective, in milliseconds.
     objective: u64,
-    /// First tries per second.
+    /// First attempts per second.
     rate: f64,
-    /// How long callers wait in total over all tries, in milliseconds.
+    /// How long callers wait in total over all attempts, in milliseconds.
     patience: u64,
 }
 
-/// A try that waits or runs at the shard.
+/// An attempt that waits or runs at the shard.
 #[derive(Clone, Copy, Debug)]
-struct OpenTry {
+struct OpenAttempt {
     kind: usize,
-    /// Time of the caller's first try.
+    /// Time of the caller's first attempt.
     first: u64,
-    /// Time of this try.
+    /// Time of this attempt.
     since: u64,
-    /// True when the outcome of the first try counts.
+    /// True when the outcome of the first attempt counts.
     is_counted: bool,
 }
 
-/// Outcomes of the first tries of one kind.
+/// Outcomes of the first attempts of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct KindOutcome {
-    asked: u32,
+    submitted: u32,
     in_time: u32,
     late: u32,
     refused: u32,
-    /// Tries refused after a wait of more than an eighth of the objective.
+    /// Attempts refused after a wait of more than an eighth of the objective.
     refused_late: u32,
 }
 
 impl KindOutcome {
     fn part_in_time(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+        f64::from(self.in_time) / f64::from(self.submitted.max(1))
     }
 }
 
@@ -73,13 +73,13 @@
     kinds: Vec<RequestKind>,
     rng: ChaCha8Rng,
     next: u128,
-    open: HashMap<u128, OpenTry>,
+    open: HashMap<u128, OpenAttempt>,
     /// Ends of running requests.
     ends: BTreeMap<(u64, u128), ()>,
-    /// Second tries that are due later.
-    retries: BTreeMap<(u64, u128), OpenTry>,
+    /// Second attempts that are due later.
+    retries: BTreeMap<(u64, u128), OpenAttempt>,
     outcomes: Vec<KindOutcome>,
-    /// True when callers send how long they wait for a try.
+    /// True when callers send how long they wait for an attempt.
     sends_patience: bool,
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Creates a service whose callers send their patience and ask for 0.4 of the rate during the warm-up.
+    /// Creates a service whose callers send their patience, and 0.4 of the rate during the warm-up.
     fn with_patience(seed: u64, kinds: &[RequestKind]) -> SmallService {
         SmallService { sends_patience: true, ..SmallService::new(seed, kinds) }
     }
@@ -128,13 +128,13 @@
             while expected > 0.0 && self.rng.random_bool(expected.min(1.0)) {
                 expected -= 1.0;
                 let is_counted = now >= WARM_UP_MILLIS && now + 1_000 < PLAY_MILLIS;
-                self.outcomes[kind].asked += u32::from(is_counted);
-                self.submit(OpenTry { kind, first: now, since: now, is_counted });
+                self.outcomes[kind].submitted += u32::from(is_counted);
+                self.submit(OpenAttempt { kind, first: now, since: now, is_counted });
             }
         }
     }
 
-    fn submit(&mut self, open: OpenTry) {
+    fn submit(&mut self, open: OpenAttempt) {
         let number = self.next;
         self.next += 1;
         self.open.insert(number, open);
@@ -171,7 +171,7 @@
     fn retry_due(&mut self, now: u64) {
         while let Some(entry) = self.retries.first_entry().filter(|entry| entry.key().0 <= now) {
             let open = entry.remove();
-            self.submit(OpenTry { since: now, ..open });
+            self.submit(OpenAttempt { since: now, ..open });
         }
     }
 
@@ -252,11 +252,11 @@
     assert!(parts.iter().all(|part| *part >= 0.5 * most), "{parts:.3?} in time: {outcomes:?}");
 }
 
-/// Refused callers retry when their objective has passed. They must not get the slots in which a first try
-/// could be answered in time.
+/// Refused callers retry when their objective has passed. They must not get the slots in which a first
+/// attempt could be answered in time.
 #[test_case(150.0, 86.0, 3; "a fifth too many")]
 #[test_case(226.0, 172.0, 5; "twice too many")]
-fn second_tries_do_not_displace_first_tries(readings: f64, records: f64, seed: u64) {
+fn second_attempts_do_not_displace_first_attempts(readings: f64, records: f64, seed: u64) {
     let kinds = [RequestKind { rate: readings, ..READINGS }, RequestKind { rate: records, ..RECORDS }];
     let outcomes = SmallService::with_patience(seed, &kinds).play();
     let in_time: u32 = outcomes.iter().map(|outcome| outcome.in_time).sum();
@@ -264,15 +264,15 @@
     assert!(f64::from(in_time) >= 0.85 * most, "{in_time} in time of at most {most:.0}: {outcomes:?}");
 }
 
-/// The patience that callers send shows which tries are retries, once requests at times without refusals
+/// The patience that callers send shows which attempts are retries, once requests at times without refusals
 /// have shown the usual first values.
-#[test_case(Some(1_000), true; "the usual time, so a first try")]
+#[test_case(Some(1_000), true; "the usual time, so a first attempt")]
 #[test_case(Some(997), true; "less by the time of a new connection")]
 #[test_case(Some(400), true; "less, but also a usual first value")]
 #[test_case(Some(700), false; "clearly less, so the objective has passed")]
 #[test_case(Some(1_300), true; "more than any usual value")]
 #[test_case(None, true; "no patience sent")]
-fn a_retry_counts_from_the_first_try_of_its_caller(patience: Option<u64>, is_admitted: bool) {
+fn a_retry_counts_from_the_first_attempt_of_its_caller(patience: Option<u64>, is_admitted: bool) {
     const WORK: u64 = 20;
     let mut harness = ShardHarness::new(1, 1, &["public"]);
     harness.join(1, hello("r1", 1));
--- a/crates/micaspool-dispatch/tests/shard/outage.rs
+++ b/crates/micaspool-dispatch/tests/shard/outage.rs
@@ -109,8 +109,8 @@
     let mut callers = SteadyCallers::with_endpoints(endpoints);
     callers.run_for(100_000, || GrantOutcome::Unreachable);
     let outage = callers.run_for(20_000, || GrantOutcome::Unreachable);
-    let max_tries = 40 * endpoints as u32;
-    assert!(outage.failed <= max_tries.min(20 * 20), "{outage:?}");
+    let max_attempts = 40 * endpoints as u32;
+    assert!(outage.failed <= max_attempts.min(20 * 20), "{outage:?}");
 }
 
 /// Endpoints that fail half of their requests still serve some requests in every second.
--- a/crates/micaspool-dispatch/tests/shard/pace.rs
+++ b/crates/micaspool-dispatch/tests/shard/pace.rs
@@ -1,4 +1,5 @@
-//! How shards learn the reading pace of engines, with modelled engines that read in order of arrival.
+//! How shards learn the pace of engines, that is their prefill rate, with modelled engines that prefill
+//! prompts in order of arrival.
 
 use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{
@@ -9,9 +10,9 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Time from the end of reading to the first event at the shard, in milliseconds.
+/// Time from the end of prefill to the first event at the shard, in milliseconds.
 const LATENCY: f64 = 50.0;
-/// Time that a prompt takes to reach the engine, in milliseconds: a tenth of its reading time at the fastest
+/// Time that a prompt takes to reach the engine, in milliseconds: a tenth of its prefill time at the fastest
 /// engine.
 const TRANSIT: f64 = 1.0;
 /// Time that a request runs after its first event, in milliseconds.
@@ -19,12 +20,12 @@
 /// The objective of all requests, in milliseconds.
 const OBJECTIVE: u64 = 100;
 
-/// An engine that reads one prompt after the other.
+/// An engine that prefills one prompt after the other.
 #[derive(Debug)]
 struct EngineModel {
-    /// Reading pace in tokens per millisecond.
+    /// Prefill rate in tokens per millisecond.
     pace: f64,
-    /// Time at which it has read everything, in milliseconds of the run.
+    /// Time at which it has prefilled everything, in milliseconds of the run.
     busy_until: f64,
     /// Time of the grant, tokens and wait of each prompt, by shard.
     prompts_by_shard: HashMap<usize, Vec<(u64, u64, f64)>>,
@@ -48,11 +49,11 @@
         prompts.iter().filter(|(at, ..)| (from..to).contains(at)).map(|(_, tokens, _)| tokens).sum()
     }
 
-    /// The part of the time in which the engine read for a shard or a prompt was on its way to it.
+    /// The part of the time in which the engine prefilled prompts of a shard or one was on its way to it.
     fn utilisation(&self, shard: usize, from: u64, to: u64) -> f64 {
         let prompts = self.prompts_by_shard[&shard].iter().filter(|(at, ..)| (from..to).contains(at)).count();
-        let reading = self.tokens(shard, from, to) as f64 / self.pace;
-        (reading + prompts as f64 * TRANSIT) / (to - from) as f64
+        let prefill_millis = self.tokens(shard, from, to) as f64 / self.pace;
+        (prefill_millis + prompts as f64 * TRANSIT) / (to - from) as f64
     }
 
     /// The 95th percentile of the wait of prompts, in milliseconds.
@@ -70,7 +71,7 @@
     End(u128, u64),
 }
 
-/// A shard whose callers ask for more than its engine can read.
+/// A shard whose callers send more than its engine can prefill.
 struct BusyShard {
     index: usize,
     harness: ShardHarness,
@@ -147,8 +148,8 @@
     }
 }
 
-/// Runs shards on one engine whose pace changes at the times in `paces`; each shard is asked for one and a
-/// half times what the engine reads.
+/// Runs shards on one engine whose pace changes at the times in `paces`; each shard gets one and a half times
+/// what the engine can prefill.
 fn play(shards: &mut [BusyShard], engine: &mut EngineModel, paces: &[(u64, f64)], end: u64) {
     let mut demand = vec![0.0; shards.len()];
     for now in 0..end {
--- a/crates/micaspool-dispatch/tests/shard/poison.rs
+++ b/crates/micaspool-dispatch/tests/shard/poison.rs
@@ -1,9 +1,9 @@
 //! Requests that crash every endpoint that runs them and are repeated by their callers at any router.
 //!
-//! Guards against granting such a request again and again: each arrival was a first try to the shard, so no
-//! evidence accumulated. With nine endpoints in service thirteen crashed within 14 s, each 100 to 250 ms
-//! after the same request had begun there, with 5 to 29 requests of others that ran beside it. The log lines
-//! "ticket refused" and "shard decisions" reported only the load, and grants continued as before.
+//! Guards against granting such a request again and again: each arrival was a first attempt to the shard,
+//! so no evidence accumulated. With nine endpoints in service thirteen crashed within 14 s, each 100 to 250
+//! ms after the same request had begun there, with 5 to 29 requests of others that ran beside it. The log
+//! lines "ticket refused" and "shard decisions" reported only the load, and grants continued as before.
 
 use crate::harness::{endpoint, hello, ticket, ShardHarness};
 use micaspool_dispatch::{EndpointSpec, GrantOutcome, RefusalReason, RequestTicket, ShardAction, ShardEvent};
@@ -20,8 +20,8 @@
 const STEP_MILLIS: u64 = 10;
 /// Time from a grant to the crash of its endpoint.
 const FATAL_MILLIS: u64 = 120;
-/// How long a crashed endpoint is away.
-const AWAY_MILLIS: u64 = 4_000;
+/// How long a crashed endpoint is down.
+const DOWN_MILLIS: u64 = 4_000;
 /// The pause after which a caller repeats a harmless request that broke, however often it breaks.
 const REPEAT_PAUSE: Duration = Duration::from_millis(100);
 const FATAL: RequestDigest = RequestDigest(0xdead);
@@ -59,9 +59,9 @@
     /// Digest and session of requests that are neither granted nor refused yet.
     submitted: HashMap<u128, (RequestDigest, u64)>,
     next: u128,
-    starts: usize,
-    /// Endpoints that are away, each with the time of its return.
-    away: Vec<(usize, Moment)>,
+    next_endpoint: usize,
+    /// Endpoints that are down, each with the time of its return.
+    down: Vec<(usize, Moment)>,
     /// Times at which endpoints crashed under the fatal request.
     crashes: Vec<Moment>,
     /// Times at which the fatal request was granted a running endpoint.
@@ -87,8 +87,8 @@
             running: HashMap::new(),
             submitted: HashMap::new(),
             next: 1,
-            starts: ENDPOINTS,
-            away: Vec::new(),
+            next_endpoint: ENDPOINTS,
+            down: Vec::new(),
             crashes: Vec::new(),
             fatal_grants: Vec::new(),
             served: 0,
@@ -120,7 +120,7 @@
                     let (digest, session) =
                         self.submitted.remove(&request.0).expect("the request was submitted");
                     let since = self.harness.now;
-                    if self.is_away(&endpoint) {
+                    if self.is_down(&endpoint) {
                         unreachable.push(request.0);
                     } else if digest == FATAL {
                         self.fatal_grants.push(since);
@@ -141,8 +141,8 @@
         }
     }
 
-    fn is_away(&self, endpoint: &EndpointName) -> bool {
-        self.away.iter().any(|(number, _)| number_of(endpoint) == *number)
+    fn is_down(&self, endpoint: &EndpointName) -> bool {
+        self.down.iter().any(|(number, _)| number_of(endpoint) == *number)
     }
 
     fn settle(&mut self, request: u128, outcome: GrantOutcome) {
@@ -178,7 +178,7 @@
 
     fn crash_endpoint(&mut self, crashed: &EndpointName) {
         self.crashes.push(self.harness.now);
-        self.away.push((number_of(crashed), self.harness.now + Duration::from_millis(AWAY_MILLIS)));
+        self.down.push((number_of(crashed), self.harness.now + Duration::from_millis(DOWN_MILLIS)));
         let mut broken: Vec<u128> = self
             .running
             .iter()
@@ -197,16 +197,16 @@
         self.take_actions();
     }
 
-    /// Starts endpoints whose time away has passed, under new names.
+    /// Starts endpoints whose downtime has passed, under new names.
     fn return_endpoints(&mut self) {
         let now = self.harness.now;
         let back: Vec<usize> =
-            self.away.iter().filter(|(_, until)| *until <= now).map(|(number, _)| *number).collect();
-        self.away.retain(|(_, until)| *until > now);
+            self.down.iter().filter(|(_, until)| *until <= now).map(|(number, _)| *number).collect();
+        self.down.retain(|(_, until)| *until > now);
         let slots = self.neighbours.slots;
         for number in back {
-            let fresh = self.starts;
-            self.starts += 1;
+            let fresh = self.next_endpoint;
+            self.next_endpoint += 1;
             self.harness.update_policy(|policy| {
                 policy.endpoints.retain(|spec| spec.name != endpoint(number));
                 policy.endpoints.push(EndpointSpec {
--- a/crates/micaspool-dispatch/tests/shard/reports.rs
+++ b/crates/micaspool-dispatch/tests/shard/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of many engines: the more engines there are, the less often each is asked.
+//! Load reports of many engines: the more engines there are, the less often each is polled.
 
 use crate::harness::{endpoint, ShardHarness};
 use micaspool_dispatch::{LoadReport, ShardEvent};
--- a/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/fleet.rs
@@ -15,7 +15,7 @@
 const MEMORY_TOKENS: u64 = 500_000;
 /// Length of a run.
 const LENGTH: Duration = Duration::from_secs(12);
-/// Time from the end of reading to the first event.
+/// Time from the end of prefill to the first event.
 const LATENCY: Duration = Duration::from_millis(50);
 /// The longest time that a request runs after its first event.
 const MAX_RUN: Duration = Duration::from_millis(2_000);
@@ -23,20 +23,20 @@
 const REFUSED_CONNECT: Duration = Duration::from_millis(1);
 const SILENT_CONNECT: Duration = Duration::from_millis(500);
 const SILENT_RUN: Duration = Duration::from_millis(3_000);
-/// How many times longer a slow engine reads.
+/// How many times longer prefill takes at a slow engine.
 const SLOW_FACTOR: f64 = 4.0;
 const TICK: Duration = Duration::from_millis(50);
 /// The retry delay of callers that retry at once.
 const IMMEDIATE_RETRY: Duration = Duration::from_millis(50);
-/// The most tries of a caller.
-const MAX_TRIES: u32 = 3;
+/// The most attempts of a caller.
+const MAX_ATTEMPTS: u32 = 3;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A caller of this customer sends its first try.
+    /// A caller of this customer sends its first attempt.
     Arrive(usize),
     /// A caller retries.
-    Retry(CallerTry),
+    Retry(CallerAttempt),
     Begin(u128),
     End(u128, GrantOutcome),
     /// The engine with this number is lost.
@@ -44,19 +44,19 @@
     Tick,
 }
 
-/// One try of a caller.
+/// One attempt of a caller.
 #[derive(Clone, Copy, Debug)]
-struct CallerTry {
+struct CallerAttempt {
     customer: usize,
     part: u64,
     own_tokens: u32,
-    tries: u32,
+    attempts: u32,
 }
 
 /// A waiting or running request.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
-    caller: CallerTry,
+    caller: CallerAttempt,
     router: u64,
     since: Duration,
     engine: Option<usize>,
@@ -67,7 +67,7 @@
 struct EngineModel {
     loss: Option<LossKind>,
     busy_until: Duration,
-    kept: BTreeSet<u64>,
+    cached: BTreeSet<u64>,
 }
 
 /// A simulated run of a load plan.
@@ -180,18 +180,18 @@
         self.schedule(self.now + Duration::from_secs_f64(gap), Step::Arrive(customer));
     }
 
-    fn draw_caller(&mut self, customer: usize) -> CallerTry {
+    fn draw_caller(&mut self, customer: usize) -> CallerAttempt {
         let load = &self.plan.customers[customer];
         let own = f64::from(load.own_tokens) * -self.rng.random_range(0.01..1.0_f64).ln();
-        CallerTry {
+        CallerAttempt {
             customer,
             part: customer as u64 * 100 + self.rng.random_range(0..load.parts),
             own_tokens: own as u32 + 1,
-            tries: 1,
+            attempts: 1,
         }
     }
 
-    fn submit_request(&mut self, caller: CallerTry) {
+    fn submit_request(&mut self, caller: CallerAttempt) {
         let load = self.plan.customers[caller.customer];
         let tokens = load.part_tokens + caller.own_tokens;
         self.record.record_demand(self.now, caller.customer, u64::from(tokens));
@@ -217,17 +217,20 @@
     }
 
     /// A caller is refused and may retry.
-    fn refuse(&mut self, caller: CallerTry, retry_after: Duration) {
+    fn refuse(&mut self, caller: CallerAttempt, retry_after: Duration) {
         self.record.mark_unserved(self.now, caller.customer);
         self.record.record_retry_delay(self.now, retry_after);
-        if caller.tries >= MAX_TRIES {
+        if caller.attempts >= MAX_ATTEMPTS {
             return;
         }
         let wait = match self.plan.habit {
             RetryHabit::Immediate => IMMEDIATE_RETRY,
-            RetryHabit::AsTold => retry_after,
+            RetryHabit::AsStated => retry_after,
         };
-        self.schedule(self.now + wait, Step::Retry(CallerTry { tries: caller.tries + 1, ..caller }));
+        self.schedule(
+            self.now + wait,
+            Step::Retry(CallerAttempt { attempts: caller.attempts + 1, ..caller }),
+        );
     }
 
     fn take_actions(&mut self) {
@@ -268,10 +271,10 @@
             None => 1.0,
         };
         let load = &self.plan.customers[caller.customer];
-        let is_new = model.kept.insert(caller.part);
+        let is_new = model.cached.insert(caller.part);
         let tokens = caller.own_tokens + if is_new { load.part_tokens } else { 0 };
-        let reading = Duration::from_secs_f64(f64::from(tokens) / PACE_PER_SECOND * slowness);
-        model.busy_until = self.now.max(model.busy_until) + reading;
+        let prefill_time = Duration::from_secs_f64(f64::from(tokens) / PACE_PER_SECOND * slowness);
+        model.busy_until = self.now.max(model.busy_until) + prefill_time;
         let begins = model.busy_until + LATENCY;
         self.schedule(begins, Step::Begin(number));
     }
--- a/crates/micaspool-dispatch/tests/shard/scarcity/load.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/load.rs
@@ -1,10 +1,10 @@
-//! Random plans of a run: what each customer asks for, and which engines are lost when.
+//! Random plans of a run: the load of each customer, and which engines are lost when.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Tokens per second that an engine reads.
+/// The prefill rate of an engine, in tokens per second.
 pub const PACE_PER_SECOND: f64 = 50_000.0;
 /// When the first engine is lost.
 pub const LOSS_AT: Duration = Duration::from_secs(3);
@@ -16,7 +16,7 @@
     Gone,
     /// The engine sends nothing any more; connections and runs fail after a timeout.
     Silent,
-    /// The engine reads at a quarter of its pace.
+    /// The engine prefills at a quarter of its rate.
     Slow,
 }
 
@@ -25,8 +25,8 @@
 pub enum RetryHabit {
     /// Almost at once.
     Immediate,
-    /// After the delay that it was told.
-    AsTold,
+    /// After the delay that the refusal states.
+    AsStated,
 }
 
 /// The load of one customer.
@@ -80,7 +80,7 @@
             lost: ((engines as f64 * share).round() as usize).clamp(1, engines - 2),
             loss: [LossKind::Gone, LossKind::Silent, LossKind::Slow][rng.random_range(0..3)],
             gap: [Duration::ZERO, Duration::from_millis(150)][rng.random_range(0..2)],
-            habit: [RetryHabit::Immediate, RetryHabit::AsTold][rng.random_range(0..2)],
+            habit: [RetryHabit::Immediate, RetryHabit::AsStated][rng.random_range(0..2)],
             customers: usual_loads.into_iter().chain(flood_loads).collect(),
             floods,
         }
@@ -101,7 +101,7 @@
     }
 }
 
-/// Draws loads of customers that together ask for `tokens_per_second`, some for several times as much as
+/// Draws loads of customers that together send `tokens_per_second`, some for several times as much as
 /// others.
 fn draw_loads(rng: &mut ChaCha8Rng, count: usize, tokens_per_second: f64) -> Vec<CustomerLoad> {
     let weights: Vec<f64> = (0..count).map(|_| rng.random_range(0.3..2.0)).collect();
--- a/crates/micaspool-dispatch/tests/shard/scarcity/mod.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/mod.rs
@@ -44,8 +44,8 @@
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// Returns in how many runs callers are told to retry later after a loss than before, and how many runs have
-/// enough refusals to compare.
+/// Returns in how many runs refusals state a longer retry delay after a loss than before, and how many runs
+/// have enough refusals to compare.
 fn longer_delays_after_loss(seeds: Range<u64>) -> (usize, usize) {
     let second = Duration::from_secs(1);
     let plays = seeds.filter_map(|seed| {
--- a/crates/micaspool-dispatch/tests/shard/scarcity/share.rs
+++ b/crates/micaspool-dispatch/tests/shard/scarcity/share.rs
@@ -1,4 +1,4 @@
-//! Records what each customer asked for and got, and finds starved customers.
+//! Records the demand and the service of each customer, and finds starved customers.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 /// Tokens of one customer in one second.
 #[derive(Clone, Copy, Debug, Default)]
 struct SecondFlow {
-    asked: u64,
+    demand: u64,
     begun: u64,
     /// True when a request was refused or waited past its objective.
     has_unserved: bool,
 }
 
-/// What each customer asked for and got in each second.
+/// The demand and the service of each customer in each second.
 #[derive(Debug)]
 pub struct ShareRecord {
     customers: Vec<Vec<SecondFlow>>,
     largest: u64,
-    /// Times of refusals and the retry delays that callers were told.
+    /// Times of refusals and the retry delays that they stated.
     retry_delays: Vec<(Duration, Duration)>,
 }
 
@@ -39,7 +39,7 @@
     }
 
     pub fn record_demand(&mut self, now: Duration, customer: usize, tokens: u64) {
-        self.flow(now, customer).asked += tokens;
+        self.flow(now, customer).demand += tokens;
         self.largest = self.largest.max(tokens);
     }
 
@@ -51,7 +51,7 @@
         self.flow(now, customer).has_unserved = true;
     }
 
-    /// Records the retry delay that a refused caller is told.
+    /// Records the retry delay that a refusal states.
     pub fn record_retry_delay(&mut self, now: Duration, retry_after: Duration) {
         self.retry_delays.push((now, retry_after));
     }
@@ -65,8 +65,8 @@
     }
 
     /// Describes the customers that had an unserved request in each second of a window and got less than
-    /// half of what they were owed: second by second, what they asked for or what the best served customer
-    /// got, whichever is less. A shortfall of [`TOLERATED_REQUESTS`] of the largest requests is tolerated.
+    /// half of what they were owed: second by second, their demand or what the best served customer got,
+    /// whichever is less. A shortfall of [`TOLERATED_REQUESTS`] of the largest requests is tolerated.
     pub fn starved(&self) -> Vec<String> {
         let seconds = self.customers.first().map_or(0, Vec::len) - 1;
         let windows = (1..=seconds - WINDOW_SECONDS).map(|start| start..start + WINDOW_SECONDS);
@@ -76,7 +76,7 @@
             let spans = || self.customers.iter().map(|flows| &flows[window.clone()]);
             let Some(best) = spans().max_by_key(|flows| begun(flows)) else { continue };
             for (customer, flows) in spans().enumerate() {
-                let owed: u64 = flows.iter().zip(best).map(|(own, best)| own.asked.min(best.begun)).sum();
+                let owed: u64 = flows.iter().zip(best).map(|(own, best)| own.demand.min(best.begun)).sum();
                 let got_or_tolerated = begun(flows) + TOLERATED_REQUESTS * self.largest;
                 if flows.iter().all(|flow| flow.has_unserved) && got_or_tolerated < owed / 2 {
                     let start = window.start;
--- a/crates/micaspool-dispatch/tests/shard/suspects.rs
+++ b/crates/micaspool-dispatch/tests/shard/suspects.rs
@@ -1,4 +1,4 @@
-//! Which endings of runs and endpoints count as evidence against a request.
+//! Which outcomes of runs, and which responses of endpoints, count as evidence for or against a request.
 
 use crate::harness::{customer, endpoint, hello, request_id, ticket, ShardHarness};
 use micaspool_dispatch::{
@@ -179,7 +179,7 @@
     assert_eq!(reason, RefusalReason::Quarantined);
     assert!(after > Duration::from_secs(3_500) && after <= Duration::from_secs(3_590), "{after:?}");
     harness.join(3, hello("r3", 1));
-    assert_eq!(sent_records(&harness, SUSPECT_DIGEST), [(3, 3)], "a router that joins later is told");
+    assert_eq!(sent_records(&harness, SUSPECT_DIGEST), [(3, 3)], "a router that joins later gets the record");
     let status = harness.core.status(harness.now);
     assert_eq!(status.suspects.len(), 1);
     assert_eq!(status.suspects[0].record.crashes.len(), 3);
@@ -234,7 +234,7 @@
         assert_eq!(
             sent_records(&harness, SUSPECT_DIGEST),
             [(1, 0)],
-            "its router is told to clear the record"
+            "its router gets a record without crashes"
         );
         harness.update_policy(leaves(false));
         harness.advance_with_heartbeats(20_000, &[1, 2]);
@@ -245,16 +245,16 @@
 #[test_case(100, 50, true; "requested after the crash")]
 #[test_case(100, 150, false; "requested before the crash")]
 #[test_case(3_000, 0, false; "so late that another endpoint may have the address")]
-fn a_load_report_shows_that_an_endpoint_is_alive(after: u64, asked_before: u64, is_alive: bool) {
+fn a_load_report_shows_that_an_endpoint_is_alive(after: u64, requested_before: u64, is_alive: bool) {
     let mut harness = fleet(4);
     let at = submit_granted(&mut harness, 1, ticket_with_digest(1, SUSPECT_DIGEST));
     harness.settle(1, 1, 0, GrantOutcome::Severed);
-    let asks =
+    let is_probed =
         harness.actions.iter().any(|action| *action == ShardAction::ProbeEndpoint { endpoint: at.clone() });
-    assert!(asks, "the endpoint is asked for a report at once");
+    assert!(is_probed, "a report is requested from the endpoint at once");
     harness.advance_with_heartbeats(after, &[1, 2]);
     harness.actions.clear();
-    let requested_at = micaspool_types::Moment(harness.now.0 - asked_before * 1_000);
+    let requested_at = micaspool_types::Moment(harness.now.0 - requested_before * 1_000);
     harness.step(ShardEvent::Load(LoadReport {
         endpoint: at,
         running: 0,
--- a/crates/micaspool-dispatch/tests/shard/throttling.rs
+++ b/crates/micaspool-dispatch/tests/shard/throttling.rs
@@ -27,7 +27,7 @@
 /// Counts of the requests of one span.
 #[derive(Debug, Default)]
 struct FlowOutcome {
-    asked: u32,
+    submitted: u32,
     reached: u32,
     taken: u32,
     /// Requests refused by a router although the shard had room.
@@ -47,12 +47,12 @@
     }
 
     /// Submits requests at an even rate for `seconds`, each at a random router.
-    fn run(&mut self, asked_per_second: f64, seconds: f64) -> FlowOutcome {
+    fn run(&mut self, submitted_per_second: f64, seconds: f64) -> FlowOutcome {
         let mut outcome = FlowOutcome::default();
         let end = self.now + seconds;
         while self.now < end {
-            self.now += 1.0 / asked_per_second;
-            self.queue = (self.queue - self.taken_per_second / asked_per_second).max(0.0);
+            self.now += 1.0 / submitted_per_second;
+            self.queue = (self.queue - self.taken_per_second / submitted_per_second).max(0.0);
             self.submit(&mut outcome);
         }
         outcome
@@ -63,7 +63,7 @@
         let index = self.random.random_range(0..self.routers.len());
         let draw = self.random.random();
         let has_room = self.queue + 1.0 <= QUEUE_DEPTH;
-        outcome.asked += 1;
+        outcome.submitted += 1;
         let router = &mut self.routers[index];
         if router.admit(now, &self.customer, draw).is_err() {
             outcome.wrongly_refused += u32::from(has_room);
@@ -83,19 +83,23 @@
 #[test_case(30, 100.0, 1_200.0; "30 routers, twelve times the share")]
 #[test_case(295, 100.0, 3_500.0; "295 routers, 35 times the share")]
 #[test_case(600, 100.0, 8_000.0; "600 routers, 80 times the share")]
-fn a_flood_is_throttled_while_the_queue_of_the_shard_stays_full(routers: usize, taken: f64, asked: f64) {
-    let mut fleet = CrowdedFleet::new(routers, taken);
-    fleet.run(asked, 2.0);
-    let flood = fleet.run(asked, 5.0);
-    assert!(f64::from(flood.reached) <= 0.4 * f64::from(flood.asked), "{flood:?}");
-    assert!(f64::from(flood.taken) >= 0.97 * taken * 5.0, "{flood:?}");
+fn a_flood_is_throttled_while_the_queue_of_the_shard_stays_full(
+    routers: usize,
+    taken_per_second: f64,
+    submitted_per_second: f64,
+) {
+    let mut fleet = CrowdedFleet::new(routers, taken_per_second);
+    fleet.run(submitted_per_second, 2.0);
+    let flood = fleet.run(submitted_per_second, 5.0);
+    assert!(f64::from(flood.reached) <= 0.4 * f64::from(flood.submitted), "{flood:?}");
+    assert!(f64::from(flood.taken) >= 0.97 * taken_per_second * 5.0, "{flood:?}");
 }
 
 #[test]
 fn a_customer_within_its_share_is_never_throttled() {
     let mut fleet = CrowdedFleet::new(295, 100.0);
     let flow = fleet.run(90.0, 20.0);
-    assert_eq!(flow.taken, flow.asked, "{flow:?}");
+    assert_eq!(flow.taken, flow.submitted, "{flow:?}");
 }
 
 #[test]
@@ -104,7 +108,7 @@
     fleet.run(3_500.0, 5.0);
     fleet.run(50.0, 0.6);
     let after = fleet.run(50.0, 5.0);
-    assert_eq!(after.taken, after.asked, "{after:?}");
+    assert_eq!(after.taken, after.submitted, "{after:?}");
 }
 
 #[test]
