--- a/crates/micaspool-dispatch/src/shard/engine.rs
+++ b/crates/micaspool-dispatch/src/shard/engine.rs
@@ -189,9 +189,9 @@
 
     /// How many tokens of a prompt are not cached here; at least one.
     pub fn uncached_tokens(&self, prompt: &PromptShape) -> u64 {
-        let cached = prompt.parts().take_while(|(prefix, _)| self.cached.has(*prefix));
-        let cached: u64 = cached.map(|(_, tokens)| tokens).sum();
-        prompt.total.saturating_sub(cached).max(1)
+        let cached_parts = prompt.parts().take_while(|(prefix, _)| self.cached.has(*prefix));
+        let cached_tokens: u64 = cached_parts.map(|(_, tokens)| tokens).sum();
+        prompt.total.saturating_sub(cached_tokens).max(1)
     }
 
     /// The weighted delay of a prompt's first token in microseconds, if `tokens_before` tokens for
