--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -66,7 +66,7 @@
 
 /// The latest level of a customer that a router received.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeldTotal {
+pub struct HeldLevel {
     /// The customer.
     pub customer: CustomerName,
     /// Its level.
@@ -87,7 +87,7 @@
     /// Its running requests.
     pub running: Vec<HeldGrant>,
     /// The customer levels that it knows.
-    pub totals: Vec<HeldTotal>,
+    pub levels: Vec<HeldLevel>,
     /// Its crash records of requests.
     pub crashes: Vec<CrashRecord>,
     /// The advice that endpoints gave to it.
--- a/crates/micaspool-dispatch/src/lib.rs
+++ b/crates/micaspool-dispatch/src/lib.rs
@@ -22,7 +22,7 @@
 pub use candidates::{CandidateChoice, CandidateHealth, CandidateKind, ChoiceOptions, ChoiceStep};
 pub use event::{
     CacheUpdate, CachedPart, ColdStartLimits, CustomerTotal, EndpointSpec, GrantOutcome, HeldGrant,
-    HeldTotal, LoadReport, RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent,
+    HeldLevel, LoadReport, RegionTotals, RequestTicket, RouterHello, SessionId, ShardCustomer, ShardEvent,
     ShardPolicy,
 };
 pub use micaspool_quarantine::{CrashRecord, EndpointCrash, QuarantineOptions, RequestStanding};
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -12,7 +12,7 @@
 use super::tickets::WaitingTicket;
 use super::ShardCore;
 use crate::action::ShardAction;
-use crate::event::{GrantOutcome, HeldGrant, HeldTotal, RequestTicket, RouterHello, SessionId};
+use crate::event::{GrantOutcome, HeldGrant, HeldLevel, RequestTicket, RouterHello, SessionId};
 use crate::shard::customers::QueuePlace;
 use micaspool_fair::{CustomerIndex, Rank, ServiceLevel};
 use micaspool_types::{Cost, Moment, RequestId};
@@ -33,8 +33,8 @@
         self.merge_suspects(now, router, &hello.crashes, actions);
         self.record_advice(now, router, &hello.advice);
         if self.options.use_held_state {
-            for total in &hello.totals {
-                self.recover_level(total);
+            for held in &hello.levels {
+                self.recover_level(held);
             }
         }
         let mut waiting = by_request(hello.waiting, |ticket| ticket.request);
@@ -204,19 +204,19 @@
     /// Adopts a customer's level if the shard has none, or, during recovery, if it is newer than the
     /// known one. After recovery, levels of other dispatchers are only comparable without an idle
     /// credit.
-    fn recover_level(&mut self, total: &HeldTotal) {
-        let customer = self.customers.ensure(&total.customer);
+    fn recover_level(&mut self, held: &HeldLevel) {
+        let customer = self.customers.ensure(&held.customer);
         let recovering = self.recovering_until.is_some();
         let state = self.customers.get_mut(customer);
         let has_no_level = state.level_order.0 == 0;
         let comparable = recovering || self.idle_credit == Cost(0);
-        if total.order <= state.level_order || !(recovering || has_no_level) || !comparable {
+        if held.order <= state.level_order || !(recovering || has_no_level) || !comparable {
             return;
         }
         let weight = state.account.weight();
-        state.level_order = total.order;
-        state.account.rebase(total.level, weight);
-        self.note_order(total.order);
+        state.level_order = held.order;
+        state.account.rebase(held.level, weight);
+        self.note_order(held.order);
         self.reindex(customer);
     }
 }
--- a/crates/micaspool-dispatch/tests/shard/harness.rs
+++ b/crates/micaspool-dispatch/tests/shard/harness.rs
@@ -1,7 +1,7 @@
 //! Drives a [`ShardCore`] directly with constructed routers, endpoints and customers.
 
 use micaspool_dispatch::{
-    ColdStartLimits, EndpointSpec, GrantOutcome, HeldGrant, HeldTotal, LoadReport, RefusalReason,
+    ColdStartLimits, EndpointSpec, GrantOutcome, HeldGrant, HeldLevel, LoadReport, RefusalReason,
     RequestTicket, RouterHello, SessionId, ShardAction, ShardCore, ShardCustomer, ShardEvent, ShardOptions,
     ShardPolicy,
 };
@@ -54,7 +54,7 @@
         incarnation: Incarnation(incarnation),
         waiting: Vec::new(),
         running: Vec::new(),
-        totals: Vec::new(),
+        levels: Vec::new(),
         crashes: Vec::new(),
         advice: Vec::new(),
         heartbeat: 1,
@@ -73,8 +73,8 @@
     }
 }
 
-pub fn held_total(name: &str, level: u64, order: u64) -> HeldTotal {
-    HeldTotal { customer: customer(name), level: ServiceLevel(level), order: OrderNumber(order) }
+pub fn held_level(name: &str, level: u64, order: u64) -> HeldLevel {
+    HeldLevel { customer: customer(name), level: ServiceLevel(level), order: OrderNumber(order) }
 }
 
 /// The fields of a [`ShardAction::Grant`] that tests compare.
--- a/crates/micaspool-dispatch/tests/shard/recovery.rs
+++ b/crates/micaspool-dispatch/tests/shard/recovery.rs
@@ -1,7 +1,7 @@
 //! A shard that starts without state rebuilds it from its routers.
 
 use crate::harness::{
-    customer, held_grant, held_total, hello, ordered_ticket, request_id, ticket, ShardHarness,
+    customer, held_grant, held_level, hello, ordered_ticket, request_id, ticket, ShardHarness,
 };
 use micaspool_dispatch::{GrantOutcome, RouterHello, SessionId, ShardEvent, ShardOptions};
 use micaspool_types::{Cost, InstanceName};
@@ -66,10 +66,10 @@
 #[test]
 fn levels_are_recovered_from_the_newest_grant_known_to_any_router() {
     let mut harness = ShardHarness::recovering(1, 1, &["a", "b"], expecting(&["r1", "r2"]));
-    let totals = vec![held_total("a", 900_000, 7), held_total("b", 100_000, 5)];
-    harness.join(1, RouterHello { totals, waiting: vec![ordered_ticket(1, "a", 8)], ..hello("r1", 1) });
-    let totals = vec![held_total("a", 50_000, 2), held_total("b", 950_000, 9)];
-    harness.join(2, RouterHello { totals, waiting: vec![ordered_ticket(2, "b", 10)], ..hello("r2", 1) });
+    let levels = vec![held_level("a", 900_000, 7), held_level("b", 100_000, 5)];
+    harness.join(1, RouterHello { levels, waiting: vec![ordered_ticket(1, "a", 8)], ..hello("r1", 1) });
+    let levels = vec![held_level("a", 50_000, 2), held_level("b", 950_000, 9)];
+    harness.join(2, RouterHello { levels, waiting: vec![ordered_ticket(2, "b", 10)], ..hello("r2", 1) });
     assert_eq!(harness.take_granted_requests(), vec![1], "a is at 900000 and b at 950000");
 }
 
@@ -79,8 +79,8 @@
 fn levels_of_different_dispatchers_do_not_starve_a_customer() {
     let mut harness = ShardHarness::recovering(1, 1, &["long", "short"], ShardOptions::default());
     harness.update_policy(|policy| policy.idle_credit = Cost(50));
-    let long = RouterHello { totals: vec![held_total("long", 9_000_000, 900)], ..hello("r1", 1) };
-    let short = RouterHello { totals: vec![held_total("short", 20_000, 7)], ..hello("r2", 2) };
+    let long = RouterHello { levels: vec![held_level("long", 9_000_000, 900)], ..hello("r1", 1) };
+    let short = RouterHello { levels: vec![held_level("short", 20_000, 7)], ..hello("r2", 2) };
     harness.join(1, long);
     harness.join(2, short);
     // Both customers already wait while the shard recovers, so neither level is lifted on submission.
--- a/crates/micaspool-replay/src/run/routers.rs
+++ b/crates/micaspool-replay/src/run/routers.rs
@@ -2,7 +2,7 @@
 
 use super::setup::session_number;
 use crate::trace::RecordedTrace;
-use micaspool_dispatch::{HeldGrant, HeldTotal, RequestTicket, RouterHello, SessionId};
+use micaspool_dispatch::{HeldGrant, HeldLevel, RequestTicket, RouterHello, SessionId};
 use micaspool_fair::ServiceLevel;
 use micaspool_types::{Cost, CustomerName, EndpointName, Incarnation, InstanceName, OrderNumber, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
     joins: u64,
     waiting: BTreeMap<RequestId, RequestTicket>,
     running: BTreeMap<RequestId, HeldGrant>,
-    totals: BTreeMap<CustomerName, HeldTotal>,
+    totals: BTreeMap<CustomerName, HeldLevel>,
 }
 
 /// All routers of a replay.
@@ -57,7 +57,7 @@
             incarnation: Incarnation(1),
             waiting: held.waiting.values().cloned().collect(),
             running: held.running.values().cloned().collect(),
-            totals: held.totals.values().cloned().collect(),
+            levels: held.totals.values().cloned().collect(),
             crashes: Vec::new(),
             advice: Vec::new(),
             heartbeat: 1,
@@ -138,7 +138,7 @@
         let held = &mut self.routers[router];
         let Some(ticket) = held.waiting.remove(&request) else { return false };
         let customer = ticket.customer;
-        held.totals.insert(customer.clone(), HeldTotal { customer: customer.clone(), level, order });
+        held.totals.insert(customer.clone(), HeldLevel { customer: customer.clone(), level, order });
         let endpoint = endpoint.clone();
         let grant =
             HeldGrant { request, customer, digest: None, endpoint, estimate, delivered: Cost(0), order };
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -7,7 +7,7 @@
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RequestThrottle, RequestTicket, RouterHello,
+    GrantOutcome, HeldGrant, HeldLevel, RefusalReason, RequestThrottle, RequestTicket, RouterHello,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_quarantine::{CrashTable, QuarantineOptions};
@@ -24,7 +24,7 @@
 
 /// The maximum age of the service levels in a hello. A customer that was idle for longer starts from the level of the
 /// others in any case.
-const TOTAL_MAX_AGE: Duration = Duration::from_secs(60);
+const LEVEL_MAX_AGE: Duration = Duration::from_secs(60);
 /// The maximum number of remembered requests during which endpoints crashed, in total and per customer. A hello with
 /// all of them is about 25 KB.
 const CRASH_CAPACITY: (usize, usize) = (256, 64);
@@ -50,7 +50,7 @@
 
 /// The last known service level of a customer.
 #[derive(Debug)]
-struct KnownTotal {
+struct KnownLevel {
     level: ServiceLevel,
     order: OrderNumber,
     updated_at: BootInstant,
@@ -61,7 +61,7 @@
 pub(super) struct ShardState {
     waiting: HashMap<RequestId, WaitingEntry>,
     running: HashMap<RequestId, HeldGrant>,
-    totals: HashMap<CustomerName, KnownTotal>,
+    levels: HashMap<CustomerName, KnownLevel>,
     link: Option<Sender<v1::RouterMessage>>,
     unlinked_since: Option<BootInstant>,
     /// The numbers of the newest heartbeats and the times at which they were sent.
@@ -82,7 +82,7 @@
         ShardState {
             waiting: HashMap::new(),
             running: HashMap::new(),
-            totals: HashMap::new(),
+            levels: HashMap::new(),
             link: None,
             unlinked_since: Some(now),
             heartbeats: VecDeque::new(),
@@ -140,11 +140,11 @@
     }
 
     pub fn build_hello(&mut self, options: &ShardClientOptions, advice: Vec<AdviceRecord>) -> RouterHello {
-        self.totals.retain(|_, total| total.updated_at.elapsed() < TOTAL_MAX_AGE);
-        let totals = self.totals.iter().map(|(customer, total)| HeldTotal {
+        self.levels.retain(|_, known| known.updated_at.elapsed() < LEVEL_MAX_AGE);
+        let levels = self.levels.iter().map(|(customer, known)| HeldLevel {
             customer: customer.clone(),
-            level: total.level,
-            order: total.order,
+            level: known.level,
+            order: known.order,
         });
         let now = self.current_moment();
         self.crashes.expire(now);
@@ -154,7 +154,7 @@
             incarnation: options.incarnation,
             waiting: self.waiting.values().map(|entry| entry.ticket.clone()).collect(),
             running: self.running.values().cloned().collect(),
-            totals: totals.collect(),
+            levels: levels.collect(),
             advice,
             heartbeat: self.allocate_heartbeat(),
         }
@@ -303,7 +303,7 @@
         let order = OrderNumber(grant.order);
         let now = self.current_moment();
         self.throttle.note_granted(now, &entry.ticket.customer);
-        self.update_total(&entry.ticket.customer, ServiceLevel(grant.level), order);
+        self.update_level(&entry.ticket.customer, ServiceLevel(grant.level), order);
         let held_grant = HeldGrant {
             request,
             customer: entry.ticket.customer.clone(),
@@ -326,11 +326,11 @@
     }
 
     /// Updates a customer's service level, unless a newer and higher one is known.
-    fn update_total(&mut self, customer: &CustomerName, level: ServiceLevel, order: OrderNumber) {
+    fn update_level(&mut self, customer: &CustomerName, level: ServiceLevel, order: OrderNumber) {
         let is_known =
-            self.totals.get(customer).is_some_and(|total| total.order > order && total.level > level);
+            self.levels.get(customer).is_some_and(|known| known.order > order && known.level > level);
         if !is_known {
-            self.totals.insert(customer.clone(), KnownTotal { level, order, updated_at: BootInstant::now() });
+            self.levels.insert(customer.clone(), KnownLevel { level, order, updated_at: BootInstant::now() });
         }
     }
 
--- a/crates/micaspool-wire/src/convert.rs
+++ b/crates/micaspool-wire/src/convert.rs
@@ -13,7 +13,7 @@
 use crate::v1;
 use advice::advice_record;
 use micaspool_dispatch::{
-    CustomerTotal, GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RegionTotals, RequestTicket,
+    CustomerTotal, GrantOutcome, HeldGrant, HeldLevel, RefusalReason, RegionTotals, RequestTicket,
     RouterHello, SessionId, ShardAction, ShardEvent,
 };
 use micaspool_fair::ServiceLevel;
@@ -143,7 +143,7 @@
         incarnation: hello.incarnation.0,
         waiting: hello.waiting.iter().map(submit_message).collect(),
         running: hello.running.iter().map(held_message).collect(),
-        totals: hello.totals.iter().map(total_message).collect(),
+        totals: hello.levels.iter().map(level_message).collect(),
         heartbeat: hello.heartbeat,
         crashes: hello.crashes.iter().map(crash_message).collect(),
         advice: hello.advice.iter().map(advice_message).collect(),
@@ -162,8 +162,8 @@
     }
 }
 
-fn total_message(total: &HeldTotal) -> v1::Total {
-    v1::Total { customer: total.customer.to_string(), level: total.level.0, order: total.order.0 }
+fn level_message(held: &HeldLevel) -> v1::Total {
+    v1::Total { customer: held.customer.to_string(), level: held.level.0, order: held.order.0 }
 }
 
 /// What a router holds, from a message.
@@ -173,7 +173,7 @@
         incarnation: Incarnation(message.incarnation),
         waiting: message.waiting.into_iter().map(ticket).collect::<Result<_, _>>()?,
         running: message.running.into_iter().map(held_grant).collect::<Result<_, _>>()?,
-        totals: message.totals.into_iter().map(held_total).collect::<Result<_, _>>()?,
+        levels: message.totals.into_iter().map(held_level).collect::<Result<_, _>>()?,
         heartbeat: message.heartbeat,
         crashes: message.crashes.into_iter().map(crash_record).collect::<Result<_, _>>()?,
         advice: message.advice.iter().map(advice_record).collect::<Result<_, _>>()?,
@@ -192,8 +192,8 @@
     })
 }
 
-fn held_total(message: v1::Total) -> Result<HeldTotal, Error> {
-    Ok(HeldTotal {
+fn held_level(message: v1::Total) -> Result<HeldLevel, Error> {
+    Ok(HeldLevel {
         customer: CustomerName::parse(&message.customer)?,
         level: ServiceLevel(message.level),
         order: OrderNumber(message.order),
--- a/crates/micaspool/benches/decisions.rs
+++ b/crates/micaspool/benches/decisions.rs
@@ -81,7 +81,7 @@
             incarnation: Incarnation(1),
             waiting: Vec::new(),
             running: Vec::new(),
-            totals: Vec::new(),
+            levels: Vec::new(),
             crashes: Vec::new(),
             advice: Vec::new(),
             heartbeat: 1,
