--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -238,26 +238,32 @@
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
             engine.update_cache(update, &mut changes);
         }
-        self.holders.take(endpoint, &mut changes);
+        self.holders.apply_changes(endpoint, &mut changes);
         self.part_changes = changes;
     }
 
     /// Records a grant of a prompt to an endpoint.
-    pub fn admit(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId, prompt: &PromptShape) {
+    pub fn record_grant(
+        &mut self,
+        now: Moment,
+        endpoint: EndpointIndex,
+        request: RequestId,
+        prompt: &PromptShape,
+    ) {
         let mut changes = std::mem::take(&mut self.part_changes);
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
-            engine.admit(now, request, prompt, &mut changes);
+            engine.record_grant(now, request, prompt, &mut changes);
         }
-        self.holders.take(endpoint, &mut changes);
+        self.holders.apply_changes(endpoint, &mut changes);
         self.part_changes = changes;
         self.update_prefill_limit(now, endpoint);
         self.delay_next_grant(now, endpoint);
     }
 
     /// Records the first event of a request.
-    pub fn begin(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId) {
+    pub fn note_first_event(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId) {
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
-            engine.begin(now, request);
+            engine.note_first_event(now, request);
             self.update_prefill_limit(now, endpoint);
         }
     }
--- a/crates/micaspool-dispatch/src/shard/engine.rs
+++ b/crates/micaspool-dispatch/src/shard/engine.rs
@@ -94,7 +94,7 @@
 struct PendingPrompt {
     request: RequestId,
     tokens: u64,
-    granted: Moment,
+    granted_at: Moment,
 }
 
 /// The state of one engine.
@@ -184,7 +184,7 @@
     /// prompt was done.
     fn prefill_start(&self, prompt: &PendingPrompt) -> Moment {
         let latency = self.rate.latency().as_micros() as u64;
-        prompt.granted.max(Moment(self.last_first_event.0.saturating_sub(latency)))
+        prompt.granted_at.max(Moment(self.last_first_event.0.saturating_sub(latency)))
     }
 
     /// How many tokens of a prompt are not cached here; at least one.
@@ -219,7 +219,7 @@
 
     /// Records a grant of a prompt to this engine, and appends the resulting cache changes to
     /// `changes`.
-    pub fn admit(
+    pub fn record_grant(
         &mut self,
         now: Moment,
         request: RequestId,
@@ -227,7 +227,7 @@
         changes: &mut Vec<PartChange>,
     ) {
         let tokens = self.uncached_tokens(prompt);
-        self.pending.push_back(PendingPrompt { request, tokens, granted: now });
+        self.pending.push_back(PendingPrompt { request, tokens, granted_at: now });
         self.pending_tokens += tokens;
         let paced = self.rate.prefill_time(tokens) * 100 / RATE_PERCENT;
         self.paced_until = self.paced_until.max(now) + paced;
@@ -240,17 +240,19 @@
     /// Records the first event of a prompt and learns from it. Engines process prompts in order of
     /// arrival, so prompts granted clearly earlier are done as well and only their first events are
     /// delayed.
-    pub fn begin(&mut self, now: Moment, request: RequestId) {
+    pub fn note_first_event(&mut self, now: Moment, request: RequestId) {
         let Some(prompt) = self.pending.iter().find(|prompt| prompt.request == request).copied() else {
             return;
         };
         let prefill_start = self.prefill_start(&prompt);
-        let idle = prefill_start == prompt.granted;
-        let since = if idle { prompt.granted } else { self.last_first_event };
+        let idle = prefill_start == prompt.granted_at;
+        let since = if idle { prompt.granted_at } else { self.last_first_event };
         self.rate.observe(now, prompt.tokens, now.since(since), idle);
         self.last_first_event = now;
         let latency = self.rate.latency();
-        self.retain_pending(|other| other.request != request && other.granted + latency >= prompt.granted);
+        self.retain_pending(|other| {
+            other.request != request && other.granted_at + latency >= prompt.granted_at
+        });
     }
 
     /// Removes a prompt whose request ended before its first event.
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -197,7 +197,7 @@
         let level = state.level(self.options.policy.as_ref());
         self.reindex(ticket.customer);
         self.raise_floor(endpoint, served_rank);
-        self.endpoints.admit(now, endpoint, request, &ticket.prompt);
+        self.endpoints.record_grant(now, endpoint, request, &ticket.prompt);
         self.endpoints.occupy(endpoint);
         self.prefixes.remember(&ticket.prompt.prefixes, endpoint);
         self.throughput.count();
@@ -245,7 +245,7 @@
         let (endpoint, since) = (grant.endpoint, grant.since);
         let is_first_event = std::mem::take(&mut grant.awaits_first_event);
         if is_first_event {
-            self.endpoints.begin(now, endpoint, request);
+            self.endpoints.note_first_event(now, endpoint, request);
             since.into_iter().for_each(|since| self.endpoints.note_answer(endpoint, now.since(since)));
         }
         self.delivered.add(now, delivered.minus(before).0);
--- a/crates/micaspool-dispatch/src/shard/holders.rs
+++ b/crates/micaspool-dispatch/src/shard/holders.rs
@@ -18,7 +18,7 @@
     }
 
     /// Applies the changes of one engine's cache and clears `changes`.
-    pub fn take(&mut self, engine: EndpointIndex, changes: &mut Vec<PartChange>) {
+    pub fn apply_changes(&mut self, engine: EndpointIndex, changes: &mut Vec<PartChange>) {
         for change in changes.drain(..) {
             match change {
                 PartChange::Added(prefix) => self.engines.entry(prefix).or_default().push(engine),
--- a/crates/micaspool-dispatch/src/shard/prefill.rs
+++ b/crates/micaspool-dispatch/src/shard/prefill.rs
@@ -82,8 +82,8 @@
     prefilled_tokens: f64,
     prefill_micros: f64,
     sums: FitSums,
-    observed: u64,
-    newest: Moment,
+    observations: u64,
+    last_observed_at: Moment,
     /// Mean deviation of observations from the rate, relative to the expected time.
     spread: f64,
     /// Mean number of uncached tokens per prompt.
@@ -127,8 +127,8 @@
             prefilled_tokens: 0.0,
             prefill_micros: 0.0,
             sums: FitSums::default(),
-            observed: 0,
-            newest: Moment(0),
+            observations: 0,
+            last_observed_at: Moment(0),
             spread: 0.0,
             mean_tokens: 0.0,
             recent_expected: 0.0,
@@ -140,7 +140,7 @@
 
     /// Replaces the initial time per token, unless there are observations already.
     pub fn assume(&mut self, per_token: Option<f64>) {
-        if self.observed > 0 {
+        if self.observations > 0 {
             return;
         }
         let (least, most) = PER_TOKEN_RANGE;
@@ -155,7 +155,7 @@
     /// The time per token in microseconds, once there are enough observations for others to start from
     /// it.
     pub fn settled_per_token(&self) -> Option<f64> {
-        (self.observed >= SETTLED_OBSERVATIONS).then_some(self.per_token)
+        (self.observations >= SETTLED_OBSERVATIONS).then_some(self.per_token)
     }
 
     /// The time that the engine needs to prefill this many tokens.
@@ -179,8 +179,8 @@
     }
 
     /// When the most recent observation was made; `None` before the first.
-    pub fn newest(&self) -> Option<Moment> {
-        (self.observed > 0).then_some(self.newest)
+    pub fn last_observed_at(&self) -> Option<Moment> {
+        (self.observations > 0).then_some(self.last_observed_at)
     }
 
     /// Mean deviation of observations from the rate, relative to the expected time.
@@ -210,8 +210,8 @@
         let (least, most) = PER_TOKEN_RANGE;
         self.per_token = (self.prefill_micros / self.prefilled_tokens).clamp(least, most);
         self.update_statistics(tokens, expected, micros);
-        self.observed += 1;
-        self.newest = now;
+        self.observations += 1;
+        self.last_observed_at = now;
     }
 
     /// Moves the latency towards the lower quartile of the observations.
@@ -230,7 +230,7 @@
     }
 
     fn update_statistics(&mut self, tokens: f64, expected: f64, micros: f64) {
-        let part = if self.observed == 0 { 1.0 } else { 1.0 - DECAY };
+        let part = if self.observations == 0 { 1.0 } else { 1.0 - DECAY };
         self.mean_tokens += (tokens - self.mean_tokens) * part;
         let distance = (micros - expected).abs() / expected.max(1.0);
         self.spread += (distance - self.spread) * part;
--- a/crates/micaspool-dispatch/src/shard/status.rs
+++ b/crates/micaspool-dispatch/src/shard/status.rs
@@ -148,7 +148,7 @@
         PrefillStatus {
             tokens_per_milli: rate.tokens_per_milli(),
             latency: rate.latency(),
-            age: rate.newest().map(|newest| now.since(newest)),
+            age: rate.last_observed_at().map(|observed_at| now.since(observed_at)),
             spread: rate.spread(),
         }
     }
