--- a/crates/micaspool-dispatch/src/candidates.rs
+++ b/crates/micaspool-dispatch/src/candidates.rs
@@ -186,11 +186,11 @@
 impl CandidateChoice {
     /// Creates a choice among `count` candidates, all of which are probed.
     pub fn new(count: usize, options: ChoiceOptions) -> CandidateChoice {
-        CandidateChoice::of(Moment(0), vec![CandidateKind::Probed; count], options)
+        CandidateChoice::with_kinds(Moment(0), vec![CandidateKind::Probed; count], options)
     }
 
     /// Creates a choice among candidates of these kinds, in order of rank.
-    pub fn of(now: Moment, kinds: Vec<CandidateKind>, options: ChoiceOptions) -> CandidateChoice {
+    pub fn with_kinds(now: Moment, kinds: Vec<CandidateKind>, options: ChoiceOptions) -> CandidateChoice {
         let candidates = kinds.into_iter().map(|kind| CandidateState::new(now, kind)).collect();
         CandidateChoice { options, started_at: now, candidates, current: None }
     }
--- a/crates/micaspool-dispatch/tests/shard/choice.rs
+++ b/crates/micaspool-dispatch/tests/shard/choice.rs
@@ -121,7 +121,8 @@
 
 /// A router connected to the best of five candidates, all of which answer.
 fn connected_to_best() -> CandidateChoice {
-    let mut choice = CandidateChoice::of(at(0), with_last_resort([ANSWERS; 4]), ChoiceOptions::default());
+    let mut choice =
+        CandidateChoice::with_kinds(at(0), with_last_resort([ANSWERS; 4]), ChoiceOptions::default());
     choice.connected(0);
     choice
 }
@@ -136,7 +137,7 @@
 fn switches_after_return(router: &str, reached: [u64; 4]) -> Vec<(u64, usize)> {
     let router = InstanceName::parse(router).expect("valid name");
     let options = ChoiceOptions::spread_for(&router);
-    let mut choice = CandidateChoice::of(at(0), with_last_resort([ANSWERS; 4]), options);
+    let mut choice = CandidateChoice::with_kinds(at(0), with_last_resort([ANSWERS; 4]), options);
     choice.connected(0);
     choice.update(at(0), &ranked_kinds([LOST; 4]));
     choice.failed(at(0), 0);
@@ -178,7 +179,8 @@
 
 #[test]
 fn a_flapping_best_candidate_does_not_delay_the_switch() {
-    let mut choice = CandidateChoice::of(at(0), with_last_resort([LOST; 4]), ChoiceOptions::default());
+    let mut choice =
+        CandidateChoice::with_kinds(at(0), with_last_resort([LOST; 4]), ChoiceOptions::default());
     assert_eq!(choice.next(at(0)), ChoiceStep::Connect(4));
     choice.connected(4);
     let mut switched = None;
@@ -204,7 +206,8 @@
 
 #[test]
 fn a_starting_router_waits_briefly_for_the_best_candidate() {
-    let mut choice = CandidateChoice::of(at(0), with_last_resort([PENDING; 4]), ChoiceOptions::default());
+    let mut choice =
+        CandidateChoice::with_kinds(at(0), with_last_resort([PENDING; 4]), ChoiceOptions::default());
     choice.update(at(20), &ranked_kinds([PENDING, PENDING, ANSWERS, PENDING]));
     assert!(matches!(choice.next(at(20)), ChoiceStep::Wait(_)));
     choice.update(at(40), &ranked_kinds([ANSWERS, PENDING, ANSWERS, PENDING]));
@@ -215,7 +218,8 @@
 
 #[test]
 fn reordered_candidates_keep_the_stream_and_their_history() {
-    let mut choice = CandidateChoice::of(at(0), with_last_resort([ANSWERS; 4]), ChoiceOptions::default());
+    let mut choice =
+        CandidateChoice::with_kinds(at(0), with_last_resort([ANSWERS; 4]), ChoiceOptions::default());
     choice.connected(1);
     let swapped = [(Some(2), ANSWERS), (Some(1), ANSWERS), (Some(0), ANSWERS), (Some(3), ANSWERS)];
     choice.update(at(1_500), &swapped);
--- a/crates/micaspool-router/src/shard_client/link.rs
+++ b/crates/micaspool-router/src/shard_client/link.rs
@@ -88,7 +88,7 @@
         let candidates = client.options.dispatchers.ranked(&client.service);
         let options = ChoiceOptions::spread_for(&client.options.router);
         let kinds = candidates.iter().map(|candidate| candidate.kind).collect();
-        let choice = CandidateChoice::of(Moment(0), kinds, options);
+        let choice = CandidateChoice::with_kinds(Moment(0), kinds, options);
         LinkChoice { candidates, choice, start: BootInstant::now() }
     }
 
