--- a/crates/micaspool-dispatch/src/shard/choice.rs
+++ b/crates/micaspool-dispatch/src/shard/choice.rs
@@ -19,7 +19,7 @@
     /// Returns true for endpoints that must not get the request now.
     pub is_excluded: &'a dyn Fn(EndpointIndex) -> bool,
     /// When the first event of the response is due; `None` without a deadline.
-    pub wanted_by: Option<Moment>,
+    pub first_event_due: Option<Moment>,
 }
 
 /// How well an engine suits a prompt; lower is better.
@@ -63,7 +63,7 @@
             let first_event_at =
                 now + cold_delay + engine.time_to_first_event(now, query.prompt, ahead.tokens);
             Some(EngineScore {
-                late: query.wanted_by.is_some_and(|wanted| first_event_at > wanted),
+                late: query.first_event_due.is_some_and(|due| first_event_at > due),
                 delay: engine.delay(now, query.prompt, state.busy, ahead.tokens)
                     + cold_delay.as_micros() as u64,
                 engine: index,
@@ -117,7 +117,7 @@
     /// service without engines, the mean time until a response begins.
     pub fn min_time_to_first_event(&self, now: Moment, prompt: &PromptShape) -> Duration {
         let anywhere =
-            EngineQuery { prompt, halls: HallMask(u32::MAX), is_excluded: &|_| false, wanted_by: None };
+            EngineQuery { prompt, halls: HallMask(u32::MAX), is_excluded: &|_| false, first_event_due: None };
         let best = self.soonest_engine(now, &anywhere, |_| WorkAhead::default());
         let engine = best.and_then(|index| self.state(index).engine.as_ref());
         engine.map_or(self.answer_time.mean(), |engine| engine.unqueued_time_to_first_event(prompt))
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -138,7 +138,7 @@
             prompt: &ticket.prompt,
             halls,
             is_excluded: &is_excluded,
-            wanted_by: ticket.wanted_by,
+            first_event_due: ticket.first_event_due,
         };
         let soonest = self.endpoints.soonest_engine(now, &query, before);
         self.note_choice(ticket, soonest.filter(|engine| !self.endpoints.is_free(*engine, halls)));
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -94,7 +94,7 @@
             prompt: grant.prompt,
             objective: None,
             expected_wait: Duration::ZERO,
-            wanted_by: None,
+            first_event_due: None,
             refuse_at: None,
             caller_leaves_at: None,
             waits_for: Cell::new(None),
--- a/crates/micaspool-dispatch/src/shard/pauses.rs
+++ b/crates/micaspool-dispatch/src/shard/pauses.rs
@@ -10,7 +10,7 @@
 const MAX_PAUSE: Duration = Duration::from_secs(16);
 /// While less than half of a service's endpoints are open, the paused ones together are tried this
 /// often per second. This finds a few returning endpoints soon without spending a request on each of
-/// hundreds that are gone.
+/// hundreds that are down.
 const RETRIES_PER_SECOND: u32 = 6;
 
 impl EndpointTable {
--- a/crates/micaspool-dispatch/src/shard/tickets.rs
+++ b/crates/micaspool-dispatch/src/shard/tickets.rs
@@ -36,7 +36,7 @@
     /// The wait that was expected when the ticket arrived.
     pub expected_wait: Duration,
     /// When the first event is due; `None` without an objective.
-    pub wanted_by: Option<Moment>,
+    pub first_event_due: Option<Moment>,
     /// When the ticket is refused because it can no longer begin in time; `None` for never.
     pub refuse_at: Option<Moment>,
     /// When its caller gives up; `None` if unknown.
@@ -182,7 +182,7 @@
             avoid: avoid.map(|endpoint| Avoidance { endpoint, until: now + AVOIDANCE_PERIOD }),
             objective: ticket.objective,
             expected_wait: wait.expected,
-            wanted_by: ticket.objective.map(|objective| now + objective),
+            first_event_due: ticket.objective.map(|objective| now + objective),
             refuse_at: wait.max_wait.map(|max_wait| now + max_wait),
             caller_leaves_at: ticket.patience.map(|patience| now + patience),
             prompt,
