--- a/crates/micaspool-dispatch/tests/shard/choice.rs
+++ b/crates/micaspool-dispatch/tests/shard/choice.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_router_moves_to_a_better_candidate_only_after_the_hold_down() {
+fn a_router_switches_to_a_higher_ranked_candidate_only_after_the_hold_down() {
     let mut choice = CandidateChoice::new(2, ChoiceOptions::default());
     choice.failed(at(0), 0);
     choice.connected(1);
