--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -33,8 +33,8 @@
         self.merge_suspects(now, router, &hello.crashes, actions);
         self.record_advice(now, router, &hello.advice);
         if self.options.use_held_state {
-            for held in &hello.levels {
-                self.recover_level(held);
+            for held_level in &hello.levels {
+                self.recover_level(held_level);
             }
         }
         let mut waiting = by_request(hello.waiting, |ticket| ticket.request);
