--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -107,7 +107,7 @@
     Refused,
     /// No connection could be made; nothing ran.
     Unreachable,
-    /// The endpoint said that it is leaving; nothing ran.
+    /// The endpoint answered that it is leaving; nothing ran.
     Draining,
     /// The endpoint failed after the request was sent.
     Broken,
--- a/crates/micaspool-dispatch/src/shard/caller_attempts.rs
+++ b/crates/micaspool-dispatch/src/shard/caller_attempts.rs
@@ -19,9 +19,9 @@
 const USUAL_LIFETIME: u32 = 16;
 /// How long after a refusal retries are expected.
 const RETRY_WINDOW: Duration = Duration::from_secs(2);
-/// The most kinds that are tracked, beyond which all are learnt anew; and the most distinct patience
-/// values per sample.
+/// The maximum number of tracked kinds; all are discarded before one more is added.
 const MAX_KINDS: usize = 64;
+/// The maximum number of distinct patience values per sample.
 const MAX_STEPS: usize = 256;
 
 /// The usual patience of first attempts for each kind of caller. A kind is identified by its objective.
--- a/crates/micaspool-dispatch/src/shard/choice.rs
+++ b/crates/micaspool-dispatch/src/shard/choice.rs
@@ -78,7 +78,7 @@
     }
 
     /// The initial prefill time per token of an engine without observations, in microseconds: the mean
-    /// of the warm engines with a settled rate, otherwise the planned pace from the settings.
+    /// of the warm engines with a settled rate, otherwise from the rate that the settings plan.
     pub fn default_per_token(&self, now: Moment, planned_pace: f64) -> Option<f64> {
         let warm = self.states.iter().filter(|state| !state.availability.cold.is_cold(now));
         let engines = warm.filter_map(|state| state.engine.as_ref());
--- a/crates/micaspool-fair/src/estimate.rs
+++ b/crates/micaspool-fair/src/estimate.rs
@@ -2,7 +2,7 @@
 
 use micaspool_types::Cost;
 
-/// The newest request contributes one part in this many to the learned averages.
+/// The newest request contributes one part in this many to the learnt averages.
 const LEARNING_DIVISOR: u64 = 8;
 /// Averages are stored in this many parts of a unit of cost.
 const AVERAGE_SCALE: u64 = 256;
