--- a/crates/micaspool-dispatch/src/action.rs
+++ b/crates/micaspool-dispatch/src/action.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StandingCause {
     /// An endpoint seems to have crashed while running it.
-    EndpointEnded,
+    EndpointCrashed,
     /// A router that joined reported crashes.
     RouterJoined,
     /// It was answered completely.
@@ -48,7 +48,7 @@
     /// The name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            StandingCause::EndpointEnded => "endpoint-ended",
+            StandingCause::EndpointCrashed => "endpoint-ended",
             StandingCause::RouterJoined => "router-joined",
             StandingCause::Answered => "answered",
             StandingCause::EndpointAlive => "endpoint-alive",
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -60,7 +60,7 @@
         }
         let change = self.suspects.table.note_crash(now, digest, &customer, &endpoint);
         self.suspects.note_witness(digest, ended.router);
-        self.worsen_standing(now, change, StandingCause::EndpointEnded, actions);
+        self.worsen_standing(now, change, StandingCause::EndpointCrashed, actions);
     }
 
     /// Merges the crash records of a router that joins.
