--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -36,7 +36,7 @@
 /// The memory that a gateway uses without any callers, in bytes. 13 MB were measured on the users' small sites.
 const BASELINE_BYTES: u64 = 30_000_000;
 /// The memory of one caller connection, including its request and the connection to the endpoint, in bytes.
-/// On a large site of the users a gateway with 3,900 file descriptors, about 3,000 callers, used 127 MB, and one
+/// On the users' enlarged milk site, a gateway with 3,900 file descriptors, about 3,000 callers, used 127 MB, and one
 /// gateway more than 160 MB; half of the callers may have a long body that is not read yet.
 const CONNECTION_BYTES: u64 = 55_000;
 /// One in this many connections is reserved for refusing callers immediately. A refusal occupies its
