--- a/crates/micaspool-dispatch/src/shard/endpoints.rs
+++ b/crates/micaspool-dispatch/src/shard/endpoints.rs
@@ -31,7 +31,7 @@
     /// Set for a language model engine with a known memory size.
     pub(super) engine: Option<EngineState>,
     /// True while the engine has too much queued prefill work for another prompt.
-    pub reading: bool,
+    pub prefill_limited: bool,
     /// Successive failures.
     pub failures: u32,
     /// Successive broken requests that were tolerated.
@@ -124,7 +124,7 @@
     /// The load in units of `LOAD_PARTS`; `None` unless the endpoint can take a request now.
     fn free_load(&self) -> Option<u32> {
         let taken = self.busy + self.foreign;
-        let free = self.has_slot() && !self.reading && !self.availability.cold.spaced;
+        let free = self.has_slot() && !self.prefill_limited && !self.availability.cold.limited;
         free.then(|| taken * LOAD_PARTS / self.slots.max(1))
     }
 }
@@ -171,7 +171,7 @@
             foreign: 0,
             availability: EndpointAvailability { settings: true, ..EndpointAvailability::default() },
             engine: None,
-            reading: false,
+            prefill_limited: false,
             failures: 0,
             breaks: 0,
             connect_failures: 0,
@@ -238,26 +238,32 @@
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
             engine.update_cache(update, &mut changes);
         }
-        self.holders.take(endpoint, &mut changes);
+        self.holders.apply_changes(endpoint, &mut changes);
         self.part_changes = changes;
     }
 
     /// Records a grant of a prompt to an endpoint.
-    pub fn admit(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId, prompt: &PromptShape) {
+    pub fn record_grant(
+        &mut self,
+        now: Moment,
+        endpoint: EndpointIndex,
+        request: RequestId,
+        prompt: &PromptShape,
+    ) {
         let mut changes = std::mem::take(&mut self.part_changes);
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
-            engine.admit(now, request, prompt, &mut changes);
+            engine.record_grant(now, request, prompt, &mut changes);
         }
-        self.holders.take(endpoint, &mut changes);
+        self.holders.apply_changes(endpoint, &mut changes);
         self.part_changes = changes;
         self.update_prefill_limit(now, endpoint);
         self.delay_next_grant(now, endpoint);
     }
 
     /// Records the first event of a request.
-    pub fn begin(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId) {
+    pub fn note_first_event(&mut self, now: Moment, endpoint: EndpointIndex, request: RequestId) {
         if let Some(engine) = &mut self.state_mut(endpoint).engine {
-            engine.begin(now, request);
+            engine.note_first_event(now, request);
             self.update_prefill_limit(now, endpoint);
         }
     }
@@ -274,9 +280,9 @@
     pub(super) fn update_prefill_limit(&mut self, now: Moment, endpoint: EndpointIndex) {
         let state = self.state_mut(endpoint);
         let Some(engine) = &state.engine else { return };
-        state.reading = !engine.has_prefill_budget(now);
+        state.prefill_limited = !engine.has_prefill_budget(now);
         let wake = engine.prefill_budget_at(now);
-        if state.reading && wake > now {
+        if state.prefill_limited && wake > now {
             self.wakes.insert((wake, endpoint));
         }
         self.reindex(endpoint);
@@ -348,9 +354,10 @@
         }
     }
 
-    /// Closes an endpoint that told a router that it is leaving. After a restart it has another name.
+    /// Closes an endpoint that announced to a router that it is leaving. After a restart it has another
+    /// name.
     pub fn note_leaving(&mut self, endpoint: EndpointIndex) {
-        self.state_mut(endpoint).availability.said_leaving = true;
+        self.state_mut(endpoint).availability.announced_leaving = true;
         self.reindex(endpoint);
     }
 
--- a/crates/micaspool-dispatch/src/shard/engine.rs
+++ b/crates/micaspool-dispatch/src/shard/engine.rs
@@ -94,7 +94,7 @@
 struct PendingPrompt {
     request: RequestId,
     tokens: u64,
-    granted: Moment,
+    granted_at: Moment,
 }
 
 /// The state of one engine.
@@ -175,23 +175,23 @@
     fn own_prefill_time(&self, now: Moment) -> Duration {
         let Some(oldest) = self.pending.front() else { return Duration::ZERO };
         let passed = now.since(self.prefill_start(oldest));
-        let rest = self.rate.prefill_time(self.pending_tokens).saturating_sub(passed);
+        let remaining = self.rate.prefill_time(self.pending_tokens).saturating_sub(passed);
         let usual = self.rate.prefill_time(oldest.tokens) * LATE_FACTOR + self.rate.latency() * 2;
-        rest + passed.saturating_sub(usual)
+        remaining + passed.saturating_sub(usual)
     }
 
     /// When processing of `prompt`, the oldest pending one, began: at its grant, or when the previous
     /// prompt was done.
     fn prefill_start(&self, prompt: &PendingPrompt) -> Moment {
         let latency = self.rate.latency().as_micros() as u64;
-        prompt.granted.max(Moment(self.last_first_event.0.saturating_sub(latency)))
+        prompt.granted_at.max(Moment(self.last_first_event.0.saturating_sub(latency)))
     }
 
     /// How many tokens of a prompt are not cached here; at least one.
     pub fn uncached_tokens(&self, prompt: &PromptShape) -> u64 {
-        let held = prompt.parts().take_while(|(prefix, _)| self.cached.has(*prefix));
-        let held: u64 = held.map(|(_, tokens)| tokens).sum();
-        prompt.total.saturating_sub(held).max(1)
+        let cached_parts = prompt.parts().take_while(|(prefix, _)| self.cached.has(*prefix));
+        let cached_tokens: u64 = cached_parts.map(|(_, tokens)| tokens).sum();
+        prompt.total.saturating_sub(cached_tokens).max(1)
     }
 
     /// The weighted delay of a prompt's first token in microseconds, if `tokens_before` tokens for
@@ -219,7 +219,7 @@
 
     /// Records a grant of a prompt to this engine, and appends the resulting cache changes to
     /// `changes`.
-    pub fn admit(
+    pub fn record_grant(
         &mut self,
         now: Moment,
         request: RequestId,
@@ -227,7 +227,7 @@
         changes: &mut Vec<PartChange>,
     ) {
         let tokens = self.uncached_tokens(prompt);
-        self.pending.push_back(PendingPrompt { request, tokens, granted: now });
+        self.pending.push_back(PendingPrompt { request, tokens, granted_at: now });
         self.pending_tokens += tokens;
         let paced = self.rate.prefill_time(tokens) * 100 / RATE_PERCENT;
         self.paced_until = self.paced_until.max(now) + paced;
@@ -240,17 +240,19 @@
     /// Records the first event of a prompt and learns from it. Engines process prompts in order of
     /// arrival, so prompts granted clearly earlier are done as well and only their first events are
     /// delayed.
-    pub fn begin(&mut self, now: Moment, request: RequestId) {
+    pub fn note_first_event(&mut self, now: Moment, request: RequestId) {
         let Some(prompt) = self.pending.iter().find(|prompt| prompt.request == request).copied() else {
             return;
         };
         let prefill_start = self.prefill_start(&prompt);
-        let idle = prefill_start == prompt.granted;
-        let since = if idle { prompt.granted } else { self.last_first_event };
+        let idle = prefill_start == prompt.granted_at;
+        let since = if idle { prompt.granted_at } else { self.last_first_event };
         self.rate.observe(now, prompt.tokens, now.since(since), idle);
         self.last_first_event = now;
         let latency = self.rate.latency();
-        self.retain_pending(|other| other.request != request && other.granted + latency >= prompt.granted);
+        self.retain_pending(|other| {
+            other.request != request && other.granted_at + latency >= prompt.granted_at
+        });
     }
 
     /// Removes a prompt whose request ended before its first event.
@@ -269,8 +271,8 @@
         let known = u32::try_from(self.pending.len()).unwrap_or(u32::MAX);
         let others = waiting.saturating_sub(known);
         if others > UNATTRIBUTED_WAITING {
-            let held = (self.rate.mean_prefill_time() * others).min(MAX_HOLD);
-            self.others_until = self.others_until.max(now + held);
+            let hold = (self.rate.mean_prefill_time() * others).min(MAX_HOLD);
+            self.others_until = self.others_until.max(now + hold);
         }
     }
 
@@ -299,7 +301,7 @@
         for prefix in &update.dropped {
             self.cached.drop(*prefix, changes);
         }
-        for part in &update.kept {
+        for part in &update.cached_parts {
             self.cached.touch(part.prefix, u64::from(part.tokens), changes);
         }
         self.evict_excess(changes);
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -94,7 +94,7 @@
     /// The first tickets of a customer that are considered for a free endpoint. Tickets of disconnected
     /// routers are skipped without being counted: they stay queued until the lease ends and would block
     /// the customer's other tickets. The same holds for routers that all usable endpoints have asked to
-    /// back off.
+    /// rest.
     fn candidate_tickets(&self, now: Moment, customer: CustomerIndex) -> impl Iterator<Item = &RequestId> {
         let queue = self.customers.get(customer).queue.values();
         let usable = queue.filter(move |request| {
@@ -138,7 +138,7 @@
             prompt: &ticket.prompt,
             halls,
             is_excluded: &is_excluded,
-            wanted_by: ticket.wanted_by,
+            first_event_due: ticket.first_event_due,
         };
         let soonest = self.endpoints.soonest_engine(now, &query, before);
         self.note_choice(ticket, soonest.filter(|engine| !self.endpoints.is_free(*engine, halls)));
@@ -197,7 +197,7 @@
         let level = state.level(self.options.policy.as_ref());
         self.reindex(ticket.customer);
         self.raise_floor(endpoint, served_rank);
-        self.endpoints.admit(now, endpoint, request, &ticket.prompt);
+        self.endpoints.record_grant(now, endpoint, request, &ticket.prompt);
         self.endpoints.occupy(endpoint);
         self.prefixes.remember(&ticket.prompt.prefixes, endpoint);
         self.throughput.count();
@@ -245,7 +245,7 @@
         let (endpoint, since) = (grant.endpoint, grant.since);
         let is_first_event = std::mem::take(&mut grant.awaits_first_event);
         if is_first_event {
-            self.endpoints.begin(now, endpoint, request);
+            self.endpoints.note_first_event(now, endpoint, request);
             since.into_iter().for_each(|since| self.endpoints.note_answer(endpoint, now.since(since)));
         }
         self.delivered.add(now, delivered.minus(before).0);
--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -76,8 +76,8 @@
                 return Ok(());
             }
             cursor = changes.cursor;
-            if !changes.kept.is_empty() || !changes.dropped.is_empty() {
-                self.send_update(changes.kept, changes.dropped, false).await?;
+            if !changes.cached_parts.is_empty() || !changes.dropped.is_empty() {
+                self.send_update(changes.cached_parts, changes.dropped, false).await?;
             }
             tokio::time::sleep(pause).await;
         }
@@ -96,12 +96,12 @@
 
     async fn send_update(
         &self,
-        kept: Vec<CachedPart>,
+        cached_parts: Vec<CachedPart>,
         dropped: Vec<u64>,
         whole: bool,
     ) -> Result<(), ShardEnded> {
         let endpoint = self.endpoint.name.clone();
-        let update = CacheUpdate { endpoint, stored: Vec::new(), dropped, kept, whole };
+        let update = CacheUpdate { endpoint, stored: Vec::new(), dropped, cached_parts, whole };
         let sent = self.inputs.send(ShardInput::Event(ShardEvent::Cache(update))).await;
         sent.map_err(|_| ShardEnded)
     }
--- a/crates/micaspool-dispatcher/src/constraints.rs
+++ b/crates/micaspool-dispatcher/src/constraints.rs
@@ -41,8 +41,8 @@
             Some(EndpointClosure::Paused) => EndpointConstraint::Paused,
             Some(_) => EndpointConstraint::Leaving,
             None if endpoint.free => EndpointConstraint::Nothing,
-            None if endpoint.spaced => EndpointConstraint::Cold,
-            None if endpoint.reading => EndpointConstraint::Prefill,
+            None if endpoint.cold_limited => EndpointConstraint::Cold,
+            None if endpoint.prefill_limited => EndpointConstraint::Prefill,
             None => EndpointConstraint::Slots,
         }
     }
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -49,7 +49,7 @@
     /// shows whether it responds.
     fn candidate(&self, sight: &KeeperStatus) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
-        let reach = match sight.connection {
+        let health = match sight.reach {
             KeeperConnection::Pending => CandidateHealth::Pending,
             KeeperConnection::Connected if sight.unresponsive => CandidateHealth::Unresponsive,
             KeeperConnection::Connected => CandidateHealth::Answering,
@@ -57,7 +57,7 @@
         };
         Some(DispatcherCandidate {
             address: DispatcherAddress::Remote(address),
-            kind: CandidateKind::Observed(reach),
+            kind: CandidateKind::Observed(health),
         })
     }
 }
--- a/crates/micaspool-replay/src/run/endpoints.rs
+++ b/crates/micaspool-replay/src/run/endpoints.rs
@@ -85,7 +85,7 @@
         let surplus = target.cache.len().saturating_sub(CACHED_PREFIXES);
         let dropped = target.cache.drain(..surplus).collect();
         let (endpoint, stored) = (endpoint_name(endpoint), prefixes.to_vec());
-        (is_hit, CacheUpdate { endpoint, stored, dropped, kept: Vec::new(), whole: false })
+        (is_hit, CacheUpdate { endpoint, stored, dropped, cached_parts: Vec::new(), whole: false })
     }
 
     /// The number of the current run of a request, or zero if it is not running.
--- a/crates/micaspool-router/src/router/attempt.rs
+++ b/crates/micaspool-router/src/router/attempt.rs
@@ -183,14 +183,14 @@
         let fields = [field("request", plan.request), field("endpoint", &endpoint), field("error", error)];
         record(kind, &fields);
         self.apply_advice(plan, &endpoint, error);
-        let fate = match error {
+        let outcome = match error {
             EndpointError::Unreachable => GrantOutcome::Unreachable,
             EndpointError::Refused { .. } => GrantOutcome::Refused,
             EndpointError::Draining { .. } => GrantOutcome::Draining,
             EndpointError::ConnectionLost => GrantOutcome::Severed,
             EndpointError::NoAnswer | EndpointError::WrongRequest => GrantOutcome::Broken,
         };
-        grant.lease.settle(Cost(0), fate);
+        grant.lease.settle(Cost(0), outcome);
         if error.is_not_run() || plan.is_repeatable {
             AttemptEnd::Retry(endpoint)
         } else {
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Applies the back-off time of an endpoint that rejected a request and reports it to the dispatcher before the
-    /// grant ends.
+    /// Applies the rest that an endpoint asked for when it rejected a request, and reports it to the dispatcher before
+    /// the grant ends.
     fn apply_advice(&self, plan: &CallPlan, endpoint: &EndpointName, error: EndpointError) {
         let request = plan.request.to_string();
         let source = AdviceSource { endpoint, service: &plan.service, request: &request };
--- a/crates/micaspool-router/src/shard_client/link.rs
+++ b/crates/micaspool-router/src/shard_client/link.rs
@@ -88,7 +88,7 @@
         let candidates = client.options.dispatchers.ranked(&client.service);
         let options = ChoiceOptions::spread_for(&client.options.router);
         let kinds = candidates.iter().map(|candidate| candidate.kind).collect();
-        let choice = CandidateChoice::of(Moment(0), kinds, options);
+        let choice = CandidateChoice::with_kinds(Moment(0), kinds, options);
         LinkChoice { candidates, choice, start: BootInstant::now() }
     }
 
@@ -105,8 +105,8 @@
         let now = self.now();
         self.choice.update(now, &places);
         self.candidates = candidates;
-        let is_kept = self.choice.current().is_some() && !self.choice.has_lost_current(now);
-        is_kept || !had_current
+        let has_current = self.choice.current().is_some() && !self.choice.has_lost_current(now);
+        has_current || !had_current
     }
 
     fn rank_of(&self, address: &DispatcherAddress) -> Option<usize> {
--- a/crates/micaspool/benches/engines.rs
+++ b/crates/micaspool/benches/engines.rs
@@ -125,7 +125,7 @@
             incarnation: Incarnation(1),
             waiting: Vec::new(),
             running: Vec::new(),
-            totals: Vec::new(),
+            levels: Vec::new(),
             crashes: Vec::new(),
             advice: Vec::new(),
             heartbeat: 1,
@@ -221,7 +221,7 @@
                     endpoint: engine(number),
                     stored: Vec::new(),
                     dropped: Vec::new(),
-                    kept: (0..CACHE_UPDATE_PARTS).map(part).collect(),
+                    cached_parts: (0..CACHE_UPDATE_PARTS).map(part).collect(),
                     whole: false,
                 };
                 self.step(now, ShardEvent::Cache(update));
