--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -76,8 +76,8 @@
                 return Ok(());
             }
             cursor = changes.cursor;
-            if !changes.cached_parts.is_empty() || !changes.dropped.is_empty() {
-                self.send_update(changes.cached_parts, changes.dropped, false).await?;
+            if !changes.kept.is_empty() || !changes.dropped.is_empty() {
+                self.send_update(changes.kept, changes.dropped, false).await?;
             }
             tokio::time::sleep(pause).await;
         }
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -49,7 +49,7 @@
     /// shows whether it responds.
     fn candidate(&self, sight: &KeeperStatus) -> Option<DispatcherCandidate> {
         let address = self.directory.address(&sight.peer.name)?;
-        let health = match sight.reach {
+        let health = match sight.connection {
             KeeperConnection::Pending => CandidateHealth::Pending,
             KeeperConnection::Connected if sight.unresponsive => CandidateHealth::Unresponsive,
             KeeperConnection::Connected => CandidateHealth::Answering,
