--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -7,7 +7,7 @@
 use super::ShardCore;
 use crate::action::{ShardAction, StandingCause};
 use crate::event::{GrantOutcome, LoadReport};
-use micaspool_quarantine::{CrashRecord, RequestStanding, TableChange};
+use micaspool_quarantine::{CrashRecord, RequestStanding, StandingChange};
 use micaspool_types::{Moment, RequestDigest};
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
         outcome: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
-        if self.suspects.standing(now, ended.digest).is_in_doubt() {
+        if self.suspects.standing(now, ended.digest).is_doubted() {
             // A waiting copy may be allowed to run now, though no endpoint has become free.
             self.next_pass_due = now;
         }
@@ -58,7 +58,7 @@
         if !self.suspects.table.has_endpoint(&endpoint) {
             actions.push(ShardAction::ProbeEndpoint { endpoint: endpoint.clone() });
         }
-        let change = self.suspects.table.note_crash(now, digest, &customer, &endpoint);
+        let change = self.suspects.table.record_crash(now, digest, &customer, &endpoint);
         self.suspects.note_witness(digest, ended.router);
         self.worsen_standing(now, change, StandingCause::EndpointEnded, actions);
     }
@@ -87,7 +87,7 @@
             return;
         }
         let Some(session) = self.routers.session(router) else { return };
-        for (standing, record) in self.suspects.table.suspects(now) {
+        for (standing, record) in self.suspects.table.suspect_records(now) {
             if matches!(standing, RequestStanding::Quarantined { .. }) {
                 actions.push(ShardAction::SendRecord { session, record });
             }
@@ -98,7 +98,7 @@
     fn worsen_standing(
         &mut self,
         now: Moment,
-        change: TableChange,
+        change: StandingChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
@@ -114,7 +114,7 @@
     fn improve_standing(
         &mut self,
         now: Moment,
-        change: TableChange,
+        change: StandingChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
@@ -129,7 +129,7 @@
     fn report_standing(
         &self,
         now: Moment,
-        change: &TableChange,
+        change: &StandingChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
@@ -173,7 +173,7 @@
             return;
         }
         let until = Moment(now.0.saturating_sub(micros(STRAGGLER_WINDOW)));
-        self.note_alive(now, endpoint, Moment(0), until, actions);
+        self.retract_crashes(now, endpoint, Moment(0), until, actions);
     }
 
     /// Handles a load report, which shows that the endpoint is alive.
@@ -188,10 +188,10 @@
         }
         let Some(endpoint) = self.endpoints.by_name(&report.endpoint) else { return };
         let from = Moment(report.requested_at.0.saturating_sub(micros(REPORT_WINDOW)));
-        self.note_alive(now, endpoint, from, report.requested_at, actions);
+        self.retract_crashes(now, endpoint, from, report.requested_at, actions);
     }
 
-    fn note_alive(
+    fn retract_crashes(
         &mut self,
         now: Moment,
         endpoint: EndpointIndex,
@@ -200,7 +200,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let name = self.endpoints.name(endpoint).clone();
-        for change in self.suspects.table.note_alive(now, &name, &(from..=until)) {
+        for change in self.suspects.table.retract_crashes(now, &name, &(from..=until)) {
             self.improve_standing(now, change, StandingCause::EndpointAlive, actions);
         }
     }
--- a/crates/micaspool-dispatch/src/shard/suspects.rs
+++ b/crates/micaspool-dispatch/src/shard/suspects.rs
@@ -14,7 +14,7 @@
 use crate::action::{RefusalReason, ShardAction};
 use crate::event::{RequestTicket, SessionId};
 use micaspool_fair::CustomerIndex;
-use micaspool_quarantine::{CrashRecord, CrashTable, QuarantineOptions, RequestStanding, TableChange};
+use micaspool_quarantine::{CrashRecord, CrashTable, QuarantineOptions, RequestStanding, StandingChange};
 use micaspool_types::{CustomerName, Moment, OrderNumber, RequestDigest, RequestId};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -57,7 +57,7 @@
 
     /// The suspected and quarantined requests.
     pub fn suspected(&self, now: Moment) -> Vec<SuspectStatus> {
-        let suspects = self.table.suspects(now).into_iter();
+        let suspects = self.table.suspect_records(now).into_iter();
         let status = |(standing, record)| SuspectStatus {
             standing,
             remaining: match standing {
@@ -176,7 +176,7 @@
             (_, Some(digest)) if self.copies.is_running(digest) => None,
             (RequestStanding::Doubted, _) => Some(BTreeSet::new()),
             (RequestStanding::Suspected, _) => {
-                let suspected = self.suspects.table.suspected();
+                let suspected = self.suspects.table.suspect_digests();
                 Some(suspected.flat_map(|other| self.copies.running_on(other).iter().copied()).collect())
             }
         }
@@ -187,7 +187,7 @@
     pub(super) fn refuse_copies(
         &mut self,
         now: Moment,
-        change: &TableChange,
+        change: &StandingChange,
         actions: &mut Vec<ShardAction>,
     ) {
         let digest = change.digest;
@@ -219,7 +219,12 @@
     }
 
     /// Sends the current record of a request to the routers that hold one.
-    pub(super) fn notify_holders(&self, now: Moment, change: &TableChange, actions: &mut Vec<ShardAction>) {
+    pub(super) fn notify_holders(
+        &self,
+        now: Moment,
+        change: &StandingChange,
+        actions: &mut Vec<ShardAction>,
+    ) {
         let mut sessions: Vec<SessionId> = match self.suspects.holders.get(&change.digest) {
             Some(RecordHolders::All) => self.routers.sessions().collect(),
             Some(RecordHolders::Witnesses(routers)) => {
--- a/crates/micaspool-quarantine/src/lib.rs
+++ b/crates/micaspool-quarantine/src/lib.rs
@@ -19,4 +19,4 @@
 pub use options::{QuarantineOptions, QuarantineOptionsBuilder};
 pub use record::{CrashRecord, EndpointCrash};
 pub use standing::RequestStanding;
-pub use table::{CrashTable, TableChange};
+pub use table::{CrashTable, StandingChange};
--- a/crates/micaspool-quarantine/src/options.rs
+++ b/crates/micaspool-quarantine/src/options.rs
@@ -24,7 +24,7 @@
 pub struct QuarantineOptions {
     pub(crate) crash_limit: usize,
     pub(crate) quarantine: Duration,
-    pub(crate) suspicion: Duration,
+    pub(crate) suspicion_retention: Duration,
     pub(crate) capacity: usize,
     pub(crate) customer_capacity: usize,
 }
@@ -40,7 +40,7 @@
         QuarantineOptions {
             crash_limit: CRASH_LIMIT,
             quarantine: BASE_QUARANTINE,
-            suspicion: SUSPICION_RETENTION,
+            suspicion_retention: SUSPICION_RETENTION,
             capacity: CAPACITY,
             customer_capacity: CUSTOMER_CAPACITY,
         }
@@ -62,7 +62,7 @@
     /// Returns how long `crashes` crashes are remembered. For a quarantined request that is twice its quarantine, so
     /// that a crash in the trial that follows adds to the earlier ones.
     pub(crate) fn retention_after(&self, crashes: usize) -> Duration {
-        self.quarantine_after(crashes).map_or(self.suspicion, |quarantine| quarantine * 2)
+        self.quarantine_after(crashes).map_or(self.suspicion_retention, |quarantine| quarantine * 2)
     }
 }
 
@@ -74,8 +74,8 @@
     }
 
     /// Sets how long crashes below the limit are remembered.
-    pub fn suspicion(mut self, suspicion: Duration) -> Self {
-        self.options.suspicion = suspicion;
+    pub fn suspicion_retention(mut self, suspicion_retention: Duration) -> Self {
+        self.options.suspicion_retention = suspicion_retention;
         self
     }
 
--- a/crates/micaspool-quarantine/src/standing.rs
+++ b/crates/micaspool-quarantine/src/standing.rs
@@ -23,7 +23,7 @@
 
 impl RequestStanding {
     /// Returns true if only one copy of the request may run at a time.
-    pub fn is_in_doubt(self) -> bool {
+    pub fn is_doubted(self) -> bool {
         self != RequestStanding::Clear
     }
 
--- a/crates/micaspool-quarantine/src/table.rs
+++ b/crates/micaspool-quarantine/src/table.rs
@@ -36,7 +36,7 @@
 
 /// A change of the record of a request, with its standing before and after.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct TableChange {
+pub struct StandingChange {
     /// The digest of the request.
     pub digest: RequestDigest,
     /// The customer that sent the request.
@@ -105,18 +105,18 @@
     }
 
     /// Records that an endpoint seems to have crashed while running a request.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         now: Moment,
         digest: RequestDigest,
         customer: &CustomerName,
         endpoint: &EndpointName,
-    ) -> TableChange {
+    ) -> StandingChange {
         self.add(now, digest, customer, CrashEntry { endpoint: endpoint.clone(), at: now })
     }
 
     /// Adds the crashes that another process has on record for a request.
-    pub fn merge(&mut self, now: Moment, record: &CrashRecord) -> TableChange {
+    pub fn merge(&mut self, now: Moment, record: &CrashRecord) -> StandingChange {
         let (digest, customer) = (record.digest, record.customer.clone());
         let before = self.standing(now, digest);
         for crash in &record.crashes {
@@ -125,7 +125,7 @@
             let crash = CrashEntry { endpoint: crash.endpoint.clone(), at };
             self.add(now, digest, &customer, crash);
         }
-        TableChange { digest, customer, before, after: self.standing(now, digest) }
+        StandingChange { digest, customer, before, after: self.standing(now, digest) }
     }
 
     /// Replaces the crashes on record for a request by those that another process has.
@@ -136,10 +136,10 @@
 
     /// Clears a request, because it ran to completion or an operator lifted its quarantine. Returns `None` if no crash
     /// was on record for it.
-    pub fn clear(&mut self, now: Moment, digest: RequestDigest) -> Option<TableChange> {
+    pub fn clear(&mut self, now: Moment, digest: RequestDigest) -> Option<StandingChange> {
         let before = self.standing(now, digest);
         let customer = self.remove(digest)?;
-        Some(TableChange { digest, customer, before, after: RequestStanding::Clear })
+        Some(StandingChange { digest, customer, before, after: RequestStanding::Clear })
     }
 
     /// Returns true if a crash of an endpoint is on record for any request.
@@ -149,18 +149,21 @@
 
     /// Retracts the crashes of an endpoint within `window`, because it turned out to be alive. Returns the changed
     /// requests.
-    pub fn note_alive(
+    pub fn retract_crashes(
         &mut self,
         now: Moment,
         endpoint: &EndpointName,
         window: &RangeInclusive<Moment>,
-    ) -> Vec<TableChange> {
+    ) -> Vec<StandingChange> {
         let Some(digests) = self.endpoints.get(endpoint).cloned() else { return Vec::new() };
-        digests.into_iter().filter_map(|digest| self.retract_crashes(now, digest, endpoint, window)).collect()
+        digests
+            .into_iter()
+            .filter_map(|digest| self.retract_from_request(now, digest, endpoint, window))
+            .collect()
     }
 
     /// Clears the requests whose newest crash is older than its retention.
-    pub fn expire(&mut self, now: Moment) -> Vec<TableChange> {
+    pub fn expire(&mut self, now: Moment) -> Vec<StandingChange> {
         let options = self.options;
         let is_expired = |entry: &RequestEntry| {
             now.since(entry.newest_crash_at()) >= options.retention_after(entry.crashes.len())
@@ -181,13 +184,13 @@
     }
 
     /// Returns standing and crash record of the suspected and quarantined requests, ordered by digest.
-    pub fn suspects(&self, now: Moment) -> Vec<(RequestStanding, CrashRecord)> {
+    pub fn suspect_records(&self, now: Moment) -> Vec<(RequestStanding, CrashRecord)> {
         let record = |digest: &RequestDigest| Some((self.standing(now, *digest), self.record(now, *digest)?));
         self.repeated.iter().filter_map(record).collect()
     }
 
     /// Returns the digests of the suspected and quarantined requests.
-    pub fn suspected(&self) -> impl Iterator<Item = RequestDigest> + '_ {
+    pub fn suspect_digests(&self) -> impl Iterator<Item = RequestDigest> + '_ {
         self.repeated.iter().copied()
     }
 
@@ -205,7 +208,7 @@
         digest: RequestDigest,
         customer: &CustomerName,
         crash: CrashEntry,
-    ) -> TableChange {
+    ) -> StandingChange {
         let before = self.standing(now, digest);
         if !self.requests.contains_key(&digest) {
             self.evict_if_full(customer);
@@ -222,7 +225,7 @@
         if request.crashes.len() > 1 {
             self.repeated.insert(digest);
         }
-        TableChange { digest, customer: customer.clone(), before, after: self.standing(now, digest) }
+        StandingChange { digest, customer: customer.clone(), before, after: self.standing(now, digest) }
     }
 
     /// Makes room for another request of this customer if the customer or the whole table is at its limit. Evicts the
@@ -244,13 +247,13 @@
     }
 
     /// Removes the crashes of an endpoint within `window` from the record of a request. Returns `None` if there are none.
-    fn retract_crashes(
+    fn retract_from_request(
         &mut self,
         now: Moment,
         digest: RequestDigest,
         endpoint: &EndpointName,
         window: &RangeInclusive<Moment>,
-    ) -> Option<TableChange> {
+    ) -> Option<StandingChange> {
         let before = self.standing(now, digest);
         let entry = self.requests.get_mut(&digest)?;
         let count_before = entry.crashes.len();
@@ -269,7 +272,7 @@
         if is_clear {
             self.remove(digest);
         }
-        Some(TableChange { digest, customer, before, after: self.standing(now, digest) })
+        Some(StandingChange { digest, customer, before, after: self.standing(now, digest) })
     }
 
     /// Removes a request and returns its customer.
--- a/crates/micaspool-quarantine/tests/table.rs
+++ b/crates/micaspool-quarantine/tests/table.rs
@@ -27,7 +27,7 @@
 }
 
 fn crash(table: &mut CrashTable, now: Moment, digest: u128, number: usize) -> RequestStanding {
-    table.note_crash(now, RequestDigest(digest), &customer("a"), &endpoint(number)).after
+    table.record_crash(now, RequestDigest(digest), &customer("a"), &endpoint(number)).after
 }
 
 #[test_case(&[0] => RequestStanding::Doubted; "one")]
@@ -82,10 +82,10 @@
         crash(&mut table, at(number as u64), 1, number);
     });
     assert!(
-        table.note_alive(at(3), &endpoint(1), &(at(2)..=at(3))).is_empty(),
+        table.retract_crashes(at(3), &endpoint(1), &(at(2)..=at(3))).is_empty(),
         "crashes before the window stay"
     );
-    let changes = table.note_alive(at(3), &endpoint(1), &(at(0)..=at(3)));
+    let changes = table.retract_crashes(at(3), &endpoint(1), &(at(0)..=at(3)));
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].after, RequestStanding::Suspected);
     assert!(!table.has_endpoint(&endpoint(1)));
@@ -95,7 +95,7 @@
 fn a_customer_at_its_limit_evicts_only_its_own_requests_with_the_fewest_crashes() {
     let options = QuarantineOptions::builder().capacity(100, 10).build();
     let mut table = CrashTable::new(options);
-    table.note_crash(at(0), RequestDigest(1_000), &customer("b"), &endpoint(0));
+    table.record_crash(at(0), RequestDigest(1_000), &customer("b"), &endpoint(0));
     (0..3).for_each(|number| {
         crash(&mut table, at(0), 1, number);
     });
@@ -114,7 +114,7 @@
     crash(&mut table, at(0), 1, 1);
     for number in 0..50u128 {
         let name = customer(&format!("c{number}"));
-        table.note_crash(at(1), RequestDigest(100 + number), &name, &endpoint(3));
+        table.record_crash(at(1), RequestDigest(100 + number), &name, &endpoint(3));
     }
     assert_eq!(table.records(at(1)).len(), 10);
     assert_eq!(table.standing(at(1), DIGEST), RequestStanding::Suspected);
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -244,7 +244,7 @@
         let now = self.current_moment();
         match fate {
             GrantOutcome::Severed => {
-                self.crashes.note_crash(now, digest, &grant.customer, &grant.endpoint);
+                self.crashes.record_crash(now, digest, &grant.customer, &grant.endpoint);
             }
             GrantOutcome::Done => {
                 self.crashes.clear(now, digest);
