--- a/crates/micaspool-client/src/fleet/halls.rs
+++ b/crates/micaspool-client/src/fleet/halls.rs
@@ -1,7 +1,7 @@
 //! Which data halls this process sends into.
 
 use micaspool_clock::BootInstant;
-use micaspool_halls::{HallOrder, HallOrders, HallUse};
+use micaspool_halls::{HallOrder, HallOrders, HallState};
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_types::{HallName, InstanceName};
 use std::collections::BTreeMap;
@@ -30,8 +30,8 @@
         }
         record(&events::HALL_USE_CHANGED, &fields);
         match wanted {
-            HallUse::Open => self.returned.insert(hall, BootInstant::now()),
-            HallUse::Evacuated => self.returned.remove(&hall),
+            HallState::Open => self.returned.insert(hall, BootInstant::now()),
+            HallState::Evacuated => self.returned.remove(&hall),
         };
         true
     }
--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -1,7 +1,7 @@
 //! The control service of the core for operators and endpoints.
 
 use micaspool_client::{FleetMirror, KeeperClient};
-use micaspool_halls::{HallUse, OrderVerdict};
+use micaspool_halls::{HallState, OrderVerdict};
 use micaspool_keeper::RegistryHub;
 use micaspool_registry::{EndpointRecord, EndpointStage, MergeOutcome};
 use micaspool_routes::{FormatError, PlanFormat};
@@ -84,7 +84,12 @@
     }
 
     /// Evacuates a data hall or returns it to service. Returns the number of the order in force.
-    pub async fn order_hall(&self, hall: &str, wanted: HallUse, ordered_by: &str) -> Result<u64, OrderError> {
+    pub async fn order_hall(
+        &self,
+        hall: &str,
+        wanted: HallState,
+        ordered_by: &str,
+    ) -> Result<u64, OrderError> {
         // The latest order known on arrival of this one. However long this order is delayed, it then
         // cannot revert an order that was given after it.
         let known = self.mirror.hall_orders().newest();
@@ -92,7 +97,7 @@
         self.refresh_keepers();
         let request = v1::OrderHallRequest {
             hall: hall.to_string(),
-            evacuate: wanted == HallUse::Evacuated,
+            evacuate: wanted == HallState::Evacuated,
             known,
             ordered_by: ordered_by.to_owned(),
         };
--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -328,7 +328,7 @@
         let (resting, leaving) = self.advice.counts();
         self.metrics.endpoints_resting.set(i64::try_from(resting).unwrap_or(i64::MAX));
         self.metrics.endpoints_leaving.set(i64::try_from(leaving).unwrap_or(i64::MAX));
-        let evacuated = self.mirror.hall_orders().evacuated();
+        let evacuated = self.mirror.hall_orders().evacuated_count();
         self.metrics.halls_evacuated.set(i64::try_from(evacuated).unwrap_or(i64::MAX));
         self.traffic.refresh();
         encode_text(&self.registry)
--- a/crates/micaspool-halls/src/lib.rs
+++ b/crates/micaspool-halls/src/lib.rs
@@ -9,5 +9,5 @@
 mod order;
 mod orders;
 
-pub use order::{HallOrder, HallUse, OrderCommand, OrderVerdict};
+pub use order::{HallOrder, HallState, OrderCommand, OrderVerdict};
 pub use orders::HallOrders;
--- a/crates/micaspool-halls/src/order.rs
+++ b/crates/micaspool-halls/src/order.rs
@@ -6,7 +6,7 @@
 
 /// Whether the endpoints of a data hall get requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
-pub enum HallUse {
+pub enum HallState {
     /// The endpoints get requests.
     #[default]
     Open,
@@ -14,12 +14,12 @@
     Evacuated,
 }
 
-impl HallUse {
+impl HallState {
     /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            HallUse::Open => "open",
-            HallUse::Evacuated => "evacuated",
+            HallState::Open => "open",
+            HallState::Evacuated => "evacuated",
         }
     }
 }
@@ -30,7 +30,7 @@
     /// The number of the order; each later change of any hall has a higher one.
     pub number: u64,
     /// The ordered use of the hall.
-    pub wanted: HallUse,
+    pub wanted: HallState,
     /// The operator who gave the order; informational.
     pub ordered_by: Arc<str>,
     /// When the order was proposed, in milliseconds since the Unix epoch by the clock of the leading keeper;
@@ -44,7 +44,7 @@
     /// The data hall.
     pub hall: HallName,
     /// The ordered use of the hall.
-    pub wanted: HallUse,
+    pub wanted: HallState,
     /// The number of the newest order about any hall that was known where this order was received.
     pub known: u64,
     /// The operator who gives the order.
--- a/crates/micaspool-halls/src/orders.rs
+++ b/crates/micaspool-halls/src/orders.rs
@@ -1,6 +1,6 @@
 //! The order in force for each hall.
 
-use crate::order::{HallOrder, HallUse, OrderCommand, OrderVerdict};
+use crate::order::{HallOrder, HallState, OrderCommand, OrderVerdict};
 use micaspool_types::{HallName, MAX_HALLS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
     /// again.
     pub fn accept(&mut self, command: &OrderCommand) -> OrderVerdict {
         let in_force_number = self.halls.get(&command.hall).map_or(0, |order| order.number);
-        if self.use_of(&command.hall) == command.wanted {
+        if self.state_of(&command.hall) == command.wanted {
             return OrderVerdict::InForce(in_force_number);
         }
         if in_force_number > command.known {
@@ -54,13 +54,13 @@
     }
 
     /// Returns whether the endpoints of a hall get requests.
-    pub fn use_of(&self, hall: &HallName) -> HallUse {
-        self.halls.get(hall).map_or(HallUse::Open, |order| order.wanted)
+    pub fn state_of(&self, hall: &HallName) -> HallState {
+        self.halls.get(hall).map_or(HallState::Open, |order| order.wanted)
     }
 
     /// Returns true if the endpoints of a hall get no requests.
     pub fn is_evacuated(&self, hall: &HallName) -> bool {
-        self.use_of(hall) == HallUse::Evacuated
+        self.state_of(hall) == HallState::Evacuated
     }
 
     /// Iterates over the halls about which an order was given, in name order, each with the order in force.
@@ -69,7 +69,7 @@
     }
 
     /// Returns the number of evacuated halls.
-    pub fn evacuated(&self) -> usize {
-        self.halls.values().filter(|order| order.wanted == HallUse::Evacuated).count()
+    pub fn evacuated_count(&self) -> usize {
+        self.halls.values().filter(|order| order.wanted == HallState::Evacuated).count()
     }
 }
--- a/crates/micaspool-halls/tests/orders.rs
+++ b/crates/micaspool-halls/tests/orders.rs
@@ -1,17 +1,17 @@
 //! Orders that arrive late, repeatedly or out of order.
 
-use micaspool_halls::{HallOrder, HallOrders, HallUse, OrderCommand, OrderVerdict};
+use micaspool_halls::{HallOrder, HallOrders, HallState, OrderCommand, OrderVerdict};
 use micaspool_types::{HallName, MAX_HALLS};
 use proptest::prelude::*;
 use test_case::test_case;
 
-use HallUse::{Evacuated, Open};
+use HallState::{Evacuated, Open};
 
 fn hall(name: &str) -> HallName {
     HallName::parse(name).expect("a name")
 }
 
-fn order(name: &str, wanted: HallUse, known: u64) -> OrderCommand {
+fn order(name: &str, wanted: HallState, known: u64) -> OrderCommand {
     OrderCommand { hall: hall(name), wanted, known, ordered_by: "operator".into(), at_millis: 5 }
 }
 
@@ -21,7 +21,7 @@
     assert_eq!(orders.accept(&order("a", Evacuated, 0)), OrderVerdict::InForce(1));
     assert_eq!(orders.accept(&order("a", Evacuated, 0)), OrderVerdict::InForce(1), "sent again");
     assert!(orders.is_evacuated(&hall("a")) && !orders.is_evacuated(&hall("b")));
-    assert_eq!((orders.newest(), orders.evacuated()), (1, 1));
+    assert_eq!((orders.newest(), orders.evacuated_count()), (1, 1));
 }
 
 #[test]
@@ -34,7 +34,7 @@
 /// An order is delayed at one keeper, while its sender resends it and then orders the opposite.
 #[test_case(Evacuated, Open; "a delayed evacuation")]
 #[test_case(Open, Evacuated; "a delayed return")]
-fn a_delayed_order_does_not_override_a_newer_one(first: HallUse, then: HallUse) {
+fn a_delayed_order_does_not_override_a_newer_one(first: HallState, then: HallState) {
     let mut orders = HallOrders::default();
     if first == Open {
         orders.accept(&order("a", Evacuated, 0));
@@ -44,7 +44,7 @@
     assert_eq!(orders.accept(&order("a", first, known)), OrderVerdict::InForce(known + 1));
     assert_eq!(orders.accept(&order("a", then, known + 1)), OrderVerdict::InForce(known + 2));
     assert_eq!(orders.accept(&delayed), OrderVerdict::Overtaken(known + 2));
-    assert_eq!(orders.use_of(&hall("a")), then);
+    assert_eq!(orders.state_of(&hall("a")), then);
 }
 
 #[test]
--- a/crates/micaspool-keeper/src/status.rs
+++ b/crates/micaspool-keeper/src/status.rs
@@ -74,7 +74,7 @@
         self.gauges.keys.set(view.ledger_keys as i64);
         self.gauges.answer_bytes.set(view.ledger_answer_bytes as i64);
         self.gauges.syncs.set(view.syncs as i64);
-        self.gauges.evacuated.set(view.halls.evacuated() as i64);
+        self.gauges.evacuated.set(view.halls.evacuated_count() as i64);
         self.traffic.refresh();
     }
 }
--- a/crates/micaspool-wire/src/convert/halls.rs
+++ b/crates/micaspool-wire/src/convert/halls.rs
@@ -2,7 +2,7 @@
 
 use super::Error;
 use crate::v1;
-use micaspool_halls::{HallOrder, HallOrders, HallUse, OrderCommand, OrderVerdict};
+use micaspool_halls::{HallOrder, HallOrders, HallState, OrderCommand, OrderVerdict};
 use micaspool_types::HallName;
 
 /// An order from a message; it has no time yet.
@@ -41,7 +41,7 @@
     let halls = orders.iter().map(|(hall, order)| v1::HallNews {
         hall: hall.to_string(),
         number: order.number,
-        evacuated: order.wanted == HallUse::Evacuated,
+        evacuated: order.wanted == HallState::Evacuated,
         ordered_by: order.ordered_by.to_string(),
         at_millis: order.at_millis,
     });
@@ -59,10 +59,10 @@
     Ok((HallName::parse(&message.hall)?, order))
 }
 
-fn wanted_use(evacuated: bool) -> HallUse {
+fn wanted_use(evacuated: bool) -> HallState {
     if evacuated {
-        HallUse::Evacuated
+        HallState::Evacuated
     } else {
-        HallUse::Open
+        HallState::Open
     }
 }
