--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -33,7 +33,7 @@
     dispatcher_address: SocketAddr,
     status: Vec<SocketAddr>,
     data_folder: PathBuf,
-    may_form: bool,
+    may_form_group: bool,
     tolerated_failures: usize,
     halls: Vec<HallName>,
     probe: Arc<dyn EndpointProbe>,
@@ -65,7 +65,7 @@
             dispatcher_address: any_port,
             status: Vec::new(),
             data_folder: PathBuf::from("."),
-            may_form: true,
+            may_form_group: true,
             tolerated_failures: 1,
             halls: Vec::new(),
             probe: Arc::new(HttpEndpointProbe::default()),
@@ -108,8 +108,8 @@
     }
 
     /// Sets whether the seeds may form the first group.
-    pub fn may_form(mut self, allowed: bool) -> Self {
-        self.options.may_form = allowed;
+    pub fn may_form_group(mut self, allowed: bool) -> Self {
+        self.options.may_form_group = allowed;
         self
     }
 
@@ -234,7 +234,7 @@
         .exchange(options.exchange.clone())
         .wire(options.keeper_address)
         .data_folder(options.data_folder.clone())
-        .may_form(options.may_form)
+        .may_form_group(options.may_form_group)
         .open_group(OpenGroupOptions::tolerating(options.tolerated_failures))
         .reopens_after_failure(true)
         .build()
--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -134,8 +134,8 @@
     }
 
     /// Sets whether this keeper may form the first group. Otherwise it can only join an existing one.
-    pub fn may_form(mut self, allowed: bool) -> Self {
-        self.options.quorum.may_form = allowed;
+    pub fn may_form_group(mut self, allowed: bool) -> Self {
+        self.options.quorum.may_form_group = allowed;
         self
     }
 
--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -109,7 +109,7 @@
 
     fn form_if_possible(&mut self, now: Moment) {
         let lowest_name = self.options.configured.iter().min();
-        if self.is_formed() || !self.options.may_form || lowest_name != Some(&self.identity.name) {
+        if self.is_formed() || !self.options.may_form_group || lowest_name != Some(&self.identity.name) {
             return;
         }
         let limit = self.options.announce_interval * MAX_MISSED_ANNOUNCEMENTS;
--- a/crates/micaspool-quorum/src/options.rs
+++ b/crates/micaspool-quorum/src/options.rs
@@ -21,7 +21,7 @@
     pub max_batch: usize,
     /// Whether this keeper may form the first group with the configured keepers. False for a keeper
     /// that starts in a fleet that has run before: it waits until a leader admits it.
-    pub may_form: bool,
+    pub may_form_group: bool,
     /// Rules for membership changes without an operator. With `None`, only configured keepers are
     /// admitted, and a member leaves only by an operator's order.
     pub open_group: Option<OpenGroupOptions>,
@@ -60,7 +60,7 @@
             heartbeat: Duration::from_millis(100),
             announce_interval: Duration::from_millis(100),
             max_batch: 256,
-            may_form: true,
+            may_form_group: true,
             open_group: None,
         }
     }
--- a/crates/micaspool-quorum/tests/harness/mod.rs
+++ b/crates/micaspool-quorum/tests/harness/mod.rs
@@ -119,7 +119,7 @@
         let configured = self.nodes.iter().take(seeds).map(|node| node.name.clone()).collect();
         let options = QuorumOptions {
             open_group: self.open.map(|(options, _)| options),
-            may_form: self.open.is_none() || self.now == Moment(START_MICROS),
+            may_form_group: self.open.is_none() || self.now == Moment(START_MICROS),
             ..QuorumOptions::new(configured)
         };
         let seed = self.rng.random();
