--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -140,7 +140,7 @@
     /// Charges the progress of a running request.
     pub fn note_delivered(&mut self, estimate: Cost, before: Cost, after: Cost) {
         self.account.charge_progress(estimate, before, after);
-        self.served = self.served.plus(after.minus(before));
+        self.served = self.served.saturating_add(after.saturating_sub(before));
     }
 
     /// Changes the weight and keeps the level reached so far.
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -248,7 +248,7 @@
             self.endpoints.begin(now, endpoint, request);
             since.into_iter().for_each(|since| self.endpoints.note_answer(endpoint, now.since(since)));
         }
-        self.delivered.add(now, delivered.minus(before).0);
+        self.delivered.add(now, delivered.saturating_sub(before).0);
         self.customers.get_mut(customer).note_delivered(estimate, before, delivered);
         self.reindex(customer);
         self.note_endpoint_response(now, endpoint, actions);
@@ -305,8 +305,8 @@
             GrantOutcome::Done | GrantOutcome::Abandoned | GrantOutcome::Broken | GrantOutcome::Severed => {
                 let cost = cost.unwrap_or(grant.delivered);
                 state.account.charge_end(grant.estimate, grant.delivered, cost);
-                state.served = state.served.plus(cost.minus(grant.delivered));
-                self.delivered.add(now, cost.minus(grant.delivered).0);
+                state.served = state.served.saturating_add(cost.saturating_sub(grant.delivered));
+                self.delivered.add(now, cost.saturating_sub(grant.delivered).0);
                 if matches!(outcome, GrantOutcome::Done | GrantOutcome::Abandoned) && cost > Cost(0) {
                     state.estimator.learn(grant.hint, cost);
                 }
--- a/crates/micaspool-dispatch/src/shard/sharing.rs
+++ b/crates/micaspool-dispatch/src/shard/sharing.rs
@@ -47,7 +47,7 @@
 
     fn increase_of(&mut self, total: &CustomerTotal) -> Option<CustomerTotal> {
         let known = self.known.entry(total.customer.clone()).or_default();
-        let increased = total.served.minus(*known);
+        let increased = total.served.saturating_sub(*known);
         *known = total.served.max(*known);
         (increased > Cost(0)).then(|| CustomerTotal { customer: total.customer.clone(), served: increased })
     }
--- a/crates/micaspool-fair/src/account.rs
+++ b/crates/micaspool-fair/src/account.rs
@@ -97,8 +97,8 @@
     /// Charges the estimate of a request that starts.
     pub fn charge_grant(&mut self, estimate: Cost) {
         self.granted_count += 1;
-        self.granted_estimate = self.granted_estimate.plus(estimate);
-        self.running_remaining = self.running_remaining.plus(estimate);
+        self.granted_estimate = self.granted_estimate.saturating_add(estimate);
+        self.running_remaining = self.running_remaining.saturating_add(estimate);
     }
 
     /// Charges a request that was found running after a recovery and has already delivered a part of its
@@ -106,7 +106,7 @@
     pub fn charge_recovered(&mut self, estimate: Cost, delivered: Cost) {
         let charge = RunningCharge::new(estimate, delivered);
         self.granted_count += 1;
-        self.granted_estimate = self.granted_estimate.plus(estimate);
+        self.granted_estimate = self.granted_estimate.saturating_add(estimate);
         self.add_running(charge);
     }
 
@@ -119,14 +119,14 @@
     /// Replaces the charge of a running request by its actual cost.
     pub fn charge_end(&mut self, estimate: Cost, delivered: Cost, cost: Cost) {
         self.remove_running(RunningCharge::new(estimate, delivered));
-        self.settled = self.settled.plus(cost);
+        self.settled = self.settled.saturating_add(cost);
     }
 
     /// Reverts the charge of a grant whose request did not run.
     pub fn revoke_grant(&mut self, estimate: Cost, delivered: Cost) {
         self.remove_running(RunningCharge::new(estimate, delivered));
         self.granted_count = self.granted_count.saturating_sub(1);
-        self.granted_estimate = self.granted_estimate.minus(estimate);
+        self.granted_estimate = self.granted_estimate.saturating_sub(estimate);
     }
 
     /// Raises the base so that base and `level` together are at least `floor`; `level` is the level without
@@ -153,18 +153,18 @@
     }
 
     fn add_running(&mut self, charge: RunningCharge) {
-        self.running_delivered = self.running_delivered.plus(charge.delivered);
-        self.running_remaining = self.running_remaining.plus(charge.remaining);
+        self.running_delivered = self.running_delivered.saturating_add(charge.delivered);
+        self.running_remaining = self.running_remaining.saturating_add(charge.remaining);
     }
 
     fn remove_running(&mut self, charge: RunningCharge) {
-        self.running_delivered = self.running_delivered.minus(charge.delivered);
-        self.running_remaining = self.running_remaining.minus(charge.remaining);
+        self.running_delivered = self.running_delivered.saturating_sub(charge.delivered);
+        self.running_remaining = self.running_remaining.saturating_sub(charge.remaining);
     }
 }
 
 impl RunningCharge {
     fn new(estimate: Cost, delivered: Cost) -> RunningCharge {
-        RunningCharge { delivered, remaining: estimate.minus(delivered) }
+        RunningCharge { delivered, remaining: estimate.saturating_sub(delivered) }
     }
 }
--- a/crates/micaspool-fair/src/policy/counters.rs
+++ b/crates/micaspool-fair/src/policy/counters.rs
@@ -36,7 +36,7 @@
 
     fn level(&self, account: &ServiceAccount) -> ServiceLevel {
         let remaining = Cost(account.running_remaining().0.saturating_mul(self.remaining_percent) / 100);
-        let charged = account.settled().plus(account.running_delivered()).plus(remaining);
+        let charged = account.settled().saturating_add(account.running_delivered()).saturating_add(remaining);
         ServiceLevel::from_cost(charged, account.weight())
     }
 }
@@ -51,8 +51,8 @@
     }
 
     fn level(&self, account: &ServiceAccount) -> ServiceLevel {
-        let running = account.running_delivered().plus(account.running_remaining());
-        ServiceLevel::from_cost(account.settled().plus(running), account.weight())
+        let running = account.running_delivered().saturating_add(account.running_remaining());
+        ServiceLevel::from_cost(account.settled().saturating_add(running), account.weight())
     }
 }
 
--- a/crates/micaspool-types/src/units.rs
+++ b/crates/micaspool-types/src/units.rs
@@ -10,12 +10,12 @@
 
 impl Cost {
     /// Returns the sum of two costs, saturating at `u64::MAX`.
-    pub fn plus(self, other: Cost) -> Cost {
+    pub fn saturating_add(self, other: Cost) -> Cost {
         Cost(self.0.saturating_add(other.0))
     }
 
     /// Returns the difference of two costs, saturating at zero.
-    pub fn minus(self, other: Cost) -> Cost {
+    pub fn saturating_sub(self, other: Cost) -> Cost {
         Cost(self.0.saturating_sub(other.0))
     }
 }
