--- a/crates/micaspool-backpressure/src/header.rs
+++ b/crates/micaspool-backpressure/src/header.rs
@@ -10,7 +10,7 @@
     /// The parsed advice.
     pub advice: EndpointAdvice,
     /// Set if no `Retry-After` value could be parsed; `advice.rest` is zero then.
-    pub fault: Option<Error>,
+    pub error: Option<Error>,
 }
 
 impl HeaderAdvice {
@@ -25,14 +25,14 @@
         if values.peek().is_none() {
             return HeaderAdvice {
                 advice: EndpointAdvice { leaving, ..EndpointAdvice::default() },
-                fault: None,
+                error: None,
             };
         }
         match parse_retry_after(values, SystemTime::now()) {
-            Ok(rest) => HeaderAdvice { advice: EndpointAdvice { rest, leaving }, fault: None },
+            Ok(rest) => HeaderAdvice { advice: EndpointAdvice { rest, leaving }, error: None },
             Err(error) => HeaderAdvice {
                 advice: EndpointAdvice { leaving, ..EndpointAdvice::default() },
-                fault: Some(error),
+                error: Some(error),
             },
         }
     }
--- a/crates/micaspool-backpressure/tests/retry_after.rs
+++ b/crates/micaspool-backpressure/tests/retry_after.rs
@@ -54,5 +54,5 @@
     assert_eq!(parsed.advice, EndpointAdvice { rest: Duration::from_secs(3), leaving: true });
     let parsed = HeaderAdvice::parse(true, ["soon"], true);
     assert_eq!(parsed.advice, EndpointAdvice { rest: Duration::ZERO, leaving: true });
-    assert!(parsed.fault.is_some());
+    assert!(parsed.error.is_some());
 }
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -306,7 +306,7 @@
     fn apply_advice(&self, gateway: &Gateway, endpoint: &EndpointRecord, head: &response::Parts) {
         let parts = &gateway.shared.parts;
         let parsed = parts.dialect.advice(head);
-        if let Some(fault) = &parsed.fault {
+        if let Some(fault) = &parsed.error {
             let fields = [
                 field("endpoint", &endpoint.name),
                 field("request", &self.call.caller.id),
--- a/crates/micaspool-router/src/endpoint.rs
+++ b/crates/micaspool-router/src/endpoint.rs
@@ -168,7 +168,7 @@
     let is_draining = has_header(DRAINING_HEADER, "true");
     let retry_after_values = response.header("retry-after").into_iter().flatten();
     let parsed = HeaderAdvice::parse(true, retry_after_values.map(|value| value.as_str()), false);
-    if let Some(fault) = &parsed.fault {
+    if let Some(fault) = &parsed.error {
         let fields =
             [field("request", call.plan.request), field("address", call.address), field("error", fault)];
         record(&events::ADVICE_UNREADABLE, &fields);
