--- a/crates/micaspool-backpressure/src/header.rs
+++ b/crates/micaspool-backpressure/src/header.rs
@@ -17,11 +17,11 @@
     /// Builds the advice of a response from its `Retry-After` values and its leaving flag. `Retry-After` is ignored
     /// unless the response turns its request away.
     pub fn parse<'a>(
-        turns_away: bool,
+        is_rejection: bool,
         retry_after: impl IntoIterator<Item = &'a str>,
         leaving: bool,
     ) -> HeaderAdvice {
-        let mut values = retry_after.into_iter().filter(|_| turns_away).peekable();
+        let mut values = retry_after.into_iter().filter(|_| is_rejection).peekable();
         if values.peek().is_none() {
             return HeaderAdvice {
                 advice: EndpointAdvice { leaving, ..EndpointAdvice::default() },
--- a/crates/micaspool-backpressure/src/retry_after.rs
+++ b/crates/micaspool-backpressure/src/retry_after.rs
@@ -41,14 +41,14 @@
     now: SystemTime,
 ) -> Result<Duration, Error> {
     let mut longest = None;
-    let mut fault = None;
+    let mut last_error = None;
     for value in values {
         match parse_value(value.trim(), now) {
             Ok(rest) => longest = longest.max(Some(rest)),
-            Err(error) => fault = Some(error),
+            Err(error) => last_error = Some(error),
         }
     }
-    match (longest, fault) {
+    match (longest, last_error) {
         (Some(rest), _) => Ok(rest),
         (None, Some(error)) => Err(error),
         (None, None) => Ok(Duration::ZERO),
--- a/crates/micaspool-backpressure/src/shared.rs
+++ b/crates/micaspool-backpressure/src/shared.rs
@@ -56,7 +56,7 @@
         self.entries.store(table.len(), Ordering::Release);
         drop(table);
         log_change(source, change, standing);
-        (change != AdviceChange::Same).then(|| record_of(source.endpoint, standing)).flatten()
+        (change != AdviceChange::Unchanged).then(|| record_of(source.endpoint, standing)).flatten()
     }
 
     /// Returns whether requests may currently be sent to an endpoint, and if not, why.
@@ -96,7 +96,7 @@
             let fields = [
                 field("endpoint", &rest.endpoint),
                 field("lasted_ms", rest.lasted.as_millis()),
-                field("asked", rest.request_count),
+                field("asked", rest.advice_count),
             ];
             record(&events::REST_OVER, &fields);
         }
@@ -135,9 +135,9 @@
         fields.push(field("rest_ms", rest.as_millis()));
     }
     match change {
-        AdviceChange::Same => {}
+        AdviceChange::Unchanged => {}
         AdviceChange::Began => record(&events::REST_BEGUN, &fields),
         AdviceChange::Prolonged => record(&events::REST_PROLONGED, &fields),
-        AdviceChange::Left => record(&events::ENDPOINT_SAYS_LEAVING, &fields),
+        AdviceChange::Leaving => record(&events::ENDPOINT_SAYS_LEAVING, &fields),
     }
 }
--- a/crates/micaspool-backpressure/src/table.rs
+++ b/crates/micaspool-backpressure/src/table.rs
@@ -39,13 +39,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdviceChange {
     /// No change: the advice was empty or already covered by earlier advice.
-    Same,
+    Unchanged,
     /// A rest began.
     Began,
     /// The current rest was prolonged.
     Prolonged,
     /// The endpoint is now leaving.
-    Left,
+    Leaving,
 }
 
 /// A rest that has ended.
@@ -56,7 +56,7 @@
     /// The time from the response that began the rest to its end.
     pub lasted: Duration,
     /// The number of responses that began or prolonged the rest.
-    pub request_count: u32,
+    pub advice_count: u32,
 }
 
 /// The advice of one start of an endpoint.
@@ -65,7 +65,7 @@
     service: ServiceName,
     since: Moment,
     rests_until: Moment,
-    request_count: u32,
+    advice_count: u32,
     /// The end of the time for which the endpoint counts as leaving; `None` if it never announced that.
     leaves_until: Option<Moment>,
 }
@@ -86,15 +86,15 @@
         let was_resting = now < self.rests_until;
         let until = now + rest;
         if rest.is_zero() || until <= self.rests_until {
-            return AdviceChange::Same;
+            return AdviceChange::Unchanged;
         }
         self.rests_until = until;
-        self.request_count += 1;
+        self.advice_count += 1;
         if was_resting {
             return AdviceChange::Prolonged;
         }
         self.since = now;
-        self.request_count = 1;
+        self.advice_count = 1;
         AdviceChange::Began
     }
 }
@@ -118,13 +118,13 @@
         advice: EndpointAdvice,
     ) -> AdviceChange {
         if advice.is_empty() {
-            return AdviceChange::Same;
+            return AdviceChange::Unchanged;
         }
         let new_entry = || AdviceEntry {
             service: service.clone(),
             since: now,
             rests_until: Moment(0),
-            request_count: 0,
+            advice_count: 0,
             leaves_until: None,
         };
         let entry = self.entries.entry(endpoint.clone()).or_insert_with(new_entry);
@@ -137,7 +137,7 @@
         if was_leaving {
             change
         } else {
-            AdviceChange::Left
+            AdviceChange::Leaving
         }
     }
 
@@ -162,10 +162,10 @@
     /// Removes the entries that have expired and returns the rests that have ended.
     pub fn expire(&mut self, now: Moment) -> Vec<EndedRest> {
         let expired = self.entries.extract_if(|_, entry| entry.standing(now).is_open());
-        let rests = expired.filter(|(_, entry)| entry.request_count > 0).map(|(endpoint, entry)| EndedRest {
+        let rests = expired.filter(|(_, entry)| entry.advice_count > 0).map(|(endpoint, entry)| EndedRest {
             endpoint,
             lasted: entry.rests_until.since(entry.since),
-            request_count: entry.request_count,
+            advice_count: entry.advice_count,
         });
         rests.collect()
     }
--- a/crates/micaspool-backpressure/tests/retry_after.rs
+++ b/crates/micaspool-backpressure/tests/retry_after.rs
@@ -8,7 +8,7 @@
 /// Sun, 06 Nov 1994 08:49:37 GMT.
 const NOW: Duration = Duration::from_secs(784_111_777);
 
-fn read(values: &[&str]) -> Result<Duration, Error> {
+fn parse(values: &[&str]) -> Result<Duration, Error> {
     parse_retry_after(values.iter().copied(), SystemTime::UNIX_EPOCH + NOW)
 }
 
@@ -27,7 +27,7 @@
 #[test_case(&["86400"], 3_600_000; "longer than the limit")]
 #[test_case(&["Sat, 06 Nov 2094 08:49:40 GMT"], 3_600_000; "a date beyond the limit")]
 fn valid_values_are_parsed(values: &[&str], millis: u64) {
-    assert_eq!(read(values), Ok(Duration::from_millis(millis)));
+    assert_eq!(parse(values), Ok(Duration::from_millis(millis)));
     assert!(MAX_REST >= Duration::from_millis(millis));
 }
 
@@ -43,7 +43,7 @@
 #[test_case("3, 4"; "a list")]
 #[test_case("soon"; "a word")]
 fn invalid_values_are_reported_with_a_remedy(value: &str) {
-    let error = read(&[value]).expect_err("the value is invalid");
+    let error = parse(&[value]).expect_err("the value is invalid");
     assert!(error.to_string().contains("correct the endpoint's Retry-After"), "{error}");
 }
 
--- a/crates/micaspool-backpressure/tests/table.rs
+++ b/crates/micaspool-backpressure/tests/table.rs
@@ -24,16 +24,16 @@
     let mut table = AdviceTable::default();
     let at = Moment::from_millis;
     let mut apply = |now, advice| table.apply(at(now), &name(1), &service("plain"), advice);
-    assert_eq!(apply(0, rest(0)), AdviceChange::Same);
+    assert_eq!(apply(0, rest(0)), AdviceChange::Unchanged);
     assert_eq!(apply(0, rest(1_000)), AdviceChange::Began);
-    assert_eq!(apply(500, rest(200)), AdviceChange::Same);
+    assert_eq!(apply(500, rest(200)), AdviceChange::Unchanged);
     assert_eq!(apply(500, rest(1_000)), AdviceChange::Prolonged);
     let standing = |table: &AdviceTable, now| table.standing(at(now), &name(1));
     assert_eq!(standing(&table, 1_200), EndpointStanding::Resting(Duration::from_millis(300)));
     assert_eq!(standing(&table, 1_500), EndpointStanding::Open);
     assert!(table.expire(at(1_499)).is_empty());
     let ended = table.expire(at(1_500));
-    assert_eq!((ended[0].lasted, ended[0].request_count), (Duration::from_millis(1_500), 2));
+    assert_eq!((ended[0].lasted, ended[0].advice_count), (Duration::from_millis(1_500), 2));
     assert!(table.is_empty());
 }
 
@@ -41,8 +41,8 @@
 fn leaving_outlasts_rests_and_expires_after_its_retention() {
     let mut table = AdviceTable::default();
     let at = Moment::from_millis;
-    assert_eq!(table.apply(at(0), &name(1), &service("plain"), LEAVING), AdviceChange::Left);
-    assert_eq!(table.apply(at(1), &name(1), &service("plain"), LEAVING), AdviceChange::Same);
+    assert_eq!(table.apply(at(0), &name(1), &service("plain"), LEAVING), AdviceChange::Leaving);
+    assert_eq!(table.apply(at(1), &name(1), &service("plain"), LEAVING), AdviceChange::Unchanged);
     assert_eq!(table.apply(at(2), &name(1), &service("plain"), rest(10)), AdviceChange::Began);
     assert_eq!(table.standing(at(300_000), &name(1)), EndpointStanding::Leaving);
     assert_eq!(
