--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -125,7 +125,7 @@
         let now = table.now();
         let present = table.registry.iter().filter(|endpoint| endpoint.stage != EndpointStage::Left);
         let of_service = present.filter(|endpoint| endpoint.service == *service);
-        of_service.map(|endpoint| table.registry.with_cold_left(now, endpoint)).collect()
+        of_service.map(|endpoint| table.registry.with_remaining_cold(now, endpoint)).collect()
     }
 
     /// The orders about data halls that hold in this process.
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -124,7 +124,7 @@
         let is_newer =
             |endpoint: &&EndpointRecord| versions.get(&endpoint.name).is_some_and(|version| *version > seen);
         let now = self.clock.now();
-        let outgoing = |record: &EndpointRecord| content.registry.with_cold_left(now, record);
+        let outgoing = |record: &EndpointRecord| content.registry.with_remaining_cold(now, record);
         let records = content.registry.iter().filter(is_newer).map(outgoing).collect();
         let received = match scope {
             HubScope::Changed => cursor.received,
--- a/crates/micaspool-registry/src/registry.rs
+++ b/crates/micaspool-registry/src/registry.rs
@@ -158,13 +158,13 @@
     }
 
     /// Returns how much longer an endpoint is cold; zero if it is warm or unknown.
-    pub fn cold_left(&self, now: Moment, name: &EndpointName) -> Duration {
+    pub fn remaining_cold(&self, now: Moment, name: &EndpointName) -> Duration {
         self.endpoints.get(name).map_or(Duration::ZERO, |entry| entry.cold_until.since(now))
     }
 
     /// Returns the record with `cold` counted from now, as it is to be sent to others.
-    pub fn with_cold_left(&self, now: Moment, record: &EndpointRecord) -> EndpointRecord {
-        EndpointRecord { cold: self.cold_left(now, &record.name), ..record.clone() }
+    pub fn with_remaining_cold(&self, now: Moment, record: &EndpointRecord) -> EndpointRecord {
+        EndpointRecord { cold: self.remaining_cold(now, &record.name), ..record.clone() }
     }
 
     /// Returns the time since the endpoint was last seen.
--- a/crates/micaspool-registry/tests/registry.rs
+++ b/crates/micaspool-registry/tests/registry.rs
@@ -168,7 +168,7 @@
     registry.merge(start, cold(1, 3_000));
     let later = start + Duration::from_millis(after);
     assert_eq!(registry.merge(later, cold(2, left)), expected);
-    assert_eq!(registry.cold_left(later, &cold(1, 0).name), Duration::from_millis(left));
+    assert_eq!(registry.remaining_cold(later, &cold(1, 0).name), Duration::from_millis(left));
 }
 
 /// The cold phase ends by the receiver's clock without another record, and is passed on as the remaining time.
@@ -178,10 +178,11 @@
     let start = Moment::from_millis(10_000);
     registry.merge(start, cold(1, 3_000));
     let name = cold(1, 0).name;
-    let left = |millis: u64| registry.cold_left(start + Duration::from_millis(millis), &name).as_millis();
+    let left =
+        |millis: u64| registry.remaining_cold(start + Duration::from_millis(millis), &name).as_millis();
     assert_eq!([left(0), left(1_000), left(2_999), left(3_000), left(9_000)], [3_000, 2_000, 1, 0, 0]);
     let known = registry.get(&name).expect("the record is known");
-    let refreshed = registry.with_cold_left(start + Duration::from_millis(1_000), known);
+    let refreshed = registry.with_remaining_cold(start + Duration::from_millis(1_000), known);
     assert_eq!(refreshed.cold, Duration::from_millis(2_000));
 }
 
@@ -192,5 +193,5 @@
     let start = Moment::from_millis(10_000);
     registry.merge(start, cold(5, 0));
     assert_eq!(registry.merge(start, cold(4, 3_000)), MergeOutcome::Stale);
-    assert_eq!(registry.cold_left(start, &cold(1, 0).name), Duration::ZERO);
+    assert_eq!(registry.remaining_cold(start, &cold(1, 0).name), Duration::ZERO);
 }
