--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -298,13 +298,13 @@
                 self.command_bytes += bytes.len();
                 match postcard::from_bytes(bytes) {
                     Ok(command) => self.state.apply(&command),
-                    Err(_) => KeeperReply::Passed,
+                    Err(_) => KeeperReply::Empty,
                 }
             }
-            EntryPayload::Blank => KeeperReply::Passed,
+            EntryPayload::Blank => KeeperReply::Empty,
             EntryPayload::Members(membership) => {
                 record(&events::GROUP_CHANGED, &[field("voters", membership.voters().count())]);
-                KeeperReply::Passed
+                KeeperReply::Empty
             }
         };
         if let Some(waiter) = self.pending_replies.remove(&(entry.index, entry.term)) {
--- a/crates/micaspool-keeper/src/state.rs
+++ b/crates/micaspool-keeper/src/state.rs
@@ -44,7 +44,7 @@
     Finished,
     /// An entry without a reply was applied: a read barrier, a membership change, or a command that this
     /// version cannot decode.
-    Passed,
+    Empty,
     /// The number of the plan in force after the command.
     Published(u64),
     /// The verdict on a data hall order.
@@ -81,21 +81,21 @@
 }
 
 impl From<StateWithPlan> for KeeperState {
-    fn from(earlier: StateWithPlan) -> KeeperState {
+    fn from(legacy: StateWithPlan) -> KeeperState {
         KeeperState {
-            settings: earlier.settings,
-            ledger: earlier.ledger.into(),
-            plan: earlier.plan,
+            settings: legacy.settings,
+            ledger: legacy.ledger.into(),
+            plan: legacy.plan,
             halls: HallOrders::default(),
         }
     }
 }
 
 impl From<StateWithoutPlan> for KeeperState {
-    fn from(earlier: StateWithoutPlan) -> KeeperState {
+    fn from(legacy: StateWithoutPlan) -> KeeperState {
         KeeperState {
-            settings: earlier.settings,
-            ledger: earlier.ledger.into(),
+            settings: legacy.settings,
+            ledger: legacy.ledger.into(),
             plan: PlanDocument::default(),
             halls: HallOrders::default(),
         }
--- a/crates/micaspool-keeper/tests/snapshot.rs
+++ b/crates/micaspool-keeper/tests/snapshot.rs
@@ -6,9 +6,9 @@
 
 /// The fields of a ledger as written by versions that did not remember early releases. It is empty
 /// apart from its time.
-type EarlierLedger = (LedgerOptions, Vec<u8>, Vec<u8>, Vec<u8>, usize, u64);
+type LegacyLedger = (LedgerOptions, Vec<u8>, Vec<u8>, Vec<u8>, usize, u64);
 
-fn earlier_ledger() -> EarlierLedger {
+fn legacy_ledger() -> LegacyLedger {
     (LedgerOptions::default(), Vec::new(), Vec::new(), Vec::new(), 0, 1_792_000_000_000)
 }
 
@@ -28,7 +28,7 @@
 fn snapshot_without_early_releases_keeps_its_plan() {
     for number in [0, 1, 7, 300] {
         let plan = PlanDocument { number, text: "x".repeat(number as usize).into() };
-        let bytes = encode(&(SettingsState::default(), earlier_ledger(), plan.clone()));
+        let bytes = encode(&(SettingsState::default(), legacy_ledger(), plan.clone()));
         assert_eq!(
             KeeperState::decode(&bytes).expect("a snapshot of an earlier version can be decoded").plan,
             plan
@@ -38,7 +38,7 @@
 
 #[test]
 fn snapshot_without_a_plan_is_decoded() {
-    let bytes = encode(&(SettingsState::default(), earlier_ledger()));
+    let bytes = encode(&(SettingsState::default(), legacy_ledger()));
     assert_eq!(
         KeeperState::decode(&bytes).expect("a snapshot of an earlier version can be decoded").plan.number,
         0
