--- a/crates/micaspool-backpressure/src/header.rs
+++ b/crates/micaspool-backpressure/src/header.rs
@@ -9,13 +9,13 @@
 pub struct HeaderAdvice {
     /// The parsed advice.
     pub advice: EndpointAdvice,
-    /// Set if no `Retry-After` value could be parsed; `advice.rest` is zero then.
+    /// The error if there are `Retry-After` values but none is valid; `advice.rest` is zero then.
     pub error: Option<Error>,
 }
 
 impl HeaderAdvice {
     /// Builds the advice of a response from its `Retry-After` values and its leaving flag. `Retry-After` is ignored
-    /// unless the response turns its request away.
+    /// unless the response rejects its request.
     pub fn parse<'a>(
         is_rejection: bool,
         retry_after: impl IntoIterator<Item = &'a str>,
--- a/crates/micaspool-backpressure/src/retry_after.rs
+++ b/crates/micaspool-backpressure/src/retry_after.rs
@@ -7,8 +7,8 @@
 /// reduced to this limit; the endpoint is then probed with a single request.
 pub const MAX_REST: Duration = Duration::from_secs(3_600);
 
-/// The rest of an endpoint that announces its shutdown and whose next start has the same name and does not announce
-/// itself. After each such rest the endpoint is probed with a single request.
+/// The rest of an endpoint that announces its shutdown, where all starts of the endpoint share one name and the next
+/// start is not announced. After each such rest the endpoint is probed with a single request.
 pub const DRAINING_REST: Duration = Duration::from_secs(10);
 
 /// The reason why a `Retry-After` value is invalid.
--- a/crates/micaspool-backpressure/src/table.rs
+++ b/crates/micaspool-backpressure/src/table.rs
@@ -44,7 +44,7 @@
     Began,
     /// The current rest was prolonged.
     Prolonged,
-    /// The endpoint is now leaving.
+    /// The endpoint has announced that it is leaving.
     Leaving,
 }
 
@@ -55,7 +55,7 @@
     pub endpoint: EndpointName,
     /// The time from the response that began the rest to its end.
     pub lasted: Duration,
-    /// The number of responses that began or prolonged the rest.
+    /// The number of responses whose advice began or prolonged the rest.
     pub advice_count: u32,
 }
 
@@ -63,8 +63,10 @@
 #[derive(Debug)]
 struct AdviceEntry {
     service: ServiceName,
+    /// When the latest rest began.
     since: Moment,
     rests_until: Moment,
+    /// The number of responses whose advice began or prolonged the latest rest.
     advice_count: u32,
     /// The end of the time for which the endpoint counts as leaving; `None` if it never announced that.
     leaves_until: Option<Moment>,
