--- a/crates/micaspool-halls/src/order.rs
+++ b/crates/micaspool-halls/src/order.rs
@@ -4,13 +4,13 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Whether the endpoints of a data hall get requests.
+/// Whether requests may be sent to the endpoints of a data hall.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub enum HallState {
-    /// The endpoints get requests.
+    /// Requests may be sent.
     #[default]
     Open,
-    /// The endpoints get no requests.
+    /// No requests may be sent.
     Evacuated,
 }
 
@@ -29,7 +29,7 @@
 pub struct HallOrder {
     /// The number of the order; each later change of any hall has a higher one.
     pub number: u64,
-    /// The ordered use of the hall.
+    /// The ordered state of the hall.
     pub wanted: HallState,
     /// The operator who gave the order; informational.
     pub ordered_by: Arc<str>,
@@ -43,7 +43,7 @@
 pub struct OrderCommand {
     /// The data hall.
     pub hall: HallName,
-    /// The ordered use of the hall.
+    /// The ordered state of the hall.
     pub wanted: HallState,
     /// The number of the newest order about any hall that was known where this order was received.
     pub known: u64,
--- a/crates/micaspool-halls/src/orders.rs
+++ b/crates/micaspool-halls/src/orders.rs
@@ -8,6 +8,7 @@
 /// The order in force for each hall about which one was given. All other halls are open.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct HallOrders {
+    /// The number of the newest order about any hall.
     newest: u64,
     halls: BTreeMap<HallName, HallOrder>,
 }
@@ -53,12 +54,12 @@
         self.newest
     }
 
-    /// Returns whether the endpoints of a hall get requests.
+    /// Returns the state of a hall; open if no order was given about it.
     pub fn state_of(&self, hall: &HallName) -> HallState {
         self.halls.get(hall).map_or(HallState::Open, |order| order.wanted)
     }
 
-    /// Returns true if the endpoints of a hall get no requests.
+    /// Returns true if a hall is evacuated.
     pub fn is_evacuated(&self, hall: &HallName) -> bool {
         self.state_of(hall) == HallState::Evacuated
     }
--- a/crates/micaspool-quarantine/src/options.rs
+++ b/crates/micaspool-quarantine/src/options.rs
@@ -22,10 +22,15 @@
 /// Limits and durations of a [`CrashTable`](crate::CrashTable); built with [`QuarantineOptions::builder`].
 #[derive(Clone, Copy, Debug)]
 pub struct QuarantineOptions {
+    /// The number of crashes at which a request is quarantined.
     pub(crate) crash_limit: usize,
+    /// The quarantine after the crash that reaches `crash_limit`.
     pub(crate) quarantine: Duration,
+    /// How long crashes below `crash_limit` are remembered.
     pub(crate) suspicion_retention: Duration,
+    /// The maximum number of requests in a table.
     pub(crate) capacity: usize,
+    /// The maximum number of requests of one customer.
     pub(crate) customer_capacity: usize,
 }
 
--- a/crates/micaspool-quarantine/src/standing.rs
+++ b/crates/micaspool-quarantine/src/standing.rs
@@ -22,12 +22,13 @@
 }
 
 impl RequestStanding {
-    /// Returns true if only one copy of the request may run at a time.
+    /// Returns true if the request is doubted, suspected or quarantined: at most one copy of it may run at a time.
     pub fn is_doubted(self) -> bool {
         self != RequestStanding::Clear
     }
 
-    /// Returns true if the request may not run together with other requests for which this is true.
+    /// Returns true if the request is suspected or quarantined: it may not run on an endpoint together with another such
+    /// request.
     pub fn is_suspected(self) -> bool {
         self >= RequestStanding::Suspected
     }
--- a/crates/micaspool-quarantine/src/table.rs
+++ b/crates/micaspool-quarantine/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of requests that endpoints crashed under.
+//! The table of requests that endpoints crashed while running.
 
 use crate::options::QuarantineOptions;
 use crate::record::{CrashRecord, EndpointCrash};
@@ -34,7 +34,7 @@
     crashes: Vec<CrashEntry>,
 }
 
-/// A change of the record of a request, with its standing before and after.
+/// The standing of a request before and after a change of its crash record. The two may be equal.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct StandingChange {
     /// The digest of the request.
@@ -104,7 +104,7 @@
         self.requests.get(&digest).map(RequestEntry::newest_crash_at)
     }
 
-    /// Records that an endpoint seems to have crashed while running a request.
+    /// Records that an endpoint apparently crashed while running a request.
     pub fn record_crash(
         &mut self,
         now: Moment,
@@ -183,13 +183,13 @@
         Some(CrashRecord { digest, customer: entry.customer.clone(), crashes: crashes.collect() })
     }
 
-    /// Returns standing and crash record of the suspected and quarantined requests, ordered by digest.
+    /// Returns the standing and the crash record of each request with more than one crash, ordered by digest.
     pub fn suspect_records(&self, now: Moment) -> Vec<(RequestStanding, CrashRecord)> {
         let record = |digest: &RequestDigest| Some((self.standing(now, *digest), self.record(now, *digest)?));
         self.repeated.iter().filter_map(record).collect()
     }
 
-    /// Returns the digests of the suspected and quarantined requests.
+    /// Returns the digests of the requests with more than one crash, in ascending order.
     pub fn suspect_digests(&self) -> impl Iterator<Item = RequestDigest> + '_ {
         self.repeated.iter().copied()
     }
