--- a/crates/micaspool-settings/src/policy/effective.rs
+++ b/crates/micaspool-settings/src/policy/effective.rs
@@ -11,19 +11,19 @@
     /// The value; `None` if the built-in default applies.
     pub value: Option<Value>,
     /// The path of the level that sets the value, or `built-in`.
-    pub level: String,
+    pub layer: String,
 }
 
 /// Returns the effective values for a customer and a service, one for each policy field, or `None` if the tree has no
 /// such customer or service.
 pub fn effective_values(tree: &Value, customer: &str, service: &str) -> Option<Vec<EffectiveValue>> {
-    let levels = level_paths(tree, customer, service)?;
-    let values = LAYER_FIELDS.iter().map(|field| effective_value(tree, &levels, field));
+    let paths = layer_paths(tree, customer, service)?;
+    let values = LAYER_FIELDS.iter().map(|field| effective_value(tree, &paths, field));
     Some(values.collect())
 }
 
 /// Returns the paths of the policy layers in ascending order of precedence.
-fn level_paths(tree: &Value, customer: &str, service: &str) -> Option<Vec<Vec<String>>> {
+fn layer_paths(tree: &Value, customer: &str, service: &str) -> Option<Vec<Vec<String>>> {
     tree.get("services")?.get(service)?;
     let groups = tree.get("groups")?.as_object()?;
     let has_customer = |group: &Value| group.get("customers").and_then(|all| all.get(customer)).is_some();
@@ -38,12 +38,12 @@
     ])
 }
 
-fn effective_value(tree: &Value, levels: &[Vec<String>], field: &'static str) -> EffectiveValue {
-    for level in levels.iter().rev() {
-        let layer = level.iter().try_fold(tree, |value, key| value.get(key));
-        if let Some(value) = layer.and_then(|layer| layer.get(field)).filter(|value| !value.is_null()) {
-            return EffectiveValue { field, value: Some(value.clone()), level: level.join(".") };
+fn effective_value(tree: &Value, paths: &[Vec<String>], field: &'static str) -> EffectiveValue {
+    for path in paths.iter().rev() {
+        let node = path.iter().try_fold(tree, |value, key| value.get(key));
+        if let Some(value) = node.and_then(|node| node.get(field)).filter(|value| !value.is_null()) {
+            return EffectiveValue { field, value: Some(value.clone()), layer: path.join(".") };
         }
     }
-    EffectiveValue { field, value: None, level: "built-in".to_owned() }
+    EffectiveValue { field, value: None, layer: "built-in".to_owned() }
 }
--- a/crates/micaspool-settings/tests/tree.rs
+++ b/crates/micaspool-settings/tests/tree.rs
@@ -51,11 +51,11 @@
     assert_eq!((own.weight.get(), own.max_waiting, own.halls), (5, 20, HallMask(0b100)));
     assert_eq!(own.wait_limit, Duration::from_secs(1));
     let values = effective_values(&tree, "own", "m").expect("customer and service exist");
-    let level =
-        |field: &str| values.iter().find(|value| value.field == field).expect("a field").level.clone();
-    assert_eq!(level("weight"), "groups.g.customers.own.policy");
-    assert_eq!(level("max_waiting"), "services.m.policy");
-    assert_eq!(level("priority"), "built-in");
+    let layer =
+        |field: &str| values.iter().find(|value| value.field == field).expect("a field").layer.clone();
+    assert_eq!(layer("weight"), "groups.g.customers.own.policy");
+    assert_eq!(layer("max_waiting"), "services.m.policy");
+    assert_eq!(layer("priority"), "built-in");
 }
 
 #[test_case(json!({"policy": {"weight": 0}}), "policy.weight"; "weight of zero")]
--- a/crates/micaspool/src/cli/settings.rs
+++ b/crates/micaspool/src/cli/settings.rs
@@ -188,7 +188,7 @@
     };
     for value in values.ok_or_else(missing)? {
         let shown = value.value.map_or_else(|| "(default)".to_owned(), |value| value.to_string());
-        println!("{:<20} {shown:<24} from {}", value.field, value.level);
+        println!("{:<20} {shown:<24} from {}", value.field, value.layer);
     }
     Ok(())
 }
