--- a/crates/micaspool-settings/src/policy/effective.rs
+++ b/crates/micaspool-settings/src/policy/effective.rs
@@ -1,16 +1,16 @@
-//! The effective policy values for a customer and a service, each with the level that sets it.
+//! The effective policy values for a customer and a service, each with the layer that sets it.
 
 use super::LAYER_FIELDS;
 use serde_json::Value;
 
-/// One effective policy value and the level that sets it.
+/// One effective policy value and the layer that sets it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EffectiveValue {
     /// The name of the policy field.
     pub field: &'static str,
     /// The value; `None` if the built-in default applies.
     pub value: Option<Value>,
-    /// The path of the level that sets the value, or `built-in`.
+    /// The path of the layer that sets the value, its keys joined by dots, or `built-in`.
     pub layer: String,
 }
 
--- a/crates/micaspool-settings/src/policy/layer.rs
+++ b/crates/micaspool-settings/src/policy/layer.rs
@@ -24,7 +24,7 @@
 const MAX_LIMIT_MILLIS: u64 = 24 * 3_600 * 1_000;
 const MAX_PRIORITY: u64 = 9;
 
-/// The policy values that one level of the tree overrides; absent values are inherited.
+/// The policy values that one layer of the tree overrides; absent values are inherited.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PolicyLayer {
     weight: Option<Weight>,
--- a/crates/micaspool-settings/src/policy/mod.rs
+++ b/crates/micaspool-settings/src/policy/mod.rs
@@ -127,7 +127,9 @@
     pub services: Vec<ServicePolicy>,
     /// The customers in name order.
     pub customers: Vec<CustomerPolicy>,
+    /// The indices of the customers by key.
     keys: HashMap<KeyDigest, usize>,
+    /// The indices of the customers by name.
     names: HashMap<CustomerName, usize>,
 }
 
--- a/crates/micaspool-settings/src/process.rs
+++ b/crates/micaspool-settings/src/process.rs
@@ -72,7 +72,7 @@
     pub dispatchers: Vec<PeerAddress>,
     /// The dispatchers of other regions, with whose shards totals are exchanged.
     pub remote_dispatchers: Vec<PeerAddress>,
-    /// The address at which the platform serves its list of instances, if it does.
+    /// The address at which the platform serves its list of instances, if there is one.
     pub instance_list: Option<SocketAddr>,
     /// The log file; standard error if absent.
     pub log_file: Option<PathBuf>,
--- a/crates/micaspool-settings/tests/tree.rs
+++ b/crates/micaspool-settings/tests/tree.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn each_level_overrides_only_what_it_names() {
+fn each_layer_overrides_only_what_it_sets() {
     let tree = json!({
         "policy": { "weight": 2, "max_waiting": 10, "wait_limit_ms": 1000 },
         "halls": { "a": { "region": "r" }, "b": { "region": "r" }, "c": { "region": "s" } },
