--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -58,7 +58,7 @@
 
     /// Returns every other known keeper: one of them may be the leader or know it.
     fn known_keepers(&self) -> BTreeSet<InstanceName> {
-        let mut known: BTreeSet<InstanceName> = self.other_keepers().into_iter().collect();
+        let mut known: BTreeSet<InstanceName> = self.other_configured().into_iter().collect();
         known.extend(self.forming.discovered.iter().cloned());
         known.extend(self.member_names());
         known.remove(&self.identity.name);
@@ -69,7 +69,7 @@
         self.log.membership().members.iter().map(|member| member.identity.name.clone()).collect()
     }
 
-    fn other_keepers(&self) -> Vec<InstanceName> {
+    fn other_configured(&self) -> Vec<InstanceName> {
         self.options.configured.iter().filter(|name| **name != self.identity.name).cloned().collect()
     }
 
@@ -114,7 +114,7 @@
         }
         let limit = self.options.announce_interval * MAX_MISSED_ANNOUNCEMENTS;
         let mut identities = vec![self.identity.clone()];
-        for name in self.other_keepers() {
+        for name in self.other_configured() {
             match self.forming.announcements.get(&name) {
                 Some(announcement) if announcement.empty && now.since(announcement.at) < limit => {
                     identities.push(announcement.identity.clone())
@@ -126,7 +126,7 @@
         let members = identities.into_iter().map(|identity| GroupMember { identity, voter: true }).collect();
         let membership = GroupMembership { members };
         self.adopt_group(now, membership.clone());
-        for name in self.other_keepers() {
+        for name in self.other_configured() {
             self.send(&name, PeerBody::Form { membership: membership.clone() });
         }
     }
--- a/crates/micaspool-registry/src/registry.rs
+++ b/crates/micaspool-registry/src/registry.rs
@@ -80,14 +80,14 @@
         if newest.is_some_and(|newest| record.incarnation < newest.incarnation) {
             return MergeOutcome::Stale;
         }
-        let before = newest.filter(|newest| newest.name != record.name).map(|newest| newest.name.clone());
+        let previous = newest.filter(|newest| newest.name != record.name).map(|newest| newest.name.clone());
         let start =
             NewestStart { name: record.name.clone(), incarnation: record.incarnation, last_seen: now };
         self.newest.insert(record.identity.clone(), start);
         let outcome = self.merge_start(now, record);
-        match before {
-            Some(before) => {
-                self.endpoints.remove(&before);
+        match previous {
+            Some(previous) => {
+                self.endpoints.remove(&previous);
                 MergeOutcome::Restarted
             }
             None => outcome,
@@ -133,13 +133,13 @@
     /// Removes endpoints that were not seen for longer than `max_silence`, or, if they left, for longer than
     /// `LEFT_RETENTION`. Returns true if any was removed.
     pub fn expire(&mut self, now: Moment, max_silence: Duration) -> bool {
-        let before = self.endpoints.len();
+        let count_before = self.endpoints.len();
         self.newest.retain(|_, start| now.since(start.last_seen) <= LEFT_RETENTION);
         self.endpoints.retain(|_, entry| {
             let limit = if entry.record.stage == EndpointStage::Left { LEFT_RETENTION } else { max_silence };
             now.since(entry.last_seen) <= limit
         });
-        self.endpoints.len() != before
+        self.endpoints.len() != count_before
     }
 
     /// Returns the record of the newest start of an endpoint.
