--- a/crates/micaspool-ledger/src/options.rs
+++ b/crates/micaspool-ledger/src/options.rs
@@ -8,7 +8,7 @@
 pub struct LedgerOptions {
     /// How long a key is remembered after its call has ended.
     pub retention: Duration,
-    /// The time after which a call that has not ended counts as one that may have run.
+    /// The time after its claim at which a call that has not ended is considered to have an unknown outcome.
     pub running_limit: Duration,
     /// The maximum number of keys. New keys are refused beyond it, since evicting one could let a call run twice.
     pub max_keys: usize,
--- a/crates/micaspool-ledger/src/state.rs
+++ b/crates/micaspool-ledger/src/state.rs
@@ -21,7 +21,7 @@
     ended: VecDeque<EndedKey>,
     /// The keys whose answers are stored, oldest first.
     answered: VecDeque<EndedKey>,
-    /// The total size of the stored answers.
+    /// The total size of the stored answers in bytes.
     answer_bytes: usize,
     /// The newest time of any command; never goes back.
     newest: LedgerTime,
@@ -54,23 +54,30 @@
     }
 }
 
+/// The claim of one key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct ClaimRecord {
     body: BodyDigest,
+    /// The token of the arrival that claimed the call.
     token: ClaimToken,
     state: ClaimState,
 }
 
+/// The state of a claimed call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum ClaimState {
+    /// The call has not ended, as far as is known.
     Running { since: LedgerTime },
+    /// The call ran; holds its answer.
     Answered(Box<StoredAnswer>),
+    /// The call ran, but its answer was too large or too old to be kept.
     AnswerDropped,
+    /// The call may have run, but its outcome is unknown.
     Unknown,
 }
 
-/// A key with the token of the arrival that ended. The token is needed because a forgotten key can be claimed again and
-/// then end again.
+/// A key, the token of the arrival whose call ended or was released, and when. The token is needed because a key can be
+/// claimed and end again after it has expired.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct EndedKey {
     key: ClaimKey,
@@ -150,7 +157,7 @@
             FinishKind::Unknown if is_running => {
                 self.end_claim(&command.key, command.token, ClaimState::Unknown, now)
             }
-            FinishKind::Answered(answer) if is_open => self.keep_answer(command, answer, now),
+            FinishKind::Answered(answer) if is_open => self.store_answer(command, answer, now),
             _ => {}
         }
     }
@@ -179,7 +186,7 @@
     }
 
     /// Stores an answer if it is small enough, and drops the oldest answers beyond the total limit.
-    fn keep_answer(&mut self, command: &FinishCommand, answer: &StoredAnswer, now: LedgerTime) {
+    fn store_answer(&mut self, command: &FinishCommand, answer: &StoredAnswer, now: LedgerTime) {
         if answer.body.len() > self.options.max_answer {
             self.end_claim(&command.key, command.token, ClaimState::AnswerDropped, now);
             return;
