--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -14,10 +14,12 @@
 /// unreachable.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
-/// The announcements that this keeper has sent and received.
+/// The announcements that this keeper has sent and received, and the keepers discovered from messages.
 #[derive(Debug, Default)]
 pub(super) struct FormingState {
+    /// The latest announcement of each keeper.
     announcements: HashMap<InstanceName, ReceivedAnnouncement>,
+    /// When this keeper last announced itself.
     last_announced: Option<Moment>,
     /// Keepers learnt of from messages, besides the configured ones.
     discovered: BTreeSet<InstanceName>,
@@ -26,7 +28,9 @@
 #[derive(Debug, Clone)]
 struct ReceivedAnnouncement {
     identity: KeeperIdentity,
+    /// Whether the keeper belongs to no group and has no log.
     empty: bool,
+    /// When the announcement arrived.
     at: Moment,
 }
 
@@ -69,6 +73,7 @@
         self.log.membership().members.iter().map(|member| member.identity.name.clone()).collect()
     }
 
+    /// Returns the configured keepers other than this one.
     fn other_configured(&self) -> Vec<InstanceName> {
         self.options.configured.iter().filter(|name| **name != self.identity.name).cloned().collect()
     }
--- a/crates/micaspool-quorum/src/core/mod.rs
+++ b/crates/micaspool-quorum/src/core/mod.rs
@@ -92,17 +92,21 @@
     identity: KeeperIdentity,
     hard: HardState,
     log: EntryLog,
+    /// The last committed entry.
     commit: LogIndex,
     /// The last entry that was put into `output.committed`.
     applied: LogIndex,
     role: RoleState,
+    /// The leader of the current term, if known.
     leader: Option<KeeperIdentity>,
     /// When the last message of a leader arrived.
     leader_last_contact: Option<Moment>,
+    /// When the next pre-vote starts, unless the deadline is reset before.
     election_deadline: Moment,
     forming: FormingState,
     rng: ChaCha8Rng,
     output: QuorumOutput,
+    /// Whether `hard` has changed since the last output.
     hard_dirty: bool,
     /// The last entry of this keeper's log that is durable.
     saved: LogIndex,
--- a/crates/micaspool-quorum/src/core/replication.rs
+++ b/crates/micaspool-quorum/src/core/replication.rs
@@ -19,6 +19,7 @@
     in_flight: Option<Moment>,
     /// The send time of the latest message that was answered. The leader lease counts from it.
     pub last_contact: Option<Moment>,
+    /// The send time of the latest message, answered or not.
     last_sent: Option<Moment>,
 }
 
--- a/crates/micaspool-quorum/tests/faults.rs
+++ b/crates/micaspool-quorum/tests/faults.rs
@@ -122,11 +122,11 @@
         harness.run_for(20);
         let Some(leader) = harness.leader() else { continue };
         let status = harness.nodes[leader].core.as_ref().expect("the keeper runs").status(harness.now);
-        let settled = status.membership.members.iter().all(|member| {
+        let is_repaired = status.membership.members.iter().all(|member| {
             let current = harness.nodes.iter().find(|node| node.name == member.identity.name);
             current.is_some_and(|node| node.incarnation == member.identity.incarnation.0)
         });
-        if settled && status.membership.voters().count() == count {
+        if is_repaired && status.membership.voters().count() == count {
             return;
         }
     }
@@ -203,19 +203,19 @@
     let leader = harness.leader().expect("a leader exists");
     let wiped = (leader + 1) % 3;
     harness.wipe(wiped);
-    let counts = |harness: &Harness| {
+    let is_voter = |harness: &Harness| {
         let status = harness.nodes[leader].core.as_ref().expect("the keeper runs").status(harness.now);
         let current = harness.nodes[wiped].incarnation;
         let mut members = status.membership.members.into_iter();
         members.find(|member| member.identity.incarnation.0 == current).map(|member| member.voter)
     };
-    while counts(&harness).is_none() {
+    while is_voter(&harness).is_none() {
         harness.run_for(10);
     }
     harness.isolate(wiped, true);
     harness.run_for(5_000);
-    assert_eq!(counts(&harness), Some(false), "nothing is durable there yet");
+    assert_eq!(is_voter(&harness), Some(false), "nothing is durable there yet");
     harness.isolate(wiped, false);
     harness.run_for(2_000);
-    assert_eq!(counts(&harness), Some(true));
+    assert_eq!(is_voter(&harness), Some(true));
 }
--- a/crates/micaspool-quorum/tests/open_group.rs
+++ b/crates/micaspool-quorum/tests/open_group.rs
@@ -106,15 +106,15 @@
 fn random_replacements_lose_no_acknowledged_command() {
     for seed in 0..60 {
         let mut harness = formed_group(1_000 + seed);
-        let mut alive: Vec<usize> = vec![0, 1, 2];
+        let mut running: Vec<usize> = vec![0, 1, 2];
         for round in 0..6_u32 {
-            let slot = harness.rng.random_range(0..alive.len());
-            let victim = alive[slot];
+            let slot = harness.rng.random_range(0..running.len());
+            let victim = running[slot];
             match harness.rng.random_range(0..4) {
                 0 => {
                     harness.crash(victim);
                     harness.run_for(800);
-                    alive[slot] = harness.add_keeper();
+                    running[slot] = harness.add_keeper();
                 }
                 1 => harness.wipe(victim),
                 2 => {
--- a/crates/micaspool-quorum/tests/schedules.rs
+++ b/crates/micaspool-quorum/tests/schedules.rs
@@ -37,7 +37,7 @@
         let pause = harness.rng.random_range(20..1_500);
         harness.run_for(pause);
     }
-    heal(&mut harness);
+    end_all_faults(&mut harness);
     harness.commit(b"last", 60_000);
     harness.run_for(3_000);
     harness.check_acknowledged();
@@ -86,7 +86,7 @@
     harness.nodes.iter().all(current)
 }
 
-fn heal(harness: &mut Harness) {
+fn end_all_faults(harness: &mut Harness) {
     harness.drop_percent = 0;
     harness.blocked_links.clear();
     for node in 0..3 {
