--- a/crates/micaspool-backpressure/src/header.rs
+++ b/crates/micaspool-backpressure/src/header.rs
@@ -30,9 +30,9 @@
         }
         match parse_retry_after(values, SystemTime::now()) {
             Ok(rest) => HeaderAdvice { advice: EndpointAdvice { rest, leaving }, error: None },
-            Err(error) => HeaderAdvice {
+            Err(parse_error) => HeaderAdvice {
                 advice: EndpointAdvice { leaving, ..EndpointAdvice::default() },
-                error: Some(error),
+                error: Some(parse_error),
             },
         }
     }
--- a/crates/micaspool-backpressure/src/shared.rs
+++ b/crates/micaspool-backpressure/src/shared.rs
@@ -138,6 +138,6 @@
         AdviceChange::Unchanged => {}
         AdviceChange::Began => record(&events::REST_BEGUN, &fields),
         AdviceChange::Prolonged => record(&events::REST_PROLONGED, &fields),
-        AdviceChange::Leaving => record(&events::ENDPOINT_SAYS_LEAVING, &fields),
+        AdviceChange::LeavingAnnounced => record(&events::ENDPOINT_SAYS_LEAVING, &fields),
     }
 }
--- a/crates/micaspool-backpressure/src/table.rs
+++ b/crates/micaspool-backpressure/src/table.rs
@@ -45,7 +45,7 @@
     /// The current rest was prolonged.
     Prolonged,
     /// The endpoint has announced that it is leaving.
-    Leaving,
+    LeavingAnnounced,
 }
 
 /// A rest that has ended.
@@ -139,7 +139,7 @@
         if was_leaving {
             change
         } else {
-            AdviceChange::Leaving
+            AdviceChange::LeavingAnnounced
         }
     }
 
--- a/crates/micaspool-backpressure/tests/table.rs
+++ b/crates/micaspool-backpressure/tests/table.rs
@@ -41,7 +41,7 @@
 fn leaving_outlasts_rests_and_expires_after_its_retention() {
     let mut table = AdviceTable::default();
     let at = Moment::from_millis;
-    assert_eq!(table.apply(at(0), &name(1), &service("plain"), LEAVING), AdviceChange::Leaving);
+    assert_eq!(table.apply(at(0), &name(1), &service("plain"), LEAVING), AdviceChange::LeavingAnnounced);
     assert_eq!(table.apply(at(1), &name(1), &service("plain"), LEAVING), AdviceChange::Unchanged);
     assert_eq!(table.apply(at(2), &name(1), &service("plain"), rest(10)), AdviceChange::Began);
     assert_eq!(table.standing(at(300_000), &name(1)), EndpointStanding::Leaving);
