--- a/crates/micaspool-settings/src/policy/compile.rs
+++ b/crates/micaspool-settings/src/policy/compile.rs
@@ -290,7 +290,7 @@
 fn index_customers(policy: &mut FleetPolicy, root: &DocumentNode<'_>, faults: &mut FaultList) {
     for (index, customer) in policy.customers.iter().enumerate() {
         if policy.names.insert(customer.name.clone(), index).is_some() {
-            faults.add(root, format!("list the customer {} in one group only", customer.name));
+            faults.add(root, format!("give the customer {} in one group only", customer.name));
         }
         for key in &customer.keys {
             if policy.keys.insert(*key, index).is_some() {
