--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -145,6 +145,7 @@
     core: QuorumCore,
     files: KeeperFiles,
     state: KeeperState,
+    /// The last entry that `state` includes.
     applied: LogIndex,
     /// The size of the commands applied since the last compaction, in bytes.
     command_bytes: usize,
--- a/crates/micaspool-keeper/src/follow.rs
+++ b/crates/micaspool-keeper/src/follow.rs
@@ -34,9 +34,11 @@
     number: u64,
     /// The number of the latest hall order.
     hall_order: u64,
+    /// The endpoint records that have been sent.
     cursor: HubCursor,
     /// When the records of unchanged endpoints are due again.
     refresh_due: BootInstant,
+    /// The latest list of the members of the keeper group.
     keepers: Vec<String>,
 }
 
--- a/crates/micaspool-keeper/src/peers.rs
+++ b/crates/micaspool-keeper/src/peers.rs
@@ -28,6 +28,7 @@
 /// The maximum number of messages queued for one keeper. Further ones are dropped; the consensus
 /// state machine sends what is still needed again.
 const PEER_QUEUE_LEN: usize = 256;
+/// The delay before a stream that ended or could not be opened is opened again.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
 /// The interval of [`QuorumEvent::Tick`]s.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -18,7 +18,7 @@
 pub(crate) struct HubCursor {
     /// The version up to which it has been sent changed records.
     changed: u64,
-    /// The version up to which it has been sent unchanged records as well.
+    /// The version up to which it has been sent all records, changed or not.
     received: u64,
 }
 
@@ -46,6 +46,7 @@
     received: HashMap<EndpointName, u64>,
     /// The version at which each endpoint last changed.
     changed: HashMap<EndpointName, u64>,
+    /// Incremented each time an endpoint registers or is marked as left.
     version: u64,
     subscribers: Vec<Sender<()>>,
 }
@@ -90,8 +91,8 @@
     }
 
     /// Marks an endpoint as left, by the identity that all its starts share. Returns false if this keeper
-    /// has no record of it: the identity alone does not make one, so the caller must look for the record
-    /// elsewhere.
+    /// has no record of it. A record cannot be made from the identity alone, so the caller must then look
+    /// for one elsewhere.
     pub fn leave(&self, identity: &EndpointName) -> bool {
         let mut content = self.lock();
         let Some(name) = content.registry.leave(self.clock.now(), identity) else { return false };
