--- a/crates/micaspool-store/src/files.rs
+++ b/crates/micaspool-store/src/files.rs
@@ -47,11 +47,15 @@
     folder: PathBuf,
     options: StoreOptions,
     log: File,
+    /// Encoded records that are written to the log next.
     buffer: Vec<u8>,
     /// The entries after the snapshot, kept for rewriting the log.
     entries: Vec<LogEntry>,
+    /// The latest term and vote, kept for rewriting the log.
     hard: HardState,
+    /// Whether the last write failed. Only a successful [`KeeperFiles::rewrite`] resets it.
     failed: bool,
+    /// The number of syncs since the files were opened.
     syncs: u64,
 }
 
