--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -58,6 +58,7 @@
 #[derive(Debug, Clone)]
 pub struct ControlService {
     client: Arc<KeeperClient>,
+    /// The keeper of this instance.
     own: PeerAddress,
     hub: Arc<RegistryHub>,
     mirror: Arc<FleetMirror>,
--- a/crates/micaspool-registry/src/registry.rs
+++ b/crates/micaspool-registry/src/registry.rs
@@ -35,7 +35,9 @@
 #[derive(Clone, Debug)]
 struct EndpointEntry {
     record: EndpointRecord,
+    /// When the latest record that was not stale arrived, or the endpoint was marked as left.
     last_seen: Moment,
+    /// The end of the cold phase by the receiver's clock.
     cold_until: Moment,
 }
 
--- a/crates/micaspool-types/src/advice.rs
+++ b/crates/micaspool-types/src/advice.rs
@@ -6,7 +6,7 @@
 /// Advice from an endpoint to those that send requests to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointAdvice {
-    /// How long the sender should not send anything to the endpoint; zero if not given.
+    /// How long no requests may be sent to the endpoint; zero if not given.
     pub rest: Duration,
     /// True if the endpoint is about to stop and accepts no new requests; final for this start of the endpoint.
     pub leaving: bool,
--- a/crates/micaspool-types/src/units.rs
+++ b/crates/micaspool-types/src/units.rs
@@ -28,7 +28,7 @@
     /// The weight of a customer without a weight in its settings.
     pub const ONE: Weight = Weight(1);
 
-    /// Creates a weight, or returns `None` for zero.
+    /// Creates a weight of at least 1, or returns `None` for zero.
     pub fn new(value: u32) -> Option<Weight> {
         (value > 0).then_some(Weight(value))
     }
