--- a/crates/micaspool-keeper/src/engine/reopen.rs
+++ b/crates/micaspool-keeper/src/engine/reopen.rs
@@ -24,7 +24,7 @@
                 self.reject_input(input);
             }
             let opened = KeeperFiles::open(&target.folder, &target.name, StoreOptions::default());
-            let rewritten = opened.and_then(|mut opened| opened.files.rewrite().map(|()| opened));
+            let rewritten = opened.and_then(|mut opened| opened.files.rewrite_log().map(|()| opened));
             match rewritten {
                 Ok(opened) => {
                     self.restart(opened);
--- a/crates/micaspool-store/src/files.rs
+++ b/crates/micaspool-store/src/files.rs
@@ -53,7 +53,7 @@
     entries: Vec<LogEntry>,
     /// The latest term and vote, kept for rewriting the log.
     hard: HardState,
-    /// Whether the last write failed. Only a successful [`KeeperFiles::rewrite`] resets it.
+    /// Whether the last write failed. Only a successful [`KeeperFiles::rewrite_log`] resets it.
     failed: bool,
     /// The number of syncs since the files were opened.
     syncs: u64,
@@ -99,7 +99,7 @@
     }
 
     /// Replaces the log by a new file with the same content and syncs it.
-    pub fn rewrite(&mut self) -> Result<(), Error> {
+    pub fn rewrite_log(&mut self) -> Result<(), Error> {
         let result = self.replace_log();
         self.failed = result.is_err();
         result
