--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -180,8 +180,8 @@
 
     /// Marks an endpoint as left, by the identity that all its starts share. If it registered at another
     /// instance, its record is taken from the mirror.
-    pub fn leave(&self, identity: &EndpointName) {
-        if self.hub.leave(identity) {
+    pub fn deregister(&self, identity: &EndpointName) {
+        if self.hub.deregister(identity) {
             return;
         }
         match self.mirror.newest_start(identity) {
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -93,9 +93,9 @@
     /// Marks an endpoint as left, by the identity that all its starts share. Returns false if this keeper
     /// has no record of it. A record cannot be made from the identity alone, so the caller must then look
     /// for one elsewhere.
-    pub fn leave(&self, identity: &EndpointName) -> bool {
+    pub fn deregister(&self, identity: &EndpointName) -> bool {
         let mut content = self.lock();
-        let Some(name) = content.registry.leave(self.clock.now(), identity) else { return false };
+        let Some(name) = content.registry.deregister(self.clock.now(), identity) else { return false };
         content.mark_received(&name);
         content.mark_changed(&name);
         let stage = format!("{:?}", EndpointStage::Left);
--- a/crates/micaspool-registry/src/registry.rs
+++ b/crates/micaspool-registry/src/registry.rs
@@ -124,7 +124,7 @@
     }
 
     /// Marks the newest start of an endpoint as left and returns its name, or `None` if no record of it is known.
-    pub fn leave(&mut self, now: Moment, identity: &EndpointName) -> Option<EndpointName> {
+    pub fn deregister(&mut self, now: Moment, identity: &EndpointName) -> Option<EndpointName> {
         let name = self.newest.get(identity)?.name.clone();
         let entry = self.endpoints.get_mut(&name)?;
         entry.record.stage = EndpointStage::Left;
--- a/crates/micaspool-registry/tests/registry.rs
+++ b/crates/micaspool-registry/tests/registry.rs
@@ -64,7 +64,7 @@
     assert!(registry.expire(Moment::from_millis(9_000), Duration::from_secs(8)));
     assert!(registry.get(&name).is_none());
     registry.merge(Moment(0), record(1, EndpointStage::Serving));
-    assert!(registry.leave(Moment(0), &name).is_some());
+    assert!(registry.deregister(Moment(0), &name).is_some());
     assert!(!registry.expire(Moment::from_millis(9_000), Duration::from_secs(8)));
     assert_eq!(registry.merge(Moment(1), record(2, EndpointStage::Serving)), MergeOutcome::Stale);
 }
@@ -119,7 +119,7 @@
     registry.merge(Moment(0), started(100, 9, EndpointStage::Serving));
     registry.merge(Moment(1), started(200, 1, EndpointStage::Serving));
     let identity = record(0, EndpointStage::Serving).identity;
-    assert_eq!(registry.leave(Moment(2), &identity), Some(started(200, 1, EndpointStage::Left).name));
+    assert_eq!(registry.deregister(Moment(2), &identity), Some(started(200, 1, EndpointStage::Left).name));
     assert_eq!(registry.newest(&identity).map(|record| record.stage), Some(EndpointStage::Left));
 }
 
