--- a/crates/micaspool-dispatcher/src/daemon.rs
+++ b/crates/micaspool-dispatcher/src/daemon.rs
@@ -92,13 +92,15 @@
     };
     let host = Arc::new(ShardHost::new(options, Arc::new(TreeSource(mirror.clone()))));
     let stopping = Arc::new(AtomicBool::new(false));
-    let wire = serve_wire(settings.wire, &host, &stopping, &routers).await?;
+    let wire = serve_wire(settings.wire_address, &host, &stopping, &routers).await?;
     let source = Arc::new(DispatcherStatusSource::new(
         host.clone(),
         mirror,
         DispatcherCounters { keepers, routers, remote },
     ));
-    let status = serve_status(settings.status, source).await.map_err(StartError::bind(settings.status))?;
+    let status = serve_status(settings.status_address, source)
+        .await
+        .map_err(StartError::bind(settings.status_address))?;
     Ok(DispatcherDaemon { wire, status, host, stopping })
 }
 
--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -210,8 +210,8 @@
     let configured = settings.keepers.iter().map(|keeper| keeper.name.clone()).collect();
     let directory = Arc::new(ListedPeers(settings.keepers.clone()));
     let options = KeeperOptions::builder(settings.instance.clone(), configured, directory)
-        .wire(settings.wire)
-        .status(settings.status)
+        .wire(settings.wire_address)
+        .status(settings.status_address)
         .data_folder(settings.data_folder.clone())
         .spans(open_spans(settings)?)
         .build();
--- a/crates/micaspool-router/src/daemon.rs
+++ b/crates/micaspool-router/src/daemon.rs
@@ -85,16 +85,17 @@
         spans: open_spans(settings)?,
     };
     let router = RequestRouter::new(parts, metrics.clone());
-    let failed = StartError::bind(settings.callers);
-    let listener = TcpListener::bind(settings.callers).await.map_err(&failed)?;
+    let failed = StartError::bind(settings.callers_address);
+    let listener = TcpListener::bind(settings.callers_address).await.map_err(&failed)?;
     let callers = listener.local_addr().map_err(&failed)?;
     let server = HttpServer::new(Arc::new(router.clone()), ServerOptions::default());
     let serving = server.clone();
     task::spawn(async move { serving.serve(listener).await });
     let source =
         RouterStatusSource { mirror: mirror.clone(), router: router.clone(), registry, traffic, metrics };
-    let status =
-        serve_status(settings.status, Arc::new(source)).await.map_err(StartError::bind(settings.status))?;
+    let status = serve_status(settings.status_address, Arc::new(source))
+        .await
+        .map_err(StartError::bind(settings.status_address))?;
     Ok(RouterDaemon { callers, status, server, router, mirror })
 }
 
--- a/crates/micaspool-settings/src/process.rs
+++ b/crates/micaspool-settings/src/process.rs
@@ -59,11 +59,11 @@
     /// The region of the instance.
     pub region: RegionName,
     /// The address on which a router listens for callers.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// The address on which a dispatcher or keeper listens for other processes.
-    pub wire: SocketAddr,
+    pub wire_address: SocketAddr,
     /// The address on which metrics and health are served.
-    pub status: SocketAddr,
+    pub status_address: SocketAddr,
     /// The directory of a keeper's files.
     pub data_folder: PathBuf,
     /// All keepers, including this process if it is one.
@@ -139,9 +139,9 @@
         instance: instance?,
         hall: hall?,
         region: region?,
-        callers: callers?,
-        wire: wire?,
-        status: status?,
+        callers_address: callers?,
+        wire_address: wire?,
+        status_address: status?,
         data_folder: data_folder.unwrap_or_default(),
         keepers: keepers?,
         dispatchers: dispatchers?,
--- a/crates/micaspool/src/fleet.rs
+++ b/crates/micaspool/src/fleet.rs
@@ -94,9 +94,9 @@
         instance: instance_name(number),
         hall: halls[number].0.clone(),
         region: halls[number].1.clone(),
-        callers: address(ROUTER_PORT, number),
-        wire: address(DISPATCHER_PORT, number),
-        status: address(STATUS_PORT, number),
+        callers_address: address(ROUTER_PORT, number),
+        wire_address: address(DISPATCHER_PORT, number),
+        status_address: address(STATUS_PORT, number),
         data_folder: options.data_folder.join(format!("keeper-{}", number + 1)),
         keepers: peers(KEEPER_PORT),
         dispatchers: peers(DISPATCHER_PORT),
@@ -151,14 +151,14 @@
 
     async fn start_instance(&mut self, settings: &ProcessSettings) -> Result<(), Error> {
         let incarnation = Incarnation(rand::random());
-        let any_status = SocketAddr::new(settings.status.ip(), 0);
+        let any_status = SocketAddr::new(settings.status_address.ip(), 0);
         let keeper_address = settings.keepers.iter().find(|keeper| keeper.name == settings.instance);
         let keeper = ProcessSettings {
-            wire: keeper_address.expect("an instance lists itself").address,
-            status: any_status,
+            wire_address: keeper_address.expect("an instance lists itself").address,
+            status_address: any_status,
             ..settings.clone()
         };
-        let dispatcher = ProcessSettings { status: any_status, ..settings.clone() };
+        let dispatcher = ProcessSettings { status_address: any_status, ..settings.clone() };
         let failed = |error: &dyn fmt::Display| Error::Start(error.to_string());
         self.keepers.push(run_keeper(&keeper).await.map_err(|error| failed(&error))?);
         self.dispatchers
