--- a/crates/micaspool-ledger/src/state.rs
+++ b/crates/micaspool-ledger/src/state.rs
@@ -107,7 +107,7 @@
     }
 
     /// Returns the number of arrivals that were released before their claims came in.
-    pub fn released(&self) -> usize {
+    pub fn early_release_count(&self) -> usize {
         self.released.len()
     }
 
--- a/crates/micaspool-ledger/tests/state.rs
+++ b/crates/micaspool-ledger/tests/state.rs
@@ -153,7 +153,7 @@
     ledger.finish(&finish("k", 1, FinishKind::Released, 0));
     let later = options.running_limit.as_millis() as u64 + 1;
     assert_eq!(ledger.claim(&claim("other", 9, later)), ClaimVerdict::Granted);
-    assert_eq!(ledger.released(), 0);
+    assert_eq!(ledger.early_release_count(), 0);
 }
 
 #[test]
@@ -162,5 +162,5 @@
     for token in 0..100 {
         ledger.finish(&finish("k", token, FinishKind::Released, token));
     }
-    assert_eq!(ledger.released(), 10);
+    assert_eq!(ledger.early_release_count(), 10);
 }
