--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -93,7 +93,7 @@
     ) -> Result<u64, OrderError> {
         // The latest order known on arrival of this one. However long this order is delayed, it then
         // cannot revert an order that was given after it.
-        let known = self.mirror.hall_orders().newest();
+        let known = self.mirror.hall_orders().newest_number();
         let hall = self.known_hall(hall)?;
         self.refresh_keepers();
         let request = v1::OrderHallRequest {
--- a/crates/micaspool-halls/src/orders.rs
+++ b/crates/micaspool-halls/src/orders.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the number of the newest order about any hall, or zero before the first.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_number(&self) -> u64 {
         self.newest
     }
 
--- a/crates/micaspool-halls/tests/orders.rs
+++ b/crates/micaspool-halls/tests/orders.rs
@@ -21,14 +21,14 @@
     assert_eq!(orders.accept(&order("a", Evacuated, 0)), OrderVerdict::InForce(1));
     assert_eq!(orders.accept(&order("a", Evacuated, 0)), OrderVerdict::InForce(1), "sent again");
     assert!(orders.is_evacuated(&hall("a")) && !orders.is_evacuated(&hall("b")));
-    assert_eq!((orders.newest(), orders.evacuated_count()), (1, 1));
+    assert_eq!((orders.newest_number(), orders.evacuated_count()), (1, 1));
 }
 
 #[test]
 fn returning_a_hall_that_was_never_evacuated_changes_nothing() {
     let mut orders = HallOrders::default();
     assert_eq!(orders.accept(&order("a", Open, 0)), OrderVerdict::InForce(0));
-    assert_eq!(orders.newest(), 0);
+    assert_eq!(orders.newest_number(), 0);
 }
 
 /// An order is delayed at one keeper, while its sender resends it and then orders the opposite.
@@ -39,7 +39,7 @@
     if first == Open {
         orders.accept(&order("a", Evacuated, 0));
     }
-    let known = orders.newest();
+    let known = orders.newest_number();
     let delayed = order("a", first, known);
     assert_eq!(orders.accept(&order("a", first, known)), OrderVerdict::InForce(known + 1));
     assert_eq!(orders.accept(&order("a", then, known + 1)), OrderVerdict::InForce(known + 2));
@@ -59,7 +59,7 @@
 fn orders_about_too_many_halls_are_rejected() {
     let mut orders = HallOrders::default();
     for number in 0..MAX_HALLS {
-        orders.accept(&order(&format!("h{number}"), Evacuated, orders.newest()));
+        orders.accept(&order(&format!("h{number}"), Evacuated, orders.newest_number()));
     }
     assert_eq!(orders.accept(&order("one-more", Evacuated, 99)), OrderVerdict::TooManyHalls);
     assert_eq!(orders.accept(&order("h3", Open, 99)), OrderVerdict::InForce(MAX_HALLS as u64 + 1));
--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -347,7 +347,7 @@
         }
         let settings_changed = view.settings.revision() != self.state.settings.revision();
         let plan_changed = view.plan.number != self.state.plan.number;
-        let halls_changed = view.halls.newest() != self.state.halls.newest();
+        let halls_changed = view.halls.newest_number() != self.state.halls.newest_number();
         let has_news = settings_changed
             || plan_changed
             || halls_changed
--- a/crates/micaspool-keeper/src/follow.rs
+++ b/crates/micaspool-keeper/src/follow.rs
@@ -33,7 +33,7 @@
     /// The number of the latest route plan.
     number: u64,
     /// The number of the latest hall order.
-    hall_order: u64,
+    hall_order_number: u64,
     /// The endpoint records that have been sent.
     cursor: HubCursor,
     /// When the records of unchanged endpoints are due again.
@@ -53,8 +53,13 @@
     let changes = view.lock().expect("no holder of the view panics").subscribe();
     let records = hub.subscribe();
     let cursor = HubCursor::default();
-    let mut state =
-        FollowerState { number, hall_order: 0, cursor, refresh_due: BootInstant::now(), keepers: Vec::new() };
+    let mut state = FollowerState {
+        number,
+        hall_order_number: 0,
+        cursor,
+        refresh_due: BootInstant::now(),
+        keepers: Vec::new(),
+    };
     loop {
         let (news, stopped) = state.next_news(&view, &hub);
         let has_endpoints = !news.endpoints.is_empty();
@@ -85,8 +90,8 @@
             news.plan =
                 Some(v1::PlanDocument { number: view.plan.number, document: view.plan.text.to_string() });
         }
-        if view.halls.newest() > self.hall_order {
-            self.hall_order = view.halls.newest();
+        if view.halls.newest_number() > self.hall_order_number {
+            self.hall_order_number = view.halls.newest_number();
             news.halls = hall_messages(&view.halls);
         }
         let members = view.status.membership.members.iter();
--- a/crates/micaspool-keeper/src/service.rs
+++ b/crates/micaspool-keeper/src/service.rs
@@ -253,7 +253,11 @@
         let reply = match self.submit(EngineInput::Barrier).await? {
             Ok(_) => {
                 let orders = self.view().halls.clone();
-                v1::HallsReply { halls: hall_messages(&orders), newest: orders.newest(), not_leader: None }
+                v1::HallsReply {
+                    halls: hall_messages(&orders),
+                    newest: orders.newest_number(),
+                    not_leader: None,
+                }
             }
             Err(error) => {
                 v1::HallsReply { not_leader: Some(self.not_leader(error)?), ..v1::HallsReply::default() }
