--- a/crates/micaspool-backpressure/src/header.rs
+++ b/crates/micaspool-backpressure/src/header.rs
@@ -9,30 +9,30 @@
 pub struct HeaderAdvice {
     /// The parsed advice.
     pub advice: EndpointAdvice,
-    /// Set if no `Retry-After` value could be parsed; `advice.rest` is zero then.
-    pub fault: Option<Error>,
+    /// The error if there are `Retry-After` values but none is valid; `advice.rest` is zero then.
+    pub error: Option<Error>,
 }
 
 impl HeaderAdvice {
     /// Builds the advice of a response from its `Retry-After` values and its leaving flag. `Retry-After` is ignored
-    /// unless the response turns its request away.
+    /// unless the response rejects its request.
     pub fn parse<'a>(
-        turns_away: bool,
+        is_rejection: bool,
         retry_after: impl IntoIterator<Item = &'a str>,
         leaving: bool,
     ) -> HeaderAdvice {
-        let mut values = retry_after.into_iter().filter(|_| turns_away).peekable();
+        let mut values = retry_after.into_iter().filter(|_| is_rejection).peekable();
         if values.peek().is_none() {
             return HeaderAdvice {
                 advice: EndpointAdvice { leaving, ..EndpointAdvice::default() },
-                fault: None,
+                error: None,
             };
         }
         match parse_retry_after(values, SystemTime::now()) {
-            Ok(rest) => HeaderAdvice { advice: EndpointAdvice { rest, leaving }, fault: None },
-            Err(error) => HeaderAdvice {
+            Ok(rest) => HeaderAdvice { advice: EndpointAdvice { rest, leaving }, error: None },
+            Err(parse_error) => HeaderAdvice {
                 advice: EndpointAdvice { leaving, ..EndpointAdvice::default() },
-                fault: Some(error),
+                error: Some(parse_error),
             },
         }
     }
--- a/crates/micaspool-client/src/fleet/halls.rs
+++ b/crates/micaspool-client/src/fleet/halls.rs
@@ -1,7 +1,7 @@
 //! The orders about data halls known to this process.
 
 use micaspool_clock::BootInstant;
-use micaspool_halls::{HallOrder, HallOrders, HallUse};
+use micaspool_halls::{HallOrder, HallOrders, HallState};
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_types::{HallName, InstanceName};
 use std::collections::BTreeMap;
@@ -30,8 +30,8 @@
         }
         record(&events::HALL_USE_CHANGED, &fields);
         match wanted {
-            HallUse::Open => self.reopened_at.insert(hall, BootInstant::now()),
-            HallUse::Evacuated => self.reopened_at.remove(&hall),
+            HallState::Open => self.reopened_at.insert(hall, BootInstant::now()),
+            HallState::Evacuated => self.reopened_at.remove(&hall),
         };
         true
     }
--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -134,8 +134,8 @@
     }
 
     /// Sets whether this keeper may form the first group. Otherwise it can only join an existing one.
-    pub fn may_form(mut self, allowed: bool) -> Self {
-        self.options.quorum.may_form = allowed;
+    pub fn may_form_group(mut self, allowed: bool) -> Self {
+        self.options.quorum.may_form_group = allowed;
         self
     }
 
@@ -210,8 +210,8 @@
     let configured = settings.keepers.iter().map(|keeper| keeper.name.clone()).collect();
     let directory = Arc::new(StaticDirectory(settings.keepers.clone()));
     let options = KeeperOptions::builder(settings.instance.clone(), configured, directory)
-        .wire(settings.wire)
-        .status(settings.status)
+        .wire(settings.wire_address)
+        .status(settings.status_address)
         .data_folder(settings.data_folder.clone())
         .spans(open_spans(settings)?)
         .build();
--- a/crates/micaspool-keeper/src/engine.rs
+++ b/crates/micaspool-keeper/src/engine.rs
@@ -145,6 +145,7 @@
     core: QuorumCore,
     files: KeeperFiles,
     state: KeeperState,
+    /// The last entry that `state` includes.
     applied: LogIndex,
     /// The size of the commands applied since the last compaction, in bytes.
     command_bytes: usize,
@@ -298,13 +299,13 @@
                 self.command_bytes += bytes.len();
                 match postcard::from_bytes(bytes) {
                     Ok(command) => self.state.apply(&command),
-                    Err(_) => KeeperReply::Passed,
+                    Err(_) => KeeperReply::Empty,
                 }
             }
-            EntryPayload::Blank => KeeperReply::Passed,
+            EntryPayload::Blank => KeeperReply::Empty,
             EntryPayload::Members(membership) => {
                 record(&events::GROUP_CHANGED, &[field("voters", membership.voters().count())]);
-                KeeperReply::Passed
+                KeeperReply::Empty
             }
         };
         if let Some(waiter) = self.pending_replies.remove(&(entry.index, entry.term)) {
@@ -346,7 +347,7 @@
         }
         let settings_changed = view.settings.revision() != self.state.settings.revision();
         let plan_changed = view.plan.number != self.state.plan.number;
-        let halls_changed = view.halls.newest() != self.state.halls.newest();
+        let halls_changed = view.halls.newest_number() != self.state.halls.newest_number();
         let has_news = settings_changed
             || plan_changed
             || halls_changed
--- a/crates/micaspool-store/src/files.rs
+++ b/crates/micaspool-store/src/files.rs
@@ -47,11 +47,15 @@
     folder: PathBuf,
     options: StoreOptions,
     log: File,
+    /// Encoded records that are written to the log next.
     buffer: Vec<u8>,
     /// The entries after the snapshot, kept for rewriting the log.
     entries: Vec<LogEntry>,
+    /// The latest term and vote, kept for rewriting the log.
     hard: HardState,
+    /// Whether the last write failed. Only a successful [`KeeperFiles::rewrite_log`] resets it.
     failed: bool,
+    /// The number of syncs since the files were opened.
     syncs: u64,
 }
 
@@ -95,7 +99,7 @@
     }
 
     /// Replaces the log by a new file with the same content and syncs it.
-    pub fn rewrite(&mut self) -> Result<(), Error> {
+    pub fn rewrite_log(&mut self) -> Result<(), Error> {
         let result = self.replace_log();
         self.failed = result.is_err();
         result
--- a/crates/micaspool/src/cli/settings.rs
+++ b/crates/micaspool/src/cli/settings.rs
@@ -193,7 +193,7 @@
     };
     for value in values.ok_or_else(unknown_path)? {
         let text = value.value.map_or_else(|| "(default)".to_owned(), |value| value.to_string());
-        println!("{:<20} {text:<24} from {}", value.field, value.level);
+        println!("{:<20} {text:<24} from {}", value.field, value.layer);
     }
     Ok(())
 }
--- a/crates/micaspool/src/fleet.rs
+++ b/crates/micaspool/src/fleet.rs
@@ -97,9 +97,9 @@
         instance: instance_name(number),
         hall: halls[number].0.clone(),
         region: halls[number].1.clone(),
-        callers: address(ROUTER_PORT_OFFSET, number),
-        wire: address(DISPATCHER_PORT_OFFSET, number),
-        status: address(STATUS_PORT_OFFSET, number),
+        callers_address: address(ROUTER_PORT_OFFSET, number),
+        wire_address: address(DISPATCHER_PORT_OFFSET, number),
+        status_address: address(STATUS_PORT_OFFSET, number),
         data_folder: options.data_folder.join(format!("keeper-{}", number + 1)),
         keepers: peers(KEEPER_PORT_OFFSET),
         dispatchers: peers(DISPATCHER_PORT_OFFSET),
@@ -155,14 +155,14 @@
 
     async fn start_instance(&mut self, settings: &ProcessSettings) -> Result<(), Error> {
         let incarnation = Incarnation(rand::random());
-        let ephemeral_status = SocketAddr::new(settings.status.ip(), 0);
+        let ephemeral_status = SocketAddr::new(settings.status_address.ip(), 0);
         let keeper_address = settings.keepers.iter().find(|keeper| keeper.name == settings.instance);
         let keeper = ProcessSettings {
-            wire: keeper_address.expect("an instance lists itself").address,
-            status: ephemeral_status,
+            wire_address: keeper_address.expect("an instance lists itself").address,
+            status_address: ephemeral_status,
             ..settings.clone()
         };
-        let dispatcher = ProcessSettings { status: ephemeral_status, ..settings.clone() };
+        let dispatcher = ProcessSettings { status_address: ephemeral_status, ..settings.clone() };
         let start_error = |error: &dyn fmt::Display| Error::Start(error.to_string());
         self.keepers.push(run_keeper(&keeper).await.map_err(|error| start_error(&error))?);
         self.dispatchers
