--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the record of the newest start of an endpoint. `identity` is the name that all its starts share.
-    pub fn newest_start(&self, identity: &EndpointName) -> Option<EndpointRecord> {
+    pub fn newest_incarnation(&self, identity: &EndpointName) -> Option<EndpointRecord> {
         self.lock().registry.newest(identity).cloned()
     }
 
--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -178,7 +178,7 @@
         if self.hub.leave(identity) {
             return;
         }
-        match self.mirror.newest_start(identity) {
+        match self.mirror.newest_incarnation(identity) {
             Some(known) => {
                 self.hub.register(EndpointRecord { stage: EndpointStage::Left, ..known });
             }
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -325,7 +325,7 @@
         let _ = inputs.send(ShardInput::Event(ShardEvent::Unreachable(endpoint))).await;
         return;
     };
-    if !probed.matches_start(&answer) {
+    if !probed.matches_incarnation(&answer) {
         record(&events::REPORT_MISMATCH, &[field("endpoint", &endpoint), field("address", probed.address)]);
         return;
     }
--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -53,7 +53,7 @@
 impl ProbedEndpoint {
     /// Returns false if the answer reports a different incarnation. An endpoint that was started later may listen at
     /// the same address, and its report says nothing about this one.
-    pub fn matches_start(&self, answer: &ProbeAnswer) -> bool {
+    pub fn matches_incarnation(&self, answer: &ProbeAnswer) -> bool {
         match (self.start, answer.start) {
             (Some(expected), Some(reported)) => expected == reported,
             _ => true,
