--- a/crates/micaspool-dispatcher/src/closures.rs
+++ b/crates/micaspool-dispatcher/src/closures.rs
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Returns for how long the longest closed endpoint has been closed, without those that the settings close.
+    /// Returns for how long the longest closed endpoint has been closed. Endpoints closed by the settings do not count.
     pub fn longest_closure(&self, now: BootInstant) -> Duration {
-        let configured = self.closed.values().filter(|closed| closed.cause != EndpointClosure::Settings);
-        configured.map(|closed| now.saturating_duration_since(closed.since)).max().unwrap_or_default()
+        let not_by_settings = self.closed.values().filter(|closed| closed.cause != EndpointClosure::Settings);
+        not_by_settings.map(|closed| now.saturating_duration_since(closed.since)).max().unwrap_or_default()
     }
 
     fn log_change(&self, now: BootInstant, endpoint: &EndpointStatus, before: Option<ClosedEndpoint>) {
--- a/crates/micaspool-dispatcher/src/daemon.rs
+++ b/crates/micaspool-dispatcher/src/daemon.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// The list of a deployment that has none.
+/// Stands in for the platform's list in a deployment without one.
 struct NoInstanceList;
 
 #[async_trait]
--- a/crates/micaspool-dispatcher/src/driver.rs
+++ b/crates/micaspool-dispatcher/src/driver.rs
@@ -309,7 +309,8 @@
     });
 }
 
-/// Probes one endpoint and sends the shard its load report. A report of another start at the same address is discarded.
+/// Probes one endpoint and sends the shard its load report. A report of another incarnation at the same address is
+/// discarded.
 async fn probe_endpoint(
     clock: ShardClock,
     options: HostOptions,
--- a/crates/micaspool-dispatcher/src/fleet.rs
+++ b/crates/micaspool-dispatcher/src/fleet.rs
@@ -39,7 +39,7 @@
 const RECOVERY_WINDOW: Duration = Duration::from_millis(300);
 
 /// How many requests in a row may break at an endpoint before it is paused. An endpoint that loses every twentieth
-/// answer breaks three in a row once in 8,000 requests; one that has ended breaks them at once.
+/// answer breaks three in a row once in 8,000 requests; one that has crashed breaks them at once.
 const TOLERATED_BREAKS: u32 = 2;
 /// The share of an engine's prefill budget that a dispatcher inside a router uses until load reports show who else
 /// uses the engine, in percent.
@@ -98,7 +98,7 @@
     }
 }
 
-/// The list of a fleet without one; endpoints announce themselves that they leave.
+/// Stands in for the platform's list in a fleet without one, where endpoints announce themselves that they are leaving.
 struct NoInstanceList;
 
 #[async_trait]
--- a/crates/micaspool-dispatcher/src/host.rs
+++ b/crates/micaspool-dispatcher/src/host.rs
@@ -24,9 +24,9 @@
     pub incarnation: Incarnation,
     /// The region of this dispatcher.
     pub region: RegionName,
-    /// Dispatchers of other regions.
+    /// The dispatchers of other regions.
     pub remote: Vec<PeerAddress>,
-    /// Counts the bytes exchanged with them.
+    /// Counts the bytes exchanged with the dispatchers of other regions.
     pub remote_counter: TrafficCounter,
     /// Records spans.
     pub spans: SpanSink,
--- a/crates/micaspool-dispatcher/src/objectives.rs
+++ b/crates/micaspool-dispatcher/src/objectives.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// Returns the objective in milliseconds, rounded up to two significant digits. Routers send the rest of an
-/// objective, which is some milliseconds less than the whole.
+/// Returns the objective in milliseconds, rounded up to two significant digits. Routers send how much of an
+/// objective remains, which is some milliseconds less than the whole.
 fn rounded_millis(objective: Duration) -> u64 {
     let millis = u64::try_from(objective.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX);
     let mut step = 1;
--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -18,7 +18,7 @@
 /// A load report of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ProbeAnswer {
-    /// The incarnation that it reports, which identifies its start; `None` if it reports none.
+    /// The incarnation that it reports; `None` if it reports none.
     #[serde(default)]
     pub start: Option<Incarnation>,
     /// The number of running requests.
--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -20,7 +20,7 @@
     running: Family<ShardLabels, Gauge>,
     open_slots: Family<ShardLabels, Gauge>,
     gap: Family<ShardLabels, Gauge>,
-    slowest_pace: Family<ShardLabels, Gauge>,
+    slowest_prefill_rate: Family<ShardLabels, Gauge>,
     suspected: Family<ShardLabels, Gauge>,
     quarantined: Family<ShardLabels, Gauge>,
     /// The revision of the settings or the number of the plan in force.
@@ -36,8 +36,12 @@
         registry.register("micaspool_open_slots", "Slots that may take work", gauges.open_slots.clone());
         let gap_help = "Difference of service levels of waiting customers, in cost at weight 1";
         registry.register("micaspool_fairness_gap", gap_help, gauges.gap.clone());
-        let pace_help = "Slowest learnt reading pace of an engine, in tokens a second";
-        registry.register("micaspool_slowest_engine_pace", pace_help, gauges.slowest_pace.clone());
+        let prefill_rate_help = "Slowest learnt reading pace of an engine, in tokens a second";
+        registry.register(
+            "micaspool_slowest_engine_pace",
+            prefill_rate_help,
+            gauges.slowest_prefill_rate.clone(),
+        );
         let suspected_help =
             "Requests that run apart since several endpoints ended under them, or are shut out";
         registry.register("micaspool_suspected_requests", suspected_help, gauges.suspected.clone());
@@ -58,13 +62,15 @@
             self.suspected.get_or_create(&labels).set(status.suspects.len() as i64);
             self.quarantined.get_or_create(&labels).set(quarantined(&status) as i64);
             self.gap.get_or_create(&labels).set(level_gap(&status) as i64);
-            self.slowest_pace.get_or_create(&labels).set((slowest_pace(&status) * 1_000.0) as i64);
+            self.slowest_prefill_rate
+                .get_or_create(&labels)
+                .set((slowest_prefill_rate(&status) * 1_000.0) as i64);
         }
     }
 }
 
 /// Encodes the learnt prefill rate of an engine as JSON; the age is null while the rate is assumed.
-fn pace_json(pace: PrefillStatus) -> serde_json::Value {
+fn prefill_json(pace: PrefillStatus) -> serde_json::Value {
     json!({
         "tokens_per_ms": pace.tokens_per_milli,
         "latency_ms": pace.latency.as_secs_f64() * 1_000.0,
@@ -96,7 +102,7 @@
 }
 
 /// Returns the lowest learnt prefill rate of a shard's engines in tokens per millisecond, or zero if none is learnt.
-fn slowest_pace(status: &ShardStatus) -> f64 {
+fn slowest_prefill_rate(status: &ShardStatus) -> f64 {
     let learnt = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
     let learnt = learnt.filter(|pace| pace.age.is_some()).map(|pace| pace.tokens_per_milli);
     learnt.reduce(f64::min).unwrap_or(0.0)
@@ -131,7 +137,7 @@
                 "failures": endpoint.failures,
                 "cold_ms": endpoint.cold.as_millis() as u64,
                 "rests_for_routers": endpoint.resting_routers,
-                "pace": endpoint.pace.map(pace_json),
+                "pace": endpoint.pace.map(prefill_json),
             })
         });
         json!({
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -148,7 +148,7 @@
         fields.extend(endpoint_fields(status));
         fields.extend(self.constraints.take_fields());
         fields.push(field("longest_closed_ms", self.closures.longest_closure(now).as_millis()));
-        fields.extend(pace_fields(status));
+        fields.extend(prefill_fields(status));
         record(&events::SHARD_DECIDED, &fields);
     }
 }
@@ -184,16 +184,16 @@
 }
 
 /// Returns the number of learnt prefill rates, their extremes and the mean latency.
-fn pace_fields(status: &ShardStatus) -> Vec<EventField> {
-    let paces = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
-    let observed: Vec<PrefillStatus> = paces.filter(|pace| pace.age.is_some()).collect();
-    let speeds = || observed.iter().map(|pace| pace.tokens_per_milli);
+fn prefill_fields(status: &ShardStatus) -> Vec<EventField> {
+    let statuses = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
+    let observed: Vec<PrefillStatus> = statuses.filter(|pace| pace.age.is_some()).collect();
+    let rates = || observed.iter().map(|pace| pace.tokens_per_milli);
     let latencies: Duration = observed.iter().map(|pace| pace.latency).sum();
     let engines = u32::try_from(observed.len()).unwrap_or(u32::MAX).max(1);
     vec![
         field("paces_learnt", observed.len()),
-        field("slowest_tokens_per_ms", format!("{:.1}", speeds().reduce(f64::min).unwrap_or(0.0))),
-        field("fastest_tokens_per_ms", format!("{:.1}", speeds().reduce(f64::max).unwrap_or(0.0))),
+        field("slowest_tokens_per_ms", format!("{:.1}", rates().reduce(f64::min).unwrap_or(0.0))),
+        field("fastest_tokens_per_ms", format!("{:.1}", rates().reduce(f64::max).unwrap_or(0.0))),
         field("mean_latency_ms", (latencies / engines).as_millis()),
     ]
 }
