--- a/crates/micaspool-client/src/fleet.rs
+++ b/crates/micaspool-client/src/fleet.rs
@@ -110,12 +110,13 @@
         self.lock().plan.number > 0
     }
 
-    /// Returns the record of the newest start of an endpoint. `identity` is the name that all its starts share.
+    /// Returns the record of the newest incarnation of an endpoint. `identity` is the name that all its incarnations
+    /// share.
     pub fn newest_incarnation(&self, identity: &EndpointName) -> Option<EndpointRecord> {
         self.lock().registry.newest(identity).cloned()
     }
 
-    /// Returns the newest record of one start of an endpoint.
+    /// Returns the newest record of one incarnation of an endpoint.
     pub fn endpoint(&self, name: &EndpointName) -> Option<EndpointRecord> {
         self.lock().registry.get(name).cloned()
     }
