--- a/crates/micaspool-telemetry/src/events.rs
+++ b/crates/micaspool-telemetry/src/events.rs
@@ -45,13 +45,13 @@
 pub const PROCESS_DRAINING: EventKind = kind("MP1002", Level::Info, "process draining");
 /// A process has stopped.
 pub const PROCESS_STOPPED: EventKind = kind("MP1003", Level::Info, "process stopped");
-/// The machine was suspended. Leases and expiry times went on meanwhile.
+/// The machine was suspended. Leases and expiry times continued to elapse.
 pub const MACHINE_SUSPENDED: EventKind = kind("MP1004", Level::Warn, "machine was suspended");
-/// The system has no clock that counts while the machine is suspended, so that leases stand still meanwhile.
+/// The system has no clock that counts while the machine is suspended, so leases do not elapse during a suspension.
 pub const SUSPENSION_UNDETECTABLE: EventKind = kind("MP1005", Level::Warn, "suspensions can't be detected");
 /// Newer settings are in force.
 pub const SETTINGS_IN_FORCE: EventKind = kind("MP1101", Level::Info, "settings in force");
-/// No keeper answers the settings watch.
+/// The watched keeper is unreachable or has no majority, so the settings are not confirmed.
 pub const SETTINGS_DISCONNECTED: EventKind =
     kind("MP1102", Level::Warn, "no keeper reachable, settings may be outdated");
 /// A settings update has faults and was not applied.
@@ -91,18 +91,18 @@
 pub const ENDPOINT_OPENED: EventKind = kind("MP1309", Level::Info, "endpoint opened");
 /// Periodic counts of what a shard granted and refused, for requests with about the same latency objective.
 pub const OBJECTIVE_DECIDED: EventKind = kind("MP1310", Level::Info, "decisions by objective");
-/// An endpoint seems to have ended while it ran a request. From now on the request may run only once at a time.
+/// An endpoint appears to have crashed while it ran a request. From now on the request may run only once at a time.
 pub const REQUEST_SUSPECTED: EventKind = kind("MP1311", Level::Info, "endpoint ended while running request");
-/// A request is quarantined because several endpoints ended while they ran it.
+/// A request is quarantined because several endpoints crashed while they ran it.
 pub const REQUEST_QUARANTINED: EventKind = kind("MP1312", Level::Warn, "request quarantined");
-/// Fewer endpoint failures than before count against a request, or none.
+/// Fewer endpoint crashes than before count against a request, or none.
 pub const REQUEST_CLEARED: EventKind = kind("MP1313", Level::Info, "request cleared");
 /// More requests changed their standing than are logged in an interval.
 pub const STANDINGS_SUPPRESSED: EventKind =
     kind("MP1314", Level::Info, "changes of request standing not logged");
 /// An operator lifted the quarantine or suspicion of a request.
 pub const QUARANTINE_LIFTED: EventKind = kind("MP1315", Level::Info, "quarantine lifted by operator");
-/// A load report came from another start of the endpoint than the one that was probed, and was not used.
+/// A load report came from another incarnation of the endpoint than the one that was probed, and was not used.
 pub const REPORT_MISMATCH: EventKind =
     kind("MP1316", Level::Info, "load report from another start of the endpoint");
 /// Periodic counts of what a shard granted and refused to a customer, and how far the level of the customer is below
@@ -147,11 +147,11 @@
     kind("MP1415", Level::Warn, "data hall order not confirmed by a majority");
 /// An endpoint has registered, or announced that it is draining or leaving.
 pub const ENDPOINT_STAGE: EventKind = kind("MP1501", Level::Info, "endpoint changed its stage");
-/// An endpoint was restarted. Requests, caches and failures of the earlier start no longer count.
+/// An endpoint was restarted. Requests, caches and failures of the earlier incarnation no longer count.
 pub const ENDPOINT_RESTARTED: EventKind = kind("MP1509", Level::Info, "endpoint restarted");
 /// An endpoint's heartbeat is invalid and was ignored.
 pub const HEARTBEAT_REFUSED: EventKind = kind("MP1510", Level::Warn, "heartbeat ignored");
-/// By an operator's order, this process stops sending into a data hall, or starts again.
+/// An operator's order took effect in this process: it stops sending requests to a data hall, or resumes.
 pub const HALL_USE_CHANGED: EventKind = kind("MP1511", Level::Info, "use of data hall changed");
 /// An endpoint is cold: it can take only a few requests for a while.
 pub const ENDPOINT_COLD: EventKind = kind("MP1512", Level::Info, "endpoint is cold");
@@ -161,7 +161,7 @@
 pub const PLAN_IN_FORCE: EventKind = kind("MP1503", Level::Info, "route plan in force");
 /// The route plan that the keepers hold cannot be read by this process.
 pub const PLAN_UNUSABLE: EventKind = kind("MP1504", Level::Error, "route plan not usable");
-/// The process receives updates from a keeper.
+/// The process receives updates from a keeper, or the keeper gained or lost contact with a majority.
 pub const KEEPER_FOLLOWED: EventKind = kind("MP1505", Level::Info, "keeper connected");
 /// A keeper is unreachable, silent, or has no known address.
 pub const KEEPER_LOST: EventKind = kind("MP1506", Level::Warn, "keeper lost");
@@ -199,7 +199,7 @@
 pub const REST_ENDED: EventKind = kind("MP1612", Level::Info, "endpoint rest ended");
 /// An endpoint announced in an answer that it is leaving. This process sends nothing more to it.
 pub const ENDPOINT_LEAVING: EventKind = kind("MP1613", Level::Info, "endpoint announced that it is leaving");
-/// An endpoint's advice on when to come back cannot be parsed.
+/// The time in an endpoint's advice to send nothing for a while cannot be parsed.
 pub const ADVICE_UNREADABLE: EventKind = kind("MP1614", Level::Warn, "endpoint advice not readable");
 
 /// All events.
