--- a/crates/micaspool-wire/src/convert/advice.rs
+++ b/crates/micaspool-wire/src/convert/advice.rs
@@ -1,4 +1,4 @@
-//! Conversions of the back-off advice from endpoints that routers report to dispatchers.
+//! Conversions of the advice that endpoints give to routers and routers report to dispatchers.
 
 use super::{millis, Error};
 use crate::v1;
--- a/crates/micaspool-wire/src/convert/halls.rs
+++ b/crates/micaspool-wire/src/convert/halls.rs
@@ -5,7 +5,7 @@
 use micaspool_halls::{HallOrder, HallOrders, HallUse, OrderCommand, OrderVerdict};
 use micaspool_types::HallName;
 
-/// Decodes an order. The time in it is zero, because a keeper sets it later.
+/// Decodes an order. Its time is zero; the keeper sets it later.
 pub fn order_command(message: v1::OrderHallRequest) -> Result<OrderCommand, Error> {
     Ok(OrderCommand {
         hall: HallName::parse(&message.hall)?,
--- a/crates/micaspool-wire/src/convert/quarantine.rs
+++ b/crates/micaspool-wire/src/convert/quarantine.rs
@@ -1,4 +1,4 @@
-//! Conversions of crash records: the endpoints that ended while they ran a request.
+//! Conversions of crash records, which list the endpoints that crashed while they ran a request.
 
 use super::{digest_bytes, millis, request_digest, Error};
 use crate::v1;
