--- a/crates/micaspool-http/src/server/mod.rs
+++ b/crates/micaspool-http/src/server/mod.rs
@@ -73,7 +73,7 @@
 }
 
 impl CallerWatch {
-    /// A watch that never fires, for code that calls a handler without a connection.
+    /// Creates a watch whose [`CallerWatch::hung_up`] never completes, to call a handler without a connection.
     pub fn detached() -> CallerWatch {
         CallerWatch { stream: None }
     }
