--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -64,7 +64,7 @@
 /// A position in the sequence of an engine's cache changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheCursor {
-    /// Identifies the sequence; a cache that starts anew has a new epoch.
+    /// Identifies the sequence; a cache that was reset has a new epoch.
     pub epoch: u64,
     /// The number of the first change that is not known yet.
     pub next: u64,
--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -70,12 +70,12 @@
 }
 
 /// Encodes the learnt prefill rate of an engine as JSON; the age is null while the rate is assumed.
-fn prefill_json(pace: PrefillStatus) -> serde_json::Value {
+fn prefill_json(prefill: PrefillStatus) -> serde_json::Value {
     json!({
-        "tokens_per_ms": pace.tokens_per_milli,
-        "latency_ms": pace.latency.as_secs_f64() * 1_000.0,
-        "age_ms": pace.age.map(|age| age.as_millis() as u64),
-        "spread": pace.spread,
+        "tokens_per_ms": prefill.tokens_per_milli,
+        "latency_ms": prefill.latency.as_secs_f64() * 1_000.0,
+        "age_ms": prefill.age.map(|age| age.as_millis() as u64),
+        "spread": prefill.spread,
     })
 }
 
--- a/crates/micaspool-telemetry/src/logging.rs
+++ b/crates/micaspool-telemetry/src/logging.rs
@@ -16,7 +16,7 @@
     /// Standard error, written synchronously by the logging thread.
     #[default]
     Stderr,
-    /// Standard output, written by a thread of its own. Logging never blocks: lines that cannot be written fast
+    /// Standard output, written by a dedicated thread. Logging never blocks: lines that cannot be written fast
     /// enough are dropped and counted.
     Stdout,
     /// A file to append to.
--- a/crates/micaspool-telemetry/src/logging/queue.rs
+++ b/crates/micaspool-telemetry/src/logging/queue.rs
@@ -1,4 +1,4 @@
-//! Writes log lines to standard output from a thread of its own.
+//! Writes log lines to standard output from a dedicated thread.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/micaspool-wire/src/convert.rs
+++ b/crates/micaspool-wire/src/convert.rs
@@ -248,19 +248,19 @@
     })
 }
 
-/// Encodes the end of a grant. Outcomes that older processes do not know are sent as a known fate and a flag that
-/// older processes ignore.
+/// Encodes the outcome of a grant. An outcome that older processes do not know is sent as a [`v1::Fate`] that they know
+/// and a flag that they ignore.
 pub fn settle_message(request: RequestId, cost: Cost, outcome: GrantOutcome) -> v1::Settle {
     v1::Settle {
         request: request_bytes(request),
         cost: cost.0,
-        fate: fate_message(outcome).into(),
+        fate: outcome_message(outcome).into(),
         connection_ended: outcome == GrantOutcome::Severed,
         caller_left: outcome == GrantOutcome::Abandoned,
     }
 }
 
-fn fate_message(outcome: GrantOutcome) -> v1::Fate {
+fn outcome_message(outcome: GrantOutcome) -> v1::Fate {
     match outcome {
         GrantOutcome::Done | GrantOutcome::Abandoned => v1::Fate::Done,
         GrantOutcome::Refused => v1::Fate::Refused,
