--- a/crates/micaspool-dispatcher/src/probe.rs
+++ b/crates/micaspool-dispatcher/src/probe.rs
@@ -18,7 +18,7 @@
 /// A load report of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ProbeAnswer {
-    /// The incarnation that it reports, which identifies its start; `None` if it reports none.
+    /// The incarnation that it reports; `None` if it reports none.
     #[serde(default)]
     pub start: Option<Incarnation>,
     /// The number of running requests.
@@ -53,7 +53,7 @@
 impl ProbedEndpoint {
     /// Returns false if the answer reports a different incarnation. An endpoint that was started later may listen at
     /// the same address, and its report says nothing about this one.
-    pub fn matches_start(&self, answer: &ProbeAnswer) -> bool {
+    pub fn matches_incarnation(&self, answer: &ProbeAnswer) -> bool {
         match (self.start, answer.start) {
             (Some(expected), Some(reported)) => expected == reported,
             _ => true,
@@ -64,7 +64,7 @@
 /// A position in the sequence of an engine's cache changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheCursor {
-    /// Identifies the sequence; a cache that starts anew has a new epoch.
+    /// Identifies the sequence; a cache that was reset has a new epoch.
     pub epoch: u64,
     /// The number of the first change that is not known yet.
     pub next: u64,
