--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -103,7 +103,7 @@
 
 /// Returns the lowest learnt prefill rate of a shard's engines in tokens per millisecond, or zero if none is learnt.
 fn slowest_prefill_rate(status: &ShardStatus) -> f64 {
-    let learnt = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
+    let learnt = status.endpoints.iter().filter_map(|endpoint| endpoint.prefill);
     let learnt = learnt.filter(|pace| pace.age.is_some()).map(|pace| pace.tokens_per_milli);
     learnt.reduce(f64::min).unwrap_or(0.0)
 }
@@ -137,7 +137,7 @@
                 "failures": endpoint.failures,
                 "cold_ms": endpoint.cold.as_millis() as u64,
                 "rests_for_routers": endpoint.resting_routers,
-                "pace": endpoint.pace.map(prefill_json),
+                "pace": endpoint.prefill.map(prefill_json),
             })
         });
         json!({
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -185,7 +185,7 @@
 
 /// Returns the number of learnt prefill rates, their extremes and the mean latency.
 fn prefill_fields(status: &ShardStatus) -> Vec<EventField> {
-    let statuses = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
+    let statuses = status.endpoints.iter().filter_map(|endpoint| endpoint.prefill);
     let observed: Vec<PrefillStatus> = statuses.filter(|pace| pace.age.is_some()).collect();
     let rates = || observed.iter().map(|pace| pace.tokens_per_milli);
     let latencies: Duration = observed.iter().map(|pace| pace.latency).sum();
