--- a/crates/micaspool-client/src/directory.rs
+++ b/crates/micaspool-client/src/directory.rs
@@ -1,42 +1,42 @@
-//! Where the instances of the system listen for each other.
+//! Resolves the names of instances to addresses.
 
 use micaspool_settings::process::PeerAddress;
 use micaspool_types::InstanceName;
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
-/// Gives the address of an instance by its name.
+/// Resolves the name of an instance to its address.
 pub trait PeerDirectory: fmt::Debug + Send + Sync + 'static {
-    /// Where the instance listens for other processes; `None` when that can't be known.
+    /// Returns the address at which the instance listens for other processes, or `None` if it is unknown.
     fn address(&self, name: &InstanceName) -> Option<SocketAddr>;
 }
 
-/// Instances that the settings list.
+/// A directory of the instances listed in the settings.
 #[derive(Debug, Clone)]
-pub struct ListedPeers(pub Vec<PeerAddress>);
+pub struct StaticDirectory(pub Vec<PeerAddress>);
 
-impl PeerDirectory for ListedPeers {
+impl PeerDirectory for StaticDirectory {
     fn address(&self, name: &InstanceName) -> Option<SocketAddr> {
         self.0.iter().find(|peer| peer.name == *name).map(|peer| peer.address)
     }
 }
 
-/// Instances that are named by their IP address and all listen on the same port, in a fleet without
-/// a list of its members.
+/// A directory of instances that are named by their IP address and listen on the same port, for a fleet without a
+/// list of its members.
 #[derive(Debug, Clone, Copy)]
-pub struct AddressNamed {
-    /// The port.
+pub struct AddressDirectory {
+    /// The port at which all instances listen.
     pub port: u16,
 }
 
-impl AddressNamed {
-    /// The name of the instance with this address.
+impl AddressDirectory {
+    /// Returns the name of the instance with this address, or `None` if the address is not a valid name.
     pub fn name(ip: IpAddr) -> Option<InstanceName> {
         InstanceName::parse(&ip.to_string()).ok()
     }
 }
 
-impl PeerDirectory for AddressNamed {
+impl PeerDirectory for AddressDirectory {
     fn address(&self, name: &InstanceName) -> Option<SocketAddr> {
         let ip: IpAddr = name.as_str().parse().ok()?;
         Some(SocketAddr::new(ip, self.port))
--- a/crates/micaspool-client/src/mirror.rs
+++ b/crates/micaspool-client/src/mirror.rs
@@ -1,4 +1,4 @@
-//! The newest settings that this process knows.
+//! A local copy of the newest settings.
 
 use crate::keeper::KeeperClient;
 use async_std::channel::{bounded, Receiver, Sender};
@@ -16,74 +16,75 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a process that starts empty asks for a majority's settings before it takes the
-/// newest that any keeper has.
-const MAJORITY_LIMIT: Duration = Duration::from_millis(1_500);
-/// The pause between two tries to watch.
+/// How long a starting process tries to read settings confirmed by a majority before it uses the newest of any keeper.
+const MAJORITY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The pause before the next keeper is watched.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// For how long a keeper that heard no majority is watched before another is tried.
-const UNCONFIRMED_LIMIT: Duration = Duration::from_secs(2);
+/// How long to wait for a message from a keeper without a majority before another is watched.
+const MAX_UNCONFIRMED_WATCH: Duration = Duration::from_secs(2);
 
-/// What a process knows about its settings.
+/// The settings of a process and whether they are confirmed.
 #[derive(Debug, Clone)]
 pub struct MirrorState {
     /// The policy in force.
     pub policy: SharedPolicy,
-    /// Since when no keeper with a majority was heard; `None` while one is.
-    pub cut_off_since: Option<BootInstant>,
+    /// Since when the watched keepers have had no majority; `None` while the settings are confirmed.
+    pub unconfirmed_since: Option<BootInstant>,
 }
 
-/// Follows the settings that the keepers hold.
+/// Tracks the settings held by the keepers, by watching one keeper at a time.
 #[derive(Debug)]
 pub struct SettingsMirror {
     client: Arc<KeeperClient>,
     watcher: String,
-    state: Mutex<MirrorContent>,
+    inner: Mutex<MirrorContent>,
 }
 
 #[derive(Debug)]
 struct MirrorContent {
     tree: Value,
-    shown: MirrorState,
-    listeners: Vec<Sender<()>>,
+    published: MirrorState,
+    subscribers: Vec<Sender<()>>,
 }
 
 impl SettingsMirror {
-    /// Starts to follow; `watcher` names this process in the keepers' logs.
+    /// Creates a mirror and starts to track the settings. `watcher` is the name of this process in the keepers' logs.
     pub fn start(client: Arc<KeeperClient>, watcher: &str) -> Arc<SettingsMirror> {
-        let shown =
-            MirrorState { policy: Arc::new(FleetPolicy::default()), cut_off_since: Some(BootInstant::now()) };
-        let content = MirrorContent { tree: Value::Null, shown, listeners: Vec::new() };
+        let published = MirrorState {
+            policy: Arc::new(FleetPolicy::default()),
+            unconfirmed_since: Some(BootInstant::now()),
+        };
+        let content = MirrorContent { tree: Value::Null, published, subscribers: Vec::new() };
         let mirror =
-            Arc::new(SettingsMirror { client, watcher: watcher.to_owned(), state: Mutex::new(content) });
+            Arc::new(SettingsMirror { client, watcher: watcher.to_owned(), inner: Mutex::new(content) });
         task::spawn(mirror.clone().follow());
         mirror
     }
 
-    /// The settings in force, and whether a majority confirms them.
+    /// Returns the policy in force and whether a majority confirms it.
     pub fn state(&self) -> MirrorState {
-        self.lock().shown.clone()
+        self.lock().published.clone()
     }
 
-    /// The policy in force.
+    /// Returns the policy in force.
     pub fn policy(&self) -> SharedPolicy {
-        self.lock().shown.policy.clone()
+        self.lock().published.policy.clone()
     }
 
-    /// True once any settings are in force.
+    /// Returns true once any settings are in force.
     pub fn is_ready(&self) -> bool {
         self.policy().revision > Revision(0)
     }
 
-    /// A channel that gets a message after newer settings came into force.
-    pub fn listen(&self) -> Receiver<()> {
+    /// Returns a channel that receives a message after newer settings have come into force.
+    pub fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = bounded(1);
-        self.lock().listeners.push(sender);
+        self.lock().subscribers.push(sender);
         receiver
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, MirrorContent> {
-        self.state.lock().expect("no holder of the mirror's state panics")
+        self.inner.lock().expect("the lock of the mirror is not poisoned")
     }
 
     async fn follow(self: Arc<Self>) {
@@ -91,29 +92,29 @@
         let keepers = self.client.keepers();
         for position in (0..keepers.len()).cycle().skip(first_keeper(&self.watcher, keepers.len())) {
             self.watch(&keepers[position]).await;
-            self.note_confirmed(false);
+            self.set_confirmed(false);
             task::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// A process that starts empty takes a majority's settings, or failing that the newest that
-    /// it can reach, so that a stale keeper does not take it back.
+    /// Reads the first settings: those confirmed by a majority, or else the newest of any reachable keeper. Otherwise a
+    /// restarted process could return to the old settings of a keeper that lags behind.
     async fn start_from_majority(&self) {
-        if let Ok(reply) = self.client.get_confirmed(MAJORITY_LIMIT).await {
+        if let Ok(reply) = self.client.get_confirmed(MAJORITY_TIMEOUT).await {
             if let Some(v1::get_reply::Outcome::Settings(update)) = reply.outcome {
-                self.take(update);
+                self.apply(update);
                 return;
             }
         }
         for keeper in self.client.keepers() {
             if let Some(update) = self.client.get_local(&keeper).await {
-                self.take(v1::SettingsUpdate { confirmed: false, ..update });
+                self.apply(v1::SettingsUpdate { confirmed: false, ..update });
             }
         }
     }
 
-    /// Takes updates from one keeper until its stream ends or it has been without a majority for
-    /// too long.
+    /// Applies updates from one keeper until its stream ends, an update cannot be applied, or the keeper sends nothing
+    /// for [`MAX_UNCONFIRMED_WATCH`] while it has no majority.
     async fn watch(&self, keeper: &PeerAddress) {
         let Some(mut client) = self.client.client(keeper.address).await else { return };
         let revision = self.policy().revision.0;
@@ -124,46 +125,46 @@
         };
         let mut updates = reply.into_inner();
         loop {
-            let confirmed = self.lock().shown.cut_off_since.is_none();
+            let confirmed = self.lock().published.unconfirmed_since.is_none();
             let next = updates.message();
             let update = if confirmed {
                 next.await
             } else {
-                match timeout(UNCONFIRMED_LIMIT, next).await {
+                match timeout(MAX_UNCONFIRMED_WATCH, next).await {
                     Ok(update) => update,
                     Err(_) => return,
                 }
             };
-            let usable = match update {
-                Ok(Some(update)) => self.take(update),
+            let is_usable = match update {
+                Ok(Some(update)) => self.apply(update),
                 Ok(None) => false,
                 Err(_) => {
                     self.client.forget(keeper.address).await;
                     false
                 }
             };
-            if !usable {
+            if !is_usable {
                 return;
             }
         }
     }
 
-    /// Takes an update; false when it does not fit what this process holds.
-    fn take(&self, update: v1::SettingsUpdate) -> bool {
-        self.note_confirmed(update.confirmed);
+    /// Applies an update. Returns false if it is invalid or is based on another revision than the current one.
+    fn apply(&self, update: v1::SettingsUpdate) -> bool {
+        self.set_confirmed(update.confirmed);
         let mut content = self.lock();
-        let held = content.shown.policy.revision;
-        if update.revision <= held.0 {
+        let current = content.published.policy.revision;
+        if update.revision <= current.0 {
             return true;
         }
-        let Some(tree) = next_tree(&content.tree, held, &update) else { return false };
+        let Some(tree) = updated_tree(&content.tree, current, &update) else { return false };
         match compile_tree(Revision(update.revision), &tree) {
             Ok(policy) => {
                 content.tree = tree;
-                content.shown.policy = Arc::new(policy);
-                content.listeners.retain(|listener| !listener.is_closed());
-                for listener in &content.listeners {
-                    let _ = listener.try_send(());
+                content.published.policy = Arc::new(policy);
+                content.subscribers.retain(|subscriber| !subscriber.is_closed());
+                for subscriber in &content.subscribers {
+                    let _ = subscriber.try_send(());
                 }
                 record(&events::SETTINGS_IN_FORCE, &[field("revision", update.revision)]);
                 true
@@ -176,29 +177,30 @@
         }
     }
 
-    fn note_confirmed(&self, confirmed: bool) {
+    fn set_confirmed(&self, confirmed: bool) {
         let mut content = self.lock();
-        let since = &mut content.shown.cut_off_since;
+        let since = &mut content.published.unconfirmed_since;
         if confirmed {
             *since = None;
         } else if since.is_none() {
             *since = Some(BootInstant::now());
-            record(&events::SETTINGS_CUT_OFF, &[]);
+            record(&events::SETTINGS_DISCONNECTED, &[]);
         }
     }
 }
 
-/// Spreads watchers over the keepers by their names.
+/// Returns the index of the keeper to watch first, chosen by the watcher's name to distribute watchers.
 fn first_keeper(watcher: &str, count: usize) -> usize {
     let sum: usize = watcher.bytes().map(usize::from).sum();
     sum % count.max(1)
 }
 
-fn next_tree(tree: &Value, held: Revision, update: &v1::SettingsUpdate) -> Option<Value> {
+/// Returns the tree after an update, or `None` if the update is malformed or is based on another revision.
+fn updated_tree(tree: &Value, current: Revision, update: &v1::SettingsUpdate) -> Option<Value> {
     if !update.tree.is_empty() {
         return serde_json::from_str(&update.tree).ok();
     }
-    if update.base != held.0 {
+    if update.base != current.0 {
         return None;
     }
     let patch: Value = serde_json::from_str(&update.patch).ok()?;
--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -1,7 +1,7 @@
 //! The control service of the core for operators and endpoints.
 
 use micaspool_client::{FleetMirror, KeeperClient};
-use micaspool_halls::{HallUse, OrderVerdict};
+use micaspool_halls::{HallState, OrderVerdict};
 use micaspool_keeper::RegistryHub;
 use micaspool_registry::{EndpointRecord, EndpointStage, MergeOutcome};
 use micaspool_routes::{FormatError, PlanFormat};
@@ -58,6 +58,7 @@
 #[derive(Debug, Clone)]
 pub struct ControlService {
     client: Arc<KeeperClient>,
+    /// The keeper of this instance.
     own: PeerAddress,
     hub: Arc<RegistryHub>,
     mirror: Arc<FleetMirror>,
@@ -84,15 +85,20 @@
     }
 
     /// Evacuates a data hall or returns it to service. Returns the number of the order in force.
-    pub async fn order_hall(&self, hall: &str, wanted: HallUse, ordered_by: &str) -> Result<u64, OrderError> {
+    pub async fn order_hall(
+        &self,
+        hall: &str,
+        wanted: HallState,
+        ordered_by: &str,
+    ) -> Result<u64, OrderError> {
         // The latest order known on arrival of this one. However long this order is delayed, it then
         // cannot revert an order that was given after it.
-        let known = self.mirror.hall_orders().newest();
+        let known = self.mirror.hall_orders().newest_number();
         let hall = self.known_hall(hall)?;
         self.refresh_keepers();
         let request = v1::OrderHallRequest {
             hall: hall.to_string(),
-            evacuate: wanted == HallUse::Evacuated,
+            evacuate: wanted == HallState::Evacuated,
             known,
             ordered_by: ordered_by.to_owned(),
         };
@@ -109,7 +115,7 @@
                     field("known", known),
                     field("error", error),
                 ];
-                record(&events::HALL_ORDER_UNCERTAIN, &fields);
+                record(&events::HALL_ORDER_UNCONFIRMED, &fields);
                 Err(OrderError::NoMajority)
             }
         }
@@ -148,7 +154,7 @@
                 Ok(reply.in_force)
             }
             Err(error) => {
-                record(&events::PLAN_UNCERTAIN, &[field("number", offered.number), field("error", error)]);
+                record(&events::PLAN_UNCONFIRMED, &[field("number", offered.number), field("error", error)]);
                 Err(OrderError::NoMajority)
             }
         }
@@ -158,7 +164,7 @@
     pub async fn read_plan(&self) -> Result<String, OrderError> {
         self.refresh_keepers();
         let reply = self.client.plan_confirmed(ORDER_TIMEOUT).await.map_err(|error| {
-            record(&events::PLAN_UNCERTAIN, &[field("order", "read"), field("error", error)]);
+            record(&events::PLAN_UNCONFIRMED, &[field("order", "read"), field("error", error)]);
             OrderError::NoMajority
         })?;
         match reply.plan {
@@ -174,11 +180,11 @@
 
     /// Marks an endpoint as left, by the identity that all its starts share. If it registered at another
     /// instance, its record is taken from the mirror.
-    pub fn leave(&self, identity: &EndpointName) {
-        if self.hub.leave(identity) {
+    pub fn deregister(&self, identity: &EndpointName) {
+        if self.hub.deregister(identity) {
             return;
         }
-        match self.mirror.newest_start(identity) {
+        match self.mirror.newest_incarnation(identity) {
             Some(known) => {
                 self.hub.register(EndpointRecord { stage: EndpointStage::Left, ..known });
             }
@@ -193,7 +199,7 @@
     fn refresh_keepers(&self) {
         let peers = self.mirror.keepers();
         let others = |reached: bool| {
-            let matching = peers.iter().filter(move |keeper| keeper.is_reached() == reached);
+            let matching = peers.iter().filter(move |keeper| keeper.is_connected() == reached);
             matching.map(|keeper| keeper.peer.clone()).filter(|peer| peer.name != self.own.name)
         };
         let own = std::iter::once(self.own.clone());
--- a/crates/micaspool-core/src/daemon.rs
+++ b/crates/micaspool-core/src/daemon.rs
@@ -1,7 +1,7 @@
 //! Options and startup of the core daemon.
 
 use crate::control::ControlService;
-use micaspool_client::{FleetMirror, FleetMirrorOptions, KeeperClient, PeerDirectory, ENDPOINT_LIFE};
+use micaspool_client::{FleetMirror, FleetMirrorOptions, KeeperClient, PeerDirectory, MAX_ENDPOINT_SILENCE};
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{EndpointProbe, FleetDispatcher, FleetDispatcherOptions, HttpEndpointProbe};
 use micaspool_http::status::{serve_status, StatusSource};
@@ -33,7 +33,7 @@
     dispatcher_address: SocketAddr,
     status: Vec<SocketAddr>,
     data_folder: PathBuf,
-    may_form: bool,
+    may_form_group: bool,
     tolerated_failures: usize,
     halls: Vec<HallName>,
     probe: Arc<dyn EndpointProbe>,
@@ -65,7 +65,7 @@
             dispatcher_address: any_port,
             status: Vec::new(),
             data_folder: PathBuf::from("."),
-            may_form: true,
+            may_form_group: true,
             tolerated_failures: 1,
             halls: Vec::new(),
             probe: Arc::new(HttpEndpointProbe::default()),
@@ -108,8 +108,8 @@
     }
 
     /// Sets whether the seeds may form the first group.
-    pub fn may_form(mut self, allowed: bool) -> Self {
-        self.options.may_form = allowed;
+    pub fn may_form_group(mut self, allowed: bool) -> Self {
+        self.options.may_form_group = allowed;
         self
     }
 
@@ -174,7 +174,7 @@
         directory: options.keepers.clone(),
         format: options.format.clone(),
         counter: TrafficCounter::default(),
-        endpoint_life: ENDPOINT_LIFE,
+        max_endpoint_silence: MAX_ENDPOINT_SILENCE,
     });
     let dispatcher = FleetDispatcher::new(FleetDispatcherOptions {
         region: options.region.clone(),
@@ -234,7 +234,7 @@
         .exchange(options.exchange.clone())
         .wire(options.keeper_address)
         .data_folder(options.data_folder.clone())
-        .may_form(options.may_form)
+        .may_form_group(options.may_form_group)
         .open_group(OpenGroupOptions::tolerating(options.tolerated_failures))
         .reopens_after_failure(true)
         .build()
--- a/crates/micaspool-daemon/src/suspension.rs
+++ b/crates/micaspool-daemon/src/suspension.rs
@@ -1,23 +1,23 @@
-//! Noticing that the machine was suspended.
+//! Detects suspensions of the machine.
 
 use async_std::task;
 use micaspool_clock::{counts_suspended_time, ClockPair, SuspensionWatch};
 use micaspool_telemetry::events::{self, field, record};
 use std::time::Duration;
 
-/// How often the clocks are compared; a reading of both takes some 150 ns.
-const LOOK: Duration = Duration::from_millis(100);
+/// The interval between comparisons of the clocks. Reading both takes about 150 ns.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Logs each suspension of the machine with its length, and once where the system can't tell of them.
+/// Logs each suspension of the machine with its length. Logs a warning once if the system cannot detect them.
 pub fn watch_suspensions() {
     if !counts_suspended_time() {
-        record(&events::SUSPENSIONS_UNSEEN, &[]);
+        record(&events::SUSPENSION_UNDETECTABLE, &[]);
         return;
     }
-    task::spawn(follow_clocks());
+    task::spawn(compare_clocks());
 }
 
-async fn follow_clocks() {
+async fn compare_clocks() {
     let mut watch = None;
     loop {
         if let Some(pair) = ClockPair::read() {
@@ -26,6 +26,6 @@
                 record(&events::MACHINE_SUSPENDED, &[field("suspended_ms", length.as_millis())]);
             }
         }
-        task::sleep(LOOK).await;
+        task::sleep(CLOCK_CHECK_INTERVAL).await;
     }
 }
--- a/crates/micaspool-dispatch/src/event.rs
+++ b/crates/micaspool-dispatch/src/event.rs
@@ -66,7 +66,7 @@
 
 /// The latest level of a customer that a router received.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeldTotal {
+pub struct HeldLevel {
     /// The customer.
     pub customer: CustomerName,
     /// Its level.
@@ -87,7 +87,7 @@
     /// Its running requests.
     pub running: Vec<HeldGrant>,
     /// The customer levels that it knows.
-    pub totals: Vec<HeldTotal>,
+    pub levels: Vec<HeldLevel>,
     /// Its crash records of requests.
     pub crashes: Vec<CrashRecord>,
     /// The advice that endpoints gave to it.
@@ -107,7 +107,7 @@
     Refused,
     /// No connection could be made; nothing ran.
     Unreachable,
-    /// The endpoint said that it is leaving; nothing ran.
+    /// The endpoint answered that it is leaving; nothing ran.
     Draining,
     /// The endpoint failed after the request was sent.
     Broken,
@@ -116,8 +116,8 @@
     Severed,
     /// The router did not send the request.
     Unsent,
-    /// The router does not hold the endpoint as serving, as just after its start, or the endpoint asked
-    /// it to rest; nothing ran. Says nothing about the endpoint.
+    /// The router does not know the endpoint as serving, for example just after its own start, or the
+    /// endpoint asked the router to rest; nothing ran. Says nothing about the endpoint.
     NotHeld,
 }
 
@@ -211,8 +211,8 @@
     /// Hashes of prefixes that it has evicted.
     pub dropped: Vec<u64>,
     /// Prompt parts that the engine has cached, least recently used first if the order is known.
-    pub kept: Vec<CachedPart>,
-    /// True if `kept` lists all cached parts.
+    pub cached_parts: Vec<CachedPart>,
+    /// True if `cached_parts` lists all cached parts.
     pub whole: bool,
 }
 
--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -32,7 +32,7 @@
     pub queue: BTreeMap<QueuePlace, RequestId>,
     /// The load of the queue: prompt tokens, or requests without any.
     pub queued_load: u64,
-    /// Load of all submitted tickets per second.
+    /// Load of the submitted tickets per second, except those refused because of crashes.
     pub demand_rate: DecayingRate,
     /// Load of the granted tickets per second.
     pub grant_rate: DecayingRate,
@@ -140,7 +140,7 @@
     /// Charges the progress of a running request.
     pub fn note_delivered(&mut self, estimate: Cost, before: Cost, after: Cost) {
         self.account.charge_progress(estimate, before, after);
-        self.served = self.served.plus(after.minus(before));
+        self.served = self.served.saturating_add(after.saturating_sub(before));
     }
 
     /// Changes the weight and keeps the level reached so far.
--- a/crates/micaspool-dispatch/src/shard/evidence.rs
+++ b/crates/micaspool-dispatch/src/shard/evidence.rs
@@ -1,5 +1,5 @@
-//! Evidence for and against a suspected request: the outcomes of its runs, and signs of life from its
-//! endpoints.
+//! Evidence for and against a suspected request: the outcomes of its runs, and responses that show that
+//! its endpoints are alive.
 
 use super::endpoints::EndpointIndex;
 use super::routers::RouterIndex;
@@ -7,7 +7,7 @@
 use super::ShardCore;
 use crate::action::{ShardAction, StandingCause};
 use crate::event::{GrantOutcome, LoadReport};
-use micaspool_quarantine::{CrashRecord, RequestStanding, TableChange};
+use micaspool_quarantine::{CrashRecord, RequestStanding, StandingChange};
 use micaspool_types::{Moment, RequestDigest};
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 /// runs up to 0.7 s after the first. Later events show that the endpoint is alive.
 const STRAGGLER_WINDOW: Duration = Duration::from_secs(1);
 /// A load report refutes crashes recorded up to this long before it was requested. The endpoint's
-/// address may belong to another one some two seconds after its end.
+/// address may belong to another one some two seconds after its crash.
 pub(super) const REPORT_WINDOW: Duration = Duration::from_millis(1_500);
 /// The interval between checks for expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
@@ -26,14 +26,14 @@
         &mut self,
         now: Moment,
         ended: &EndedRun,
-        fate: GrantOutcome,
+        outcome: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
-        if self.suspects.standing(now, ended.digest).is_in_doubt() {
+        if self.suspects.standing(now, ended.digest).is_doubted() {
             // A waiting copy may be allowed to run now, though no endpoint has become free.
             self.next_pass_due = now;
         }
-        match fate {
+        match outcome {
             GrantOutcome::Severed => self.note_severed(now, ended, actions),
             GrantOutcome::Done => {
                 self.note_endpoint_response(now, ended.endpoint, actions);
@@ -48,7 +48,8 @@
         let endpoint = self.endpoints.name(ended.endpoint).clone();
         let customer = self.customers.get(ended.customer).name.clone();
         if self.endpoints.is_leaving(ended.endpoint) {
-            // The endpoint ended because it was told to. Clears the record of the router that saw it.
+            // An endpoint that is leaving is expected to end, so this is no crash. The router that
+            // reported it gets the record without it.
             let record = self.record_of(now, digest, &customer);
             let session = self.routers.session(ended.router);
             actions.extend(session.map(|session| ShardAction::SendRecord { session, record }));
@@ -57,9 +58,9 @@
         if !self.suspects.table.has_endpoint(&endpoint) {
             actions.push(ShardAction::ProbeEndpoint { endpoint: endpoint.clone() });
         }
-        let change = self.suspects.table.note_crash(now, digest, &customer, &endpoint);
+        let change = self.suspects.table.record_crash(now, digest, &customer, &endpoint);
         self.suspects.note_witness(digest, ended.router);
-        self.worsen_standing(now, change, StandingCause::EndpointEnded, actions);
+        self.worsen_standing(now, change, StandingCause::EndpointCrashed, actions);
     }
 
     /// Merges the crash records of a router that joins.
@@ -86,7 +87,7 @@
             return;
         }
         let Some(session) = self.routers.session(router) else { return };
-        for (standing, record) in self.suspects.table.suspects(now) {
+        for (standing, record) in self.suspects.table.suspect_records(now) {
             if matches!(standing, RequestStanding::Quarantined { .. }) {
                 actions.push(ShardAction::SendRecord { session, record });
             }
@@ -97,7 +98,7 @@
     fn worsen_standing(
         &mut self,
         now: Moment,
-        change: TableChange,
+        change: StandingChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
@@ -113,7 +114,7 @@
     fn improve_standing(
         &mut self,
         now: Moment,
-        change: TableChange,
+        change: StandingChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
@@ -128,7 +129,7 @@
     fn report_standing(
         &self,
         now: Moment,
-        change: &TableChange,
+        change: &StandingChange,
         cause: StandingCause,
         actions: &mut Vec<ShardAction>,
     ) {
@@ -172,7 +173,7 @@
             return;
         }
         let until = Moment(now.0.saturating_sub(micros(STRAGGLER_WINDOW)));
-        self.note_alive(now, endpoint, Moment(0), until, actions);
+        self.retract_crashes(now, endpoint, Moment(0), until, actions);
     }
 
     /// Handles a load report, which shows that the endpoint is alive.
@@ -187,10 +188,10 @@
         }
         let Some(endpoint) = self.endpoints.by_name(&report.endpoint) else { return };
         let from = Moment(report.requested_at.0.saturating_sub(micros(REPORT_WINDOW)));
-        self.note_alive(now, endpoint, from, report.requested_at, actions);
+        self.retract_crashes(now, endpoint, from, report.requested_at, actions);
     }
 
-    fn note_alive(
+    fn retract_crashes(
         &mut self,
         now: Moment,
         endpoint: EndpointIndex,
@@ -199,7 +200,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let name = self.endpoints.name(endpoint).clone();
-        for change in self.suspects.table.note_alive(now, &name, &(from..=until)) {
+        for change in self.suspects.table.retract_crashes(now, &name, &(from..=until)) {
             self.improve_standing(now, change, StandingCause::EndpointAlive, actions);
         }
     }
--- a/crates/micaspool-dispatch/src/shard/grants.rs
+++ b/crates/micaspool-dispatch/src/shard/grants.rs
@@ -94,7 +94,7 @@
     /// The first tickets of a customer that are considered for a free endpoint. Tickets of disconnected
     /// routers are skipped without being counted: they stay queued until the lease ends and would block
     /// the customer's other tickets. The same holds for routers that all usable endpoints have asked to
-    /// back off.
+    /// rest.
     fn candidate_tickets(&self, now: Moment, customer: CustomerIndex) -> impl Iterator<Item = &RequestId> {
         let queue = self.customers.get(customer).queue.values();
         let usable = queue.filter(move |request| {
@@ -138,7 +138,7 @@
             prompt: &ticket.prompt,
             halls,
             is_excluded: &is_excluded,
-            wanted_by: ticket.wanted_by,
+            first_event_due: ticket.first_event_due,
         };
         let soonest = self.endpoints.soonest_engine(now, &query, before);
         self.note_choice(ticket, soonest.filter(|engine| !self.endpoints.is_free(*engine, halls)));
@@ -197,7 +197,7 @@
         let level = state.level(self.options.policy.as_ref());
         self.reindex(ticket.customer);
         self.raise_floor(endpoint, served_rank);
-        self.endpoints.admit(now, endpoint, request, &ticket.prompt);
+        self.endpoints.record_grant(now, endpoint, request, &ticket.prompt);
         self.endpoints.occupy(endpoint);
         self.prefixes.remember(&ticket.prompt.prefixes, endpoint);
         self.throughput.count();
@@ -245,10 +245,10 @@
         let (endpoint, since) = (grant.endpoint, grant.since);
         let is_first_event = std::mem::take(&mut grant.awaits_first_event);
         if is_first_event {
-            self.endpoints.begin(now, endpoint, request);
+            self.endpoints.note_first_event(now, endpoint, request);
             since.into_iter().for_each(|since| self.endpoints.note_answer(endpoint, now.since(since)));
         }
-        self.delivered.add(now, delivered.minus(before).0);
+        self.delivered.add(now, delivered.saturating_sub(before).0);
         self.customers.get_mut(customer).note_delivered(estimate, before, delivered);
         self.reindex(customer);
         self.note_endpoint_response(now, endpoint, actions);
@@ -261,14 +261,14 @@
         session: SessionId,
         request: RequestId,
         cost: Cost,
-        fate: GrantOutcome,
+        outcome: GrantOutcome,
         actions: &mut Vec<ShardAction>,
     ) {
         let owner = self.routers.by_session(session);
         let own = self.running.get(&request).filter(|grant| Some(grant.router) == owner);
         let Some(ended) = own.map(EndedRun::of) else { return };
-        self.end_grant(now, request, Some(cost), fate);
-        self.record_outcome(now, &ended, fate, actions);
+        self.end_grant(now, request, Some(cost), outcome);
+        self.record_outcome(now, &ended, outcome, actions);
     }
 
     /// Ends the request's grant, if it has one. Without a final `cost`, the cost delivered so far is
@@ -278,7 +278,7 @@
         now: Moment,
         request: RequestId,
         cost: Option<Cost>,
-        fate: GrantOutcome,
+        outcome: GrantOutcome,
     ) {
         let Some(grant) = self.running.remove(&request) else { return };
         self.copies.end_running(grant.digest, grant.endpoint);
@@ -286,9 +286,9 @@
         if grant.awaits_first_event {
             self.endpoints.withdraw(now, grant.endpoint, request);
         }
-        self.endpoints.vacate(now, grant.endpoint, fate);
+        self.endpoints.vacate(now, grant.endpoint, outcome);
         if let Some(since) =
-            grant.since.filter(|_| matches!(fate, GrantOutcome::Done | GrantOutcome::Abandoned))
+            grant.since.filter(|_| matches!(outcome, GrantOutcome::Done | GrantOutcome::Abandoned))
         {
             let took = now.since(since);
             self.endpoints.note_service(grant.endpoint, took);
@@ -296,18 +296,18 @@
                 self.endpoints.note_answer(grant.endpoint, took);
             }
         }
-        if fate == GrantOutcome::NotHeld {
+        if outcome == GrantOutcome::NotHeld {
             self.routers.note_not_held(now, grant.router, grant.endpoint);
         }
         let state = self.customers.get_mut(grant.customer);
         state.running -= 1;
-        match fate {
+        match outcome {
             GrantOutcome::Done | GrantOutcome::Abandoned | GrantOutcome::Broken | GrantOutcome::Severed => {
                 let cost = cost.unwrap_or(grant.delivered);
                 state.account.charge_end(grant.estimate, grant.delivered, cost);
-                state.served = state.served.plus(cost.minus(grant.delivered));
-                self.delivered.add(now, cost.minus(grant.delivered).0);
-                if matches!(fate, GrantOutcome::Done | GrantOutcome::Abandoned) && cost > Cost(0) {
+                state.served = state.served.saturating_add(cost.saturating_sub(grant.delivered));
+                self.delivered.add(now, cost.saturating_sub(grant.delivered).0);
+                if matches!(outcome, GrantOutcome::Done | GrantOutcome::Abandoned) && cost > Cost(0) {
                     state.estimator.learn(grant.hint, cost);
                 }
             }
@@ -322,11 +322,11 @@
         self.reindex(grant.customer);
     }
 
-    pub(super) fn learn_cache(&mut self, update: &CacheUpdate) {
+    pub(super) fn apply_cache_update(&mut self, update: &CacheUpdate) {
         let Some(endpoint) = self.endpoints.by_name(&update.endpoint) else { return };
         self.prefixes.remember(&update.stored, endpoint);
         self.prefixes.drop_from(&update.dropped, endpoint);
-        self.endpoints.learn_kept(endpoint, update);
+        self.endpoints.update_cache(endpoint, update);
     }
 }
 
--- a/crates/micaspool-dispatch/src/shard/prefill.rs
+++ b/crates/micaspool-dispatch/src/shard/prefill.rs
@@ -21,7 +21,7 @@
 const INITIAL_LATENCY: Duration = Duration::from_millis(30);
 /// The rate assumed if neither settings nor other engines provide one, in tokens per millisecond. It is
 /// low enough to grant one prompt at a time until the first ones have begun.
-const DEFAULT_PACE: f64 = 8.0;
+const DEFAULT_RATE: f64 = 8.0;
 /// The weight of the assumed rate, in tokens: about two prompts.
 const PRIOR_TOKENS: f64 = 4_000.0;
 /// Factor applied to older observations with each new one: the last 24 dominate, which is one second of
@@ -79,11 +79,11 @@
     /// Microseconds per token according to the fit, which assigns that time to the mean latency.
     fitted_per_token: f64,
     /// Decayed sums of the observed tokens, and of their time above the latency in microseconds.
-    read_tokens: f64,
-    read_micros: f64,
+    prefilled_tokens: f64,
+    prefill_micros: f64,
     sums: FitSums,
-    observed: u64,
-    newest: Moment,
+    observations: u64,
+    last_observed_at: Moment,
     /// Mean deviation of observations from the rate, relative to the expected time.
     spread: f64,
     /// Mean number of uncached tokens per prompt.
@@ -119,43 +119,43 @@
     /// A rate without observations; `per_token` is the initial time per token in microseconds, if
     /// known.
     pub fn new(per_token: Option<f64>) -> PrefillRate {
-        let mut pace = PrefillRate {
+        let mut rate = PrefillRate {
             latency: INITIAL_LATENCY.as_micros() as f64,
             mean_latency: INITIAL_LATENCY.as_micros() as f64,
             per_token: 0.0,
             fitted_per_token: 0.0,
-            read_tokens: 0.0,
-            read_micros: 0.0,
+            prefilled_tokens: 0.0,
+            prefill_micros: 0.0,
             sums: FitSums::default(),
-            observed: 0,
-            newest: Moment(0),
+            observations: 0,
+            last_observed_at: Moment(0),
             spread: 0.0,
             mean_tokens: 0.0,
             recent_expected: 0.0,
             recent_micros: 0.0,
         };
-        pace.assume(per_token);
-        pace
+        rate.assume(per_token);
+        rate
     }
 
     /// Replaces the initial time per token, unless there are observations already.
     pub fn assume(&mut self, per_token: Option<f64>) {
-        if self.observed > 0 {
+        if self.observations > 0 {
             return;
         }
         let (least, most) = PER_TOKEN_RANGE;
-        self.per_token = per_token.unwrap_or(1_000.0 / DEFAULT_PACE).clamp(least, most);
+        self.per_token = per_token.unwrap_or(1_000.0 / DEFAULT_RATE).clamp(least, most);
         self.sums = FitSums::default();
         self.sums.add(false, PRIOR_TOKENS, PRIOR_TOKENS * self.per_token);
         self.fitted_per_token = self.per_token;
-        self.read_tokens = PRIOR_TOKENS;
-        self.read_micros = PRIOR_TOKENS * self.per_token;
+        self.prefilled_tokens = PRIOR_TOKENS;
+        self.prefill_micros = PRIOR_TOKENS * self.per_token;
     }
 
     /// The time per token in microseconds, once there are enough observations for others to start from
     /// it.
     pub fn settled_per_token(&self) -> Option<f64> {
-        (self.observed >= SETTLED_OBSERVATIONS).then_some(self.per_token)
+        (self.observations >= SETTLED_OBSERVATIONS).then_some(self.per_token)
     }
 
     /// The time that the engine needs to prefill this many tokens.
@@ -179,8 +179,8 @@
     }
 
     /// When the most recent observation was made; `None` before the first.
-    pub fn newest(&self) -> Option<Moment> {
-        (self.observed > 0).then_some(self.newest)
+    pub fn last_observed_at(&self) -> Option<Moment> {
+        (self.observations > 0).then_some(self.last_observed_at)
     }
 
     /// Mean deviation of observations from the rate, relative to the expected time.
@@ -205,13 +205,13 @@
             self.note_latency(micros - tokens * self.fitted_per_token);
         }
         let prefill_time = if idle { (micros - self.latency).max(0.0) } else { micros };
-        self.read_tokens = self.read_tokens * factor + tokens;
-        self.read_micros = self.read_micros * factor + prefill_time;
+        self.prefilled_tokens = self.prefilled_tokens * factor + tokens;
+        self.prefill_micros = self.prefill_micros * factor + prefill_time;
         let (least, most) = PER_TOKEN_RANGE;
-        self.per_token = (self.read_micros / self.read_tokens).clamp(least, most);
+        self.per_token = (self.prefill_micros / self.prefilled_tokens).clamp(least, most);
         self.update_statistics(tokens, expected, micros);
-        self.observed += 1;
-        self.newest = now;
+        self.observations += 1;
+        self.last_observed_at = now;
     }
 
     /// Moves the latency towards the lower quartile of the observations.
@@ -230,7 +230,7 @@
     }
 
     fn update_statistics(&mut self, tokens: f64, expected: f64, micros: f64) {
-        let part = if self.observed == 0 { 1.0 } else { 1.0 - DECAY };
+        let part = if self.observations == 0 { 1.0 } else { 1.0 - DECAY };
         self.mean_tokens += (tokens - self.mean_tokens) * part;
         let distance = (micros - expected).abs() / expected.max(1.0);
         self.spread += (distance - self.spread) * part;
--- a/crates/micaspool-dispatch/src/shard/retry_after.rs
+++ b/crates/micaspool-dispatch/src/shard/retry_after.rs
@@ -13,8 +13,9 @@
 
 impl ShardCore {
     /// When a refused request of the customer may be accepted: once the tickets queued before it are
-    /// granted, and no earlier than `DEMAND_WINDOW` of the customer's demand takes to serve. Queues
-    /// stay short while everything is refused on arrival; the second time grows as capacity falls.
+    /// granted, and no earlier than it takes to serve the customer's demand of one `DEMAND_WINDOW`. The
+    /// first time alone would be too short, because queues stay short while everything that arrives is
+    /// refused; the second time grows as capacity falls.
     pub(super) fn retry_after(&self, now: Moment, customer: CustomerIndex) -> Duration {
         let state = self.customers.get(customer);
         let ahead = state.queue.len() + 1;
@@ -24,8 +25,8 @@
 
     /// How long it takes to serve the customer's demand of one window.
     fn demand_service_time(&self, now: Moment, state: &CustomerState) -> Duration {
-        let asked = state.demand_rate.per_second(now) * DEMAND_WINDOW.as_secs_f64();
-        let seconds = asked / self.service_rate(now, state);
+        let demand = state.demand_rate.per_second(now) * DEMAND_WINDOW.as_secs_f64();
+        let seconds = demand / self.service_rate(now, state);
         Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_AFTER).min(MAX_RETRY_AFTER)
     }
 }
--- a/crates/micaspool-dispatch/tests/shard/capacity.rs
+++ b/crates/micaspool-dispatch/tests/shard/capacity.rs
@@ -54,7 +54,7 @@
 }
 
 /// Foreign requests known from load reports are forgotten when no further report arrives; otherwise an
-/// endpoint that is no longer heard from would stay full for ever.
+/// endpoint that stops reporting would stay full for ever.
 #[test]
 fn foreign_slots_are_freed_when_load_reports_stop() {
     let mut harness = single_slot_harness(1);
@@ -130,11 +130,11 @@
 #[test_case(GrantOutcome::Unreachable; "unreachable")]
 #[test_case(GrantOutcome::Refused; "full")]
 #[test_case(GrantOutcome::Broken; "broken")]
-fn after_a_failure_an_endpoint_is_paused_and_then_probed_by_one_request(fate: GrantOutcome) {
+fn after_a_failure_an_endpoint_is_paused_and_then_probed_by_one_request(outcome: GrantOutcome) {
     let mut harness = ShardHarness::new(1, 4, &["a"]);
     harness.join(1, hello("r1", 1));
     harness.submit(1, ticket(1, "a", 10));
-    harness.settle(1, 1, 0, fate);
+    harness.settle(1, 1, 0, outcome);
     harness.take_grants();
     for number in 2..=5 {
         harness.submit(1, ticket(number, "a", 10));
@@ -218,7 +218,7 @@
         endpoint: endpoint(1),
         stored: vec![7, 8],
         dropped: vec![],
-        kept: vec![],
+        cached_parts: vec![],
         whole: false,
     }));
     let with_prefix = |number| RequestTicket { prefixes: vec![7, 8], ..ticket(number, "a", 10) };
@@ -237,14 +237,14 @@
         endpoint: endpoint(1),
         stored: vec![7],
         dropped: vec![],
-        kept: vec![],
+        cached_parts: vec![],
         whole: false,
     }));
     harness.step(ShardEvent::Cache(CacheUpdate {
         endpoint: endpoint(1),
         stored: vec![],
         dropped: vec![7],
-        kept: vec![],
+        cached_parts: vec![],
         whole: false,
     }));
     harness.submit(1, RequestTicket { prefixes: vec![7], ..ticket(1, "a", 10) });
--- a/crates/micaspool-dispatch/tests/shard/cold.rs
+++ b/crates/micaspool-dispatch/tests/shard/cold.rs
@@ -2,7 +2,7 @@
 //! of short requests.
 //!
 //! A cold endpoint fails when more requests than 1.5 times its sustained rate plus five arrive within one
-//! second, from all senders together. Limited by reading speed alone, an engine would get thirty short
+//! second, from all senders together. Limited by its prefill rate alone, an engine would get thirty short
 //! prompts a second.
 
 use crate::harness::{customer, endpoint, hello, request_id, ticket, ShardHarness};
@@ -30,7 +30,7 @@
 const FIRST_EVENT_DELAY: Duration = Duration::from_millis(10);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn cold_terms() -> ColdStartLimits {
+fn cold_limits() -> ColdStartLimits {
     ColdStartLimits {
         start: Duration::from_millis(COLD_MILLIS),
         request_time: Duration::from_secs_f64(1.0 / SUSTAINED_RATE),
@@ -54,7 +54,7 @@
         let mut harness = ShardHarness::recovering(engines, SLOTS, &["a", "b"], options);
         harness.advance(1_000);
         harness.update_policy(|policy| {
-            policy.cold = cold_terms();
+            policy.cold = cold_limits();
             policy.planned_pace = 50.0;
             for spec in &mut policy.endpoints {
                 spec.memory_tokens = 500_000;
@@ -84,14 +84,14 @@
     }
 
     /// Submits `per_step` prompts every 10 ms for `millis`. A grant reaches its endpoint after `delay`, and
-    /// its request ends `work` ms later with `fate`.
+    /// its request ends `work` ms later with `outcome`.
     fn run_load(
         &mut self,
         millis: u64,
         per_step: usize,
         mut delay: impl FnMut() -> u64,
         work: u64,
-        mut fate: impl FnMut() -> GrantOutcome,
+        mut outcome: impl FnMut() -> GrantOutcome,
     ) {
         for _ in 0..millis / 10 {
             for _ in 0..per_step {
@@ -111,8 +111,8 @@
                 self.harness.step(ShardEvent::Progress(SessionId(1), request_id(request), Cost(1)));
             }
             for request in take_due(&mut self.running, now) {
-                let fate = fate();
-                self.harness.settle(1, request, 1, fate);
+                let outcome = outcome();
+                self.harness.settle(1, request, 1, outcome);
             }
         }
     }
@@ -203,9 +203,9 @@
     assert!(hall.arrivals[&endpoint(0)].len() > 5);
 }
 
-/// Without cold terms endpoints are not limited after a start.
+/// Without cold-start limits, endpoints get any number of requests after a start.
 #[test]
-fn grants_are_not_spread_without_cold_terms() {
+fn grants_are_not_spaced_without_cold_start_limits() {
     let mut hall = ColdHall::new(2, ShardOptions::default());
     hall.harness.update_policy(|policy| policy.cold = ColdStartLimits::default());
     hall.turn_cold();
@@ -213,9 +213,9 @@
     assert!(hall.max_arrivals_per_second() > 20, "{}", hall.max_arrivals_per_second());
 }
 
-/// A prompt does not wait for a cold engine that keeps its parts while a warm one can read it in time.
+/// A prompt does not wait for a cold engine that caches its parts while a warm one can prefill it in time.
 #[test]
-fn a_warm_engine_is_chosen_over_a_cold_one_that_keeps_the_parts() {
+fn a_warm_engine_is_chosen_over_a_cold_one_that_caches_the_parts() {
     let mut hall = ColdHall::new(2, ShardOptions::default());
     let known = |number: u128| RequestTicket {
         prefixes: vec![77],
@@ -266,9 +266,9 @@
             let is_unsent = rng.random_bool(0.3);
             let work = rng.random_range(10..400);
             let mut delays = ChaCha8Rng::seed_from_u64(seed * 2 + shard);
-            let fate = || if is_unsent { GrantOutcome::Unsent } else { GrantOutcome::Done };
+            let outcome = || if is_unsent { GrantOutcome::Unsent } else { GrantOutcome::Done };
             let began = hall.harness.now;
-            hall.run_load(1_200, 1, || delays.random_range(0..spread), work, fate);
+            hall.run_load(1_200, 1, || delays.random_range(0..spread), work, outcome);
             let all = hall.arrivals.into_values().flatten();
             let shift = Duration::from_millis(offset * shard);
             arrivals.extend(all.map(|at| Moment(0) + at.since(began) + shift));
--- a/crates/micaspool-dispatch/tests/shard/faults.rs
+++ b/crates/micaspool-dispatch/tests/shard/faults.rs
@@ -42,16 +42,16 @@
 }
 
 #[test_case(&[GrantOutcome::Done, GrantOutcome::Done]; "duplicated")]
-#[test_case(&[GrantOutcome::Done, GrantOutcome::Broken]; "duplicated with another fate")]
-fn a_duplicated_settle_report_frees_its_slot_once(fates: &[GrantOutcome]) {
+#[test_case(&[GrantOutcome::Done, GrantOutcome::Broken]; "duplicated with another outcome")]
+fn a_duplicated_settle_report_frees_its_slot_once(outcomes: &[GrantOutcome]) {
     let mut harness = ShardHarness::new(1, 2, &["a"]);
     harness.join(1, hello("r1", 1));
     for number in 1..=4 {
         harness.submit(1, ticket(number, "a", 10));
     }
     assert_eq!(harness.take_granted_requests(), vec![1, 2]);
-    for fate in fates {
-        harness.settle(1, 1, 5, *fate);
+    for outcome in outcomes {
+        harness.settle(1, 1, 5, *outcome);
     }
     assert_eq!(harness.take_granted_requests(), vec![3]);
 }
@@ -104,7 +104,7 @@
 }
 
 /// Guards against counting the tickets of lost streams among the first sixteen tickets of a customer, which
-/// are the only ones considered for a free endpoint. With a hall cut off, the tickets of its routers stood
+/// are the only ones considered for a free endpoint. With a hall cut off, the tickets of its routers were
 /// first in the queue that all public requests share, and uploads of the other halls waited until their
 /// deadlines beside free endpoints for two seconds. In that time 51 grants were made with two of three
 /// endpoints free and 202 tickets waiting; the gateways logged deadline-passed after 741 ms and no refusal.
--- a/crates/micaspool-dispatcher/src/cache_follower.rs
+++ b/crates/micaspool-dispatcher/src/cache_follower.rs
@@ -1,7 +1,7 @@
-//! Follows what one engine keeps in its cache: a list first, then the changes after it.
+//! Tracks the cache of one engine: reads a snapshot first, then the changes after it.
 //!
-//! What a shard assumes of a cache ages: runs push parts out that nobody asked for. An engine's own word is
-//! some hundred milliseconds old, and a few changes never come.
+//! A shard's own assumptions about a cache become outdated, since an engine also evicts parts to make room for running
+//! requests. The engine's reports are some hundred milliseconds old, and a few changes are lost.
 
 use crate::driver::ShardInput;
 use crate::host::HostOptions;
@@ -12,24 +12,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an engine is left alone between two calls at least, so that one call brings what many requests
-/// changed. At 27 requests a second it brings some twenty changes.
-const GATHERING: Duration = Duration::from_millis(100);
-/// How long a failed call is not repeated; the pause doubles with each further failure.
+/// The minimum pause between two calls to an engine, so that one call returns the changes of many requests. At 27
+/// requests a second it returns about 20 changes.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The pause after a failed call; it doubles with each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// The longest such pause. An engine may tell nothing at all, or be cut off for a while.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
-/// How many calls in a row may fail before the engine is asked for a whole list again.
-const MOST_FAILURES: u32 = 5;
+/// The maximum of that pause. An engine may not report its cache at all, or be unreachable for a while.
+const MAX_PAUSE: Duration = Duration::from_secs(8);
+/// The number of successive failures after which a new snapshot is read.
+const MAX_FAILURES: u32 = 5;
 
-/// The follower of one engine.
+/// Tracks the cache of one engine on behalf of a shard.
 pub(crate) struct CacheFollower {
     probe: Arc<dyn EndpointProbe>,
     endpoint: ProbedEndpoint,
     inputs: Sender<ShardInput>,
 }
 
-/// The shard has ended.
+/// The shard no longer accepts inputs.
 struct ShardEnded;
 
 impl CacheFollower {
@@ -37,34 +37,34 @@
         CacheFollower { probe: options.probe.clone(), endpoint, inputs }
     }
 
-    /// Follows until the shard ends. `interval` is how often all engines are asked for their load; a fifth of
-    /// it, which grows with their number, parts two calls.
+    /// Runs until the shard ends. `interval` is the probe interval of all engines, which grows with their number; the
+    /// pause between two calls is a fifth of it.
     pub async fn run(self, interval: Duration) {
-        let pause = GATHERING.max(interval / 5);
+        let pause = MIN_POLL_INTERVAL.max(interval / 5);
         let mut failures = 0;
         loop {
-            let Some(list) = self.probe.kept_parts(&self.endpoint).await else {
+            let Some(snapshot) = self.probe.cached_parts(&self.endpoint).await else {
                 failures += 1;
-                self.wait_after(failures).await;
+                self.back_off(failures).await;
                 continue;
             };
             failures = 0;
-            let fields = [field("endpoint", &self.endpoint.name), field("kept_parts", list.parts.len())];
-            record(&events::ENGINE_MET, &fields);
-            let told = self.tell(list.parts, Vec::new(), true).await;
-            if told.is_err() || self.follow(list.cursor, pause).await.is_err() {
+            let fields = [field("endpoint", &self.endpoint.name), field("kept_parts", snapshot.parts.len())];
+            record(&events::ENGINE_SYNCED, &fields);
+            let sent = self.send_update(snapshot.parts, Vec::new(), true).await;
+            if sent.is_err() || self.follow(snapshot.cursor, pause).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Passes changes on until some are lost or can't be had for a while.
+    /// Forwards changes to the shard until some are lost or `MAX_FAILURES` calls in a row have failed.
     async fn follow(&self, mut cursor: CacheCursor, pause: Duration) -> Result<(), ShardEnded> {
         let mut failures = 0;
-        while failures < MOST_FAILURES {
+        while failures < MAX_FAILURES {
             let Some(changes) = self.probe.cache_changes(&self.endpoint, cursor).await else {
                 failures += 1;
-                self.wait_after(failures).await;
+                self.back_off(failures).await;
                 continue;
             };
             failures = 0;
@@ -76,28 +76,33 @@
                 return Ok(());
             }
             cursor = changes.cursor;
-            if !changes.kept.is_empty() || !changes.gone.is_empty() {
-                self.tell(changes.kept, changes.gone, false).await?;
+            if !changes.kept.is_empty() || !changes.dropped.is_empty() {
+                self.send_update(changes.kept, changes.dropped, false).await?;
             }
             tokio::time::sleep(pause).await;
         }
         Ok(())
     }
 
-    /// Leaves the engine alone after a failure; says so when it begins to look lasting.
-    async fn wait_after(&self, failures: u32) {
-        if failures == MOST_FAILURES {
+    /// Pauses after a failure, and logs a warning at the `MAX_FAILURES`th in a row.
+    async fn back_off(&self, failures: u32) {
+        if failures == MAX_FAILURES {
             let fields = [field("endpoint", &self.endpoint.name), field("failures", failures)];
-            record(&events::CACHE_UNKNOWN, &fields);
+            record(&events::CACHE_UNTRACKED, &fields);
         }
         let doublings = failures.saturating_sub(1).min(8);
-        tokio::time::sleep((FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE)).await;
+        tokio::time::sleep((FIRST_PAUSE * (1 << doublings)).min(MAX_PAUSE)).await;
     }
 
-    async fn tell(&self, kept: Vec<CachedPart>, dropped: Vec<u64>, whole: bool) -> Result<(), ShardEnded> {
+    async fn send_update(
+        &self,
+        cached_parts: Vec<CachedPart>,
+        dropped: Vec<u64>,
+        whole: bool,
+    ) -> Result<(), ShardEnded> {
         let endpoint = self.endpoint.name.clone();
-        let news = CacheUpdate { endpoint, stored: Vec::new(), dropped, kept, whole };
-        let sent = self.inputs.send(ShardInput::Event(ShardEvent::Cache(news))).await;
+        let update = CacheUpdate { endpoint, stored: Vec::new(), dropped, cached_parts, whole };
+        let sent = self.inputs.send(ShardInput::Event(ShardEvent::Cache(update))).await;
         sent.map_err(|_| ShardEnded)
     }
 }
--- a/crates/micaspool-dispatcher/src/service.rs
+++ b/crates/micaspool-dispatcher/src/service.rs
@@ -1,21 +1,21 @@
-//! The protocol side of a dispatcher.
+//! The gRPC service of a dispatcher.
 
 use crate::driver::{ShardHandle, ShardInput, StreamItem};
 use crate::host::ShardHost;
-use crate::sharing::{own_totals, take_totals};
+use crate::sharing::{apply_totals, own_totals};
 use async_std::channel::{unbounded, Receiver};
 use futures::{Stream, StreamExt};
 use micaspool_dispatch::{SessionId, ShardEvent};
 use micaspool_telemetry::events::{self, field, record};
 use micaspool_types::{RequestId, ServiceName};
-use micaspool_wire::convert::{lifted_digest, request_id, shard_event, shared_message};
+use micaspool_wire::convert::{lifted_digest, request_id, shard_event, shared_totals_message};
 use micaspool_wire::v1::{self, dispatch_server::Dispatch, router_message::Body};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use tonic::{Request, Response, Status, Streaming};
 
-/// Answers routers and operators.
+/// Serves routers, dispatchers of other regions and operators.
 #[derive(Clone, Debug)]
 pub struct DispatchService {
     host: Arc<ShardHost>,
@@ -23,7 +23,7 @@
 }
 
 impl DispatchService {
-    /// A service for the shards of a host. Once `stopping` is set it takes no new stream.
+    /// Creates a service for the shards of a host. Once `stopping` is set it refuses new sessions.
     pub fn new(host: Arc<ShardHost>, stopping: Arc<AtomicBool>) -> DispatchService {
         DispatchService { host, stopping }
     }
@@ -54,15 +54,15 @@
             return Ok(Response::new(v1::SharedTotals::default()));
         };
         let own = own_totals(self.host.options(), &shard);
-        take_totals(&shard, message).await;
-        Ok(Response::new(shared_message(&service, &own)))
+        apply_totals(&shard, message).await;
+        Ok(Response::new(shared_totals_message(&service, &own)))
     }
 
     async fn lift(&self, request: Request<v1::LiftRequest>) -> Result<Response<v1::LiftReply>, Status> {
         let digest = lifted_digest(&request.into_inner())
             .map_err(|error| Status::invalid_argument(error.to_string()))?;
         let services = self.host.lift(digest);
-        record(&events::LIFT_ORDERED, &[field("digest", digest), field("services", services.len())]);
+        record(&events::QUARANTINE_LIFTED, &[field("digest", digest), field("services", services.len())]);
         let services = services.iter().map(ToString::to_string).collect();
         Ok(Response::new(v1::LiftReply { services }))
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Opens a session of a router whose messages come from a stream, the hello first.
+/// Opens a session for a router. The first message of the stream must be its hello.
 pub(crate) async fn open_session<S>(host: &ShardHost, mut messages: S) -> Result<Receiver<StreamItem>, Status>
 where
     S: Stream<Item = Result<v1::RouterMessage, Status>> + Send + Unpin + 'static,
@@ -88,8 +88,8 @@
     let (sender, receiver) = unbounded();
     let stopped = |_| Status::unavailable("the shard has stopped; connect again");
     shard.inputs.send(ShardInput::Open(session, sender)).await.map_err(stopped)?;
-    feed(&shard, session, first).await?;
-    tokio::spawn(read_router(shard, session, messages));
+    forward_message(&shard, session, first).await?;
+    tokio::spawn(forward_messages(shard, session, messages));
     Ok(receiver)
 }
 
@@ -102,7 +102,11 @@
     }
 }
 
-async fn feed(shard: &ShardHandle, session: SessionId, message: v1::RouterMessage) -> Result<(), Status> {
+async fn forward_message(
+    shard: &ShardHandle,
+    session: SessionId,
+    message: v1::RouterMessage,
+) -> Result<(), Status> {
     for (request, traceparent) in traces_of(&message) {
         let _ = shard.inputs.send(ShardInput::Traced(request, traceparent)).await;
     }
@@ -118,7 +122,7 @@
     }
 }
 
-/// The waiting requests of a message that belong to a trace.
+/// Returns the submitted requests of a message that have a trace, with their `traceparent`.
 fn traces_of(message: &v1::RouterMessage) -> Vec<(RequestId, String)> {
     let submits = match &message.body {
         Some(Body::Submit(submit)) => std::slice::from_ref(submit),
@@ -131,12 +135,12 @@
         .collect()
 }
 
-async fn read_router<S>(shard: ShardHandle, session: SessionId, mut messages: S)
+async fn forward_messages<S>(shard: ShardHandle, session: SessionId, mut messages: S)
 where
     S: Stream<Item = Result<v1::RouterMessage, Status>> + Send + Unpin,
 {
     while let Some(Ok(message)) = messages.next().await {
-        if feed(&shard, session, message).await.is_err() {
+        if forward_message(&shard, session, message).await.is_err() {
             break;
         }
     }
--- a/crates/micaspool-dispatcher/src/shard_view.rs
+++ b/crates/micaspool-dispatcher/src/shard_view.rs
@@ -1,4 +1,4 @@
-//! The shards of a dispatcher as operators see them.
+//! Metrics and JSON status of the shards of a dispatcher.
 
 use crate::host::ShardHost;
 use micaspool_dispatch::{EndpointClosure, PrefillStatus, RequestStanding, ShardStatus, SuspectStatus};
@@ -13,22 +13,22 @@
     service: String,
 }
 
-/// Gauges of every shard.
+/// Gauges of every shard, labelled by service.
 #[derive(Default)]
 pub(crate) struct ShardGauges {
     waiting: Family<ShardLabels, Gauge>,
     running: Family<ShardLabels, Gauge>,
     open_slots: Family<ShardLabels, Gauge>,
     gap: Family<ShardLabels, Gauge>,
-    slowest_pace: Family<ShardLabels, Gauge>,
+    slowest_prefill_rate: Family<ShardLabels, Gauge>,
     suspected: Family<ShardLabels, Gauge>,
     quarantined: Family<ShardLabels, Gauge>,
-    /// The revision of what the shards follow.
+    /// The revision of the settings or the number of the plan in force.
     pub revision: Gauge,
 }
 
 impl ShardGauges {
-    /// Makes the gauges and registers them.
+    /// Creates the gauges and registers them.
     pub fn register(registry: &mut Registry) -> ShardGauges {
         let gauges = ShardGauges::default();
         registry.register("micaspool_waiting_requests", "Waiting requests", gauges.waiting.clone());
@@ -36,8 +36,12 @@
         registry.register("micaspool_open_slots", "Slots that may take work", gauges.open_slots.clone());
         let gap_help = "Difference of service levels of waiting customers, in cost at weight 1";
         registry.register("micaspool_fairness_gap", gap_help, gauges.gap.clone());
-        let pace_help = "Slowest learnt reading pace of an engine, in tokens a second";
-        registry.register("micaspool_slowest_engine_pace", pace_help, gauges.slowest_pace.clone());
+        let prefill_rate_help = "Slowest learnt reading pace of an engine, in tokens a second";
+        registry.register(
+            "micaspool_slowest_engine_pace",
+            prefill_rate_help,
+            gauges.slowest_prefill_rate.clone(),
+        );
         let suspected_help =
             "Requests that run apart since several endpoints ended under them, or are shut out";
         registry.register("micaspool_suspected_requests", suspected_help, gauges.suspected.clone());
@@ -47,7 +51,7 @@
         gauges
     }
 
-    /// Sets the gauges to what the shards are now.
+    /// Sets the gauges from the latest status of every shard.
     pub fn refresh(&self, host: &ShardHost) {
         for (service, status) in host.statuses() {
             let labels = ShardLabels { service: service.to_string() };
@@ -58,22 +62,24 @@
             self.suspected.get_or_create(&labels).set(status.suspects.len() as i64);
             self.quarantined.get_or_create(&labels).set(quarantined(&status) as i64);
             self.gap.get_or_create(&labels).set(level_gap(&status) as i64);
-            self.slowest_pace.get_or_create(&labels).set((slowest_pace(&status) * 1_000.0) as i64);
+            self.slowest_prefill_rate
+                .get_or_create(&labels)
+                .set((slowest_prefill_rate(&status) * 1_000.0) as i64);
         }
     }
 }
 
-/// What was learnt of an engine's pace as JSON; no age means that the pace is assumed.
-fn pace_json(pace: PrefillStatus) -> serde_json::Value {
+/// Encodes the learnt prefill rate of an engine as JSON; the age is null while the rate is assumed.
+fn prefill_json(prefill: PrefillStatus) -> serde_json::Value {
     json!({
-        "tokens_per_ms": pace.tokens_per_milli,
-        "latency_ms": pace.latency.as_secs_f64() * 1_000.0,
-        "age_ms": pace.age.map(|age| age.as_millis() as u64),
-        "spread": pace.spread,
+        "tokens_per_ms": prefill.tokens_per_milli,
+        "latency_ms": prefill.latency.as_secs_f64() * 1_000.0,
+        "age_ms": prefill.age.map(|age| age.as_millis() as u64),
+        "spread": prefill.spread,
     })
 }
 
-/// A request under which several endpoints ended, as JSON.
+/// Encodes a suspected or quarantined request as JSON.
 fn suspect_json(suspect: &SuspectStatus) -> serde_json::Value {
     let crashes =
         suspect.record.crashes.iter().map(
@@ -88,27 +94,28 @@
     })
 }
 
-/// How many requests of a shard are shut out.
+/// Returns the number of quarantined requests of a shard.
 fn quarantined(status: &ShardStatus) -> usize {
-    let is_out = |suspect: &&SuspectStatus| matches!(suspect.standing, RequestStanding::Quarantined { .. });
-    status.suspects.iter().filter(is_out).count()
+    let is_quarantined =
+        |suspect: &&SuspectStatus| matches!(suspect.standing, RequestStanding::Quarantined { .. });
+    status.suspects.iter().filter(is_quarantined).count()
 }
 
-/// The slowest learnt pace of a shard's engines, in tokens a millisecond; zero before any was learnt.
-fn slowest_pace(status: &ShardStatus) -> f64 {
-    let learnt = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
+/// Returns the lowest learnt prefill rate of a shard's engines in tokens per millisecond, or zero if none is learnt.
+fn slowest_prefill_rate(status: &ShardStatus) -> f64 {
+    let learnt = status.endpoints.iter().filter_map(|endpoint| endpoint.prefill);
     let learnt = learnt.filter(|pace| pace.age.is_some()).map(|pace| pace.tokens_per_milli);
     learnt.reduce(f64::min).unwrap_or(0.0)
 }
 
-/// The spread of levels among customers that wait, in cost at weight 1.
+/// Returns the difference between the highest and lowest level of waiting customers, in cost at weight 1.
 fn level_gap(status: &ShardStatus) -> u64 {
     let levels = || status.customers.iter().filter(|customer| customer.waiting > 0).map(|c| c.level.0);
     let spread = levels().max().unwrap_or(0) - levels().min().unwrap_or(0);
     spread / micaspool_fair::LEVEL_SCALE
 }
 
-/// The state of every shard as JSON.
+/// Encodes the status of every shard as JSON.
 pub(crate) fn shards_json(host: &ShardHost) -> serde_json::Value {
     let shards = host.statuses().into_iter().map(|(service, status)| {
         let customers = status.customers.iter().map(|customer| {
@@ -130,7 +137,7 @@
                 "failures": endpoint.failures,
                 "cold_ms": endpoint.cold.as_millis() as u64,
                 "rests_for_routers": endpoint.resting_routers,
-                "pace": endpoint.pace.map(pace_json),
+                "pace": endpoint.prefill.map(prefill_json),
             })
         });
         json!({
@@ -140,7 +147,7 @@
             "routers": status.routers,
             "waiting": status.waiting,
             "running": status.running,
-            "rounds": status.rounds,
+            "rounds": status.passes,
             "gap": level_gap(&status),
             "customers": customers.collect::<Vec<_>>(),
             "endpoints": endpoints.collect::<Vec<_>>(),
--- a/crates/micaspool-dispatcher/src/tally.rs
+++ b/crates/micaspool-dispatcher/src/tally.rs
@@ -1,7 +1,7 @@
-//! What a shard decided lately: one log line now and then, and a bounded number of lines for refusals.
+//! Logs the decisions of a shard: a periodic summary, and a limited number of lines for single refusals.
 
-use crate::binding::BindingTally;
 use crate::closures::ClosureLog;
+use crate::constraints::ConstraintTally;
 use crate::customer_log::CustomerLog;
 use crate::objectives::ObjectiveTally;
 use crate::standings::StandingLog;
@@ -12,21 +12,21 @@
 use micaspool_wire::convert::reason_text;
 use std::time::Duration;
 
-/// How often a shard that is used says what it decided.
-const INTERVAL: Duration = Duration::from_secs(2);
-/// The most refusals that get a line of their own in an interval; the others are only counted. A flood has
-/// 700 a second, and a line takes some 5 us.
-const MOST_REFUSAL_LINES: u64 = 40;
+/// The interval of the periodic lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(2);
+/// The maximum number of refusals logged one by one in an interval; others are only counted. A flood causes 700
+/// refusals a second, and writing a line takes about 5 us.
+const MAX_REFUSAL_LINES: u64 = 40;
 
-/// Grants and refusals since the last line.
+/// Counts grants and refusals since the last summary, and holds the other periodic logs of a shard.
 #[derive(Debug)]
 pub(crate) struct ShardTally {
     service: ServiceName,
     grants: u64,
     refusals: RefusalCounts,
-    /// The refusals at the last look.
-    refusals_seen: u64,
-    binding: BindingTally,
+    /// The number of refusals when endpoint constraints were last sampled.
+    sampled_refusals: u64,
+    constraints: ConstraintTally,
     objectives: ObjectiveTally,
     closures: ClosureLog,
     customers: CustomerLog,
@@ -34,14 +34,14 @@
     due: BootInstant,
 }
 
-/// Refusals since the last line.
+/// Counts refusals since the last summary.
 #[derive(Debug, Default)]
 struct RefusalCounts {
-    all: u64,
-    /// Those that had waited.
+    total: u64,
+    /// Refusals of tickets that had waited.
     waited: u64,
-    /// How long they had waited together.
-    wait: Duration,
+    /// The sum of the waiting times of refused tickets.
+    total_wait: Duration,
 }
 
 impl ShardTally {
@@ -54,57 +54,57 @@
             service,
             grants: 0,
             refusals: RefusalCounts::default(),
-            refusals_seen: 0,
-            binding: BindingTally::default(),
-            due: BootInstant::now() + INTERVAL,
+            sampled_refusals: 0,
+            constraints: ConstraintTally::default(),
+            due: BootInstant::now() + LOG_INTERVAL,
         }
     }
 
-    /// Counts a decision.
+    /// Counts a decision, and logs it if it is a refusal within the limit or a change of standing.
     pub fn count(&mut self, action: &ShardAction) {
         match action {
             ShardAction::Grant { objective, .. } => {
                 self.grants += 1;
-                self.objectives.granted(*objective);
+                self.objectives.count_grant(*objective);
             }
             ShardAction::Refuse { waited, objective, .. } => {
                 self.refusals.add(*waited);
-                self.objectives.refused(*objective, *waited);
-                if self.refusals.all <= MOST_REFUSAL_LINES {
-                    self.tell_refusal(action);
+                self.objectives.count_refusal(*objective, *waited);
+                if self.refusals.total <= MAX_REFUSAL_LINES {
+                    self.log_refusal(action);
                 }
             }
             ShardAction::ReportStanding { record, before, after, cause } => {
-                self.standings.tell(record, *before, *after, *cause)
+                self.standings.log_change(record, *before, *after, *cause)
             }
             _ => {}
         }
     }
 
-    /// Writes what is due.
-    pub fn tell(&mut self, status: &ShardStatus) {
+    /// Updates the logs from the shard's status, and writes the periodic lines when they are due.
+    pub fn report(&mut self, status: &ShardStatus) {
         let now = BootInstant::now();
-        self.closures.follow(now, &status.endpoints);
-        if status.waiting > 0 || self.refusals.all > self.refusals_seen {
-            self.binding.sample(status);
+        self.closures.update(now, &status.endpoints);
+        if status.waiting > 0 || self.refusals.total > self.sampled_refusals {
+            self.constraints.sample(status);
         }
-        self.refusals_seen = self.refusals.all;
+        self.sampled_refusals = self.refusals.total;
         if now < self.due {
             return;
         }
-        self.due = now + INTERVAL;
-        if self.grants + self.refusals.all > 0 {
-            self.write(now, status);
+        self.due = now + LOG_INTERVAL;
+        if self.grants + self.refusals.total > 0 {
+            self.log_decisions(now, status);
         }
-        self.objectives.tell();
-        self.customers.tell(&status.customers);
-        self.standings.renew();
+        self.objectives.report();
+        self.customers.report(&status.customers);
+        self.standings.start_interval();
         self.grants = 0;
         self.refusals = RefusalCounts::default();
-        self.refusals_seen = 0;
+        self.sampled_refusals = 0;
     }
 
-    fn tell_refusal(&self, action: &ShardAction) {
+    fn log_refusal(&self, action: &ShardAction) {
         let ShardAction::Refuse {
             request,
             reason,
@@ -131,12 +131,12 @@
         record(&events::TICKET_REFUSED, &fields);
     }
 
-    fn write(&mut self, now: BootInstant, status: &ShardStatus) {
+    fn log_decisions(&mut self, now: BootInstant, status: &ShardStatus) {
         let mut fields = vec![
             field("service", &self.service),
             field("revision", status.revision.0),
             field("grants", self.grants),
-            field("refusals", self.refusals.all),
+            field("refusals", self.refusals.total),
             field("refused_after_wait", self.refusals.waited),
             field("mean_refused_wait_ms", self.refusals.mean_wait().as_millis()),
             field("waiting", status.waiting),
@@ -146,26 +146,26 @@
             field("routers", status.routers),
         ];
         fields.extend(endpoint_fields(status));
-        fields.extend(self.binding.take_fields());
-        fields.push(field("longest_closed_ms", self.closures.longest(now).as_millis()));
-        fields.extend(pace_fields(status));
+        fields.extend(self.constraints.take_fields());
+        fields.push(field("longest_closed_ms", self.closures.longest_closure(now).as_millis()));
+        fields.extend(prefill_fields(status));
         record(&events::SHARD_DECIDED, &fields);
     }
 }
 
 impl RefusalCounts {
     fn add(&mut self, waited: Duration) {
-        self.all += 1;
+        self.total += 1;
         self.waited += u64::from(!waited.is_zero());
-        self.wait += waited;
+        self.total_wait += waited;
     }
 
     fn mean_wait(&self) -> Duration {
-        self.wait / u32::try_from(self.waited).unwrap_or(u32::MAX).max(1)
+        self.total_wait / u32::try_from(self.waited).unwrap_or(u32::MAX).max(1)
     }
 }
 
-/// How many endpoints are in which state.
+/// Returns how many endpoints are in each state, and how many slots others use.
 fn endpoint_fields(status: &ShardStatus) -> Vec<EventField> {
     let known = || status.endpoints.iter().filter(|endpoint| endpoint.slots > 0);
     let count = |wanted: fn(&EndpointStatus) -> bool| known().filter(|e| wanted(e)).count();
@@ -177,23 +177,23 @@
         field("endpoints_cold", count(|endpoint| !endpoint.cold.is_zero())),
         field("endpoints_resting", count(|endpoint| endpoint.resting_routers > 0)),
         field("endpoints_free", count(|endpoint| endpoint.free)),
-        field("endpoints_reading", count(|endpoint| endpoint.reading)),
+        field("endpoints_reading", count(|endpoint| endpoint.prefill_limited)),
         field("endpoints_failing", count(|endpoint| endpoint.failures > 0)),
         field("foreign", status.endpoints.iter().map(|endpoint| endpoint.foreign).sum::<u32>()),
     ]
 }
 
-/// What is known of the paces of engines.
-fn pace_fields(status: &ShardStatus) -> Vec<EventField> {
-    let paces = status.endpoints.iter().filter_map(|endpoint| endpoint.pace);
-    let observed: Vec<PrefillStatus> = paces.filter(|pace| pace.age.is_some()).collect();
-    let speeds = || observed.iter().map(|pace| pace.tokens_per_milli);
+/// Returns the number of learnt prefill rates, their extremes and the mean latency.
+fn prefill_fields(status: &ShardStatus) -> Vec<EventField> {
+    let statuses = status.endpoints.iter().filter_map(|endpoint| endpoint.prefill);
+    let observed: Vec<PrefillStatus> = statuses.filter(|pace| pace.age.is_some()).collect();
+    let rates = || observed.iter().map(|pace| pace.tokens_per_milli);
     let latencies: Duration = observed.iter().map(|pace| pace.latency).sum();
     let engines = u32::try_from(observed.len()).unwrap_or(u32::MAX).max(1);
     vec![
         field("paces_learnt", observed.len()),
-        field("slowest_tokens_per_ms", format!("{:.1}", speeds().reduce(f64::min).unwrap_or(0.0))),
-        field("fastest_tokens_per_ms", format!("{:.1}", speeds().reduce(f64::max).unwrap_or(0.0))),
+        field("slowest_tokens_per_ms", format!("{:.1}", rates().reduce(f64::min).unwrap_or(0.0))),
+        field("fastest_tokens_per_ms", format!("{:.1}", rates().reduce(f64::max).unwrap_or(0.0))),
         field("mean_latency_ms", (latencies / engines).as_millis()),
     ]
 }
--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -6,7 +6,9 @@
 use crate::proxy::{Gateway, GatewayParts};
 use async_std::task;
 use micaspool_backpressure::SharedAdvice;
-use micaspool_client::{AddressNamed, FleetMirror, FleetMirrorOptions, PeerDirectory, ENDPOINT_LIFE};
+use micaspool_client::{
+    AddressDirectory, FleetMirror, FleetMirrorOptions, PeerDirectory, MAX_ENDPOINT_SILENCE,
+};
 use micaspool_clock::BootInstant;
 use micaspool_daemon::StartError;
 use micaspool_dispatcher::{
@@ -36,7 +38,7 @@
 /// The memory that a gateway uses without any callers, in bytes. 13 MB were measured on the users' small sites.
 const BASELINE_BYTES: u64 = 30_000_000;
 /// The memory of one caller connection, including its request and the connection to the endpoint, in bytes.
-/// On the grown milk site a gateway with 3,900 file descriptors, about 3,000 callers, used 127 MB, and one
+/// On the users' enlarged milk site, a gateway with 3,900 file descriptors, about 3,000 callers, used 127 MB, and one
 /// gateway more than 160 MB; half of the callers may have a long body that is not read yet.
 const CONNECTION_BYTES: u64 = 55_000;
 /// One in this many connections is reserved for refusing callers immediately. A refusal occupies its
@@ -82,13 +84,13 @@
             callers: loopback,
             status: vec![loopback],
             seeds: Vec::new(),
-            keepers: Arc::new(AddressNamed { port: 7_400 }),
-            dispatchers: Arc::new(AddressNamed { port: 7_401 }),
+            keepers: Arc::new(AddressDirectory { port: 7_400 }),
+            dispatchers: Arc::new(AddressDirectory { port: 7_401 }),
             dialect: Arc::new(NativeDialect),
             format: Arc::new(JsonFormat),
             probe: Arc::new(HttpEndpointProbe::default()),
             advice: SharedAdvice::new(),
-            edge: EdgeOptions { turns: true, ..EdgeOptions::default() },
+            edge: EdgeOptions { sheds_load: true, ..EdgeOptions::default() },
         };
         GatewayOptionsBuilder { options }
     }
@@ -142,8 +144,8 @@
         self
     }
 
-    /// Sets the board of back-off advice from endpoints. It is shared with the probe, because a resting endpoint
-    /// must not be probed either.
+    /// Sets the store of the advice that endpoints give. It is shared with the probe, because a resting endpoint must
+    /// not be probed either.
     pub fn advice(mut self, advice: Arc<SharedAdvice>) -> Self {
         self.options.advice = advice;
         self
@@ -152,10 +154,10 @@
     /// Limits the memory of the process, in bytes, by limiting the number of caller connections.
     pub fn memory(mut self, bytes: u64) -> Self {
         let affordable = usize::try_from(bytes.saturating_sub(BASELINE_BYTES) / CONNECTION_BYTES);
-        let maximum = EdgeOptions::default().connections;
+        let maximum = EdgeOptions::default().max_connections;
         let total = affordable.unwrap_or(maximum).clamp(MIN_CONNECTIONS, maximum);
-        self.options.edge.refused = total / REFUSED_DIVISOR;
-        self.options.edge.connections = total - self.options.edge.refused;
+        self.options.edge.max_refused = total / REFUSED_DIVISOR;
+        self.options.edge.max_connections = total - self.options.edge.max_refused;
         self
     }
 
@@ -206,7 +208,7 @@
         directory: options.keepers.clone(),
         format: options.format.clone(),
         counter: counters.keepers.clone(),
-        endpoint_life: ENDPOINT_LIFE,
+        max_endpoint_silence: MAX_ENDPOINT_SILENCE,
     });
     let spans = SpanSink::default();
     let local_dispatcher = FleetDispatcher::new(FleetDispatcherOptions {
@@ -272,7 +274,7 @@
             prepared = number;
             gateway.prepare_shards();
         }
-        pool.sweep();
+        pool.remove_expired();
         advice.expire();
         task::sleep(MAINTENANCE_INTERVAL).await;
     }
@@ -328,7 +330,7 @@
         let (resting, leaving) = self.advice.counts();
         self.metrics.endpoints_resting.set(i64::try_from(resting).unwrap_or(i64::MAX));
         self.metrics.endpoints_leaving.set(i64::try_from(leaving).unwrap_or(i64::MAX));
-        let evacuated = self.mirror.hall_orders().evacuated();
+        let evacuated = self.mirror.hall_orders().evacuated_count();
         self.metrics.halls_evacuated.set(i64::try_from(evacuated).unwrap_or(i64::MAX));
         self.traffic.refresh();
         encode_text(&self.registry)
@@ -339,7 +341,7 @@
         let keepers = self.mirror.keepers().into_iter().map(|sight| {
             json!({
                 "name": sight.peer.name.as_str(),
-                "reached": sight.is_reached(),
+                "reached": sight.is_connected(),
                 "hears_majority": sight.confirmed,
             })
         });
--- a/crates/micaspool-gateway/src/proxy/attempt.rs
+++ b/crates/micaspool-gateway/src/proxy/attempt.rs
@@ -13,7 +13,7 @@
 use micaspool_backpressure::AdviceSource;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{GrantOutcome, RequestTicket};
-use micaspool_http::edge::{whole_body, EdgeBody};
+use micaspool_http::edge::{full_body, EdgeBody};
 use micaspool_http::pool::PooledBody;
 use micaspool_registry::{EndpointRecord, EndpointStage};
 use micaspool_router::GrantLease;
@@ -113,19 +113,19 @@
         let UsableAnswer { lease, response } = answer;
         let (mut head, body) = response.into_parts();
         let time_left = self.deadline.saturating_duration_since(BootInstant::now());
-        let (cause, fate) = match timeout(time_left, body.collect()).await {
+        let (cause, outcome) = match timeout(time_left, body.collect()).await {
             Ok(Ok(whole)) => {
                 lease.settle(Cost(1), GrantOutcome::Done);
                 strip_hop_by_hop(&mut head.headers);
                 log.set_status(head.status.as_u16());
                 log.record_first_byte();
                 log.finish();
-                return Ok(Response::from_parts(head, whole_body(whole.to_bytes())));
+                return Ok(Response::from_parts(head, full_body(whole.to_bytes())));
             }
             Ok(Err(error)) => (error.to_string(), GrantOutcome::Severed),
             Err(_) => ("response body incomplete at the deadline".to_owned(), GrantOutcome::Broken),
         };
-        lease.settle(Cost(1), fate);
+        lease.settle(Cost(1), outcome);
         Err(cause)
     }
 
@@ -178,7 +178,7 @@
                 continue;
             }
             if !lease.is_valid() {
-                record(&events::LEASE_OVER, &[field("request", log.id())]);
+                record(&events::LEASE_EXPIRED, &[field("request", log.id())]);
                 lease.settle(Cost(0), GrantOutcome::Unsent);
                 continue;
             }
@@ -279,7 +279,7 @@
         let request = self.build_request(gateway, &context);
         lease.mark_sent();
         let may_send = || parts.advice.may_send(&endpoint.name) && !parts.mirror.is_evacuated(&endpoint.hall);
-        let sent = timeout(time_left, parts.pool.send_while(endpoint.address, request, may_send)).await;
+        let sent = timeout(time_left, parts.pool.send_if(endpoint.address, request, may_send)).await;
         let failure = match sent {
             Ok(Ok(response)) => {
                 let (head, body) = response.into_parts();
@@ -297,16 +297,15 @@
             Ok(Err(error)) => SendFailure::from_error(&error),
             Err(_) => SendFailure::deadline(),
         };
-        lease.settle(Cost(0), failure.fate);
+        lease.settle(Cost(0), failure.outcome);
         Err(failure)
     }
 
-    /// Applies the back-off advice in the head of an endpoint's answer and reports it to the dispatcher before the
-    /// grant ends.
+    /// Applies the advice in the head of an endpoint's answer and reports it to the dispatcher before the grant ends.
     fn apply_advice(&self, gateway: &Gateway, endpoint: &EndpointRecord, head: &response::Parts) {
         let parts = &gateway.shared.parts;
         let parsed = parts.dialect.advice(head);
-        if let Some(fault) = &parsed.fault {
+        if let Some(fault) = &parsed.error {
             let fields = [
                 field("endpoint", &endpoint.name),
                 field("request", &self.call.caller.id),
@@ -321,7 +320,7 @@
         };
         let Some(advice) = parts.advice.apply(source, parsed.advice) else { return };
         if advice.advice.leaving {
-            parts.pool.close_resting(endpoint.address);
+            parts.pool.close_idle(endpoint.address);
         }
         gateway.shard(&endpoint.service).report_advice(advice);
     }
--- a/crates/micaspool-gateway/src/request_log.rs
+++ b/crates/micaspool-gateway/src/request_log.rs
@@ -98,7 +98,7 @@
         record(&events::GRANT_UNUSABLE, &fields);
     }
 
-    /// Logs a grant that is not used because the endpoint asked this process to back off or announced that it is
+    /// Logs a grant that is not used because the endpoint asked this process to rest or announced that it is
     /// leaving.
     pub fn log_withheld_grant(&self, advice_record: &AdviceRecord) {
         let held_as = if advice_record.advice.leaving { "said-leaving" } else { "resting" };
@@ -161,7 +161,7 @@
     pub fn refuse(&mut self, refusal: &Refusal) {
         self.metrics.count_refusal(refusal.kind.as_str());
         let suppressed = match refusal.kind {
-            RefusalKind::Throttled => self.metrics.throttled_log_limit.turn(),
+            RefusalKind::Throttled => self.metrics.throttled_log_limit.admit(),
             _ => Some(0),
         };
         let Some(suppressed) = suppressed else {
@@ -177,7 +177,7 @@
         fields.extend(self.ticket.map(|ticket| field("ticket", ticket)));
         fields.extend(self.digest_field());
         fields.extend((suppressed > 0).then(|| field("left_out", suppressed)));
-        self.log_end(&events::REQUEST_TURNED_AWAY, &fields);
+        self.log_end(&events::REQUEST_UNANSWERED, &fields);
     }
 
     /// The digest of the request, logged with failures and refusals so that all copies of a request can be found.
--- a/crates/micaspool-halls/src/order.rs
+++ b/crates/micaspool-halls/src/order.rs
@@ -4,22 +4,22 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Whether the endpoints of a data hall get requests.
+/// Whether requests may be sent to the endpoints of a data hall.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
-pub enum HallUse {
-    /// The endpoints get requests.
+pub enum HallState {
+    /// Requests may be sent.
     #[default]
     Open,
-    /// The endpoints get no requests.
+    /// No requests may be sent.
     Evacuated,
 }
 
-impl HallUse {
+impl HallState {
     /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            HallUse::Open => "open",
-            HallUse::Evacuated => "evacuated",
+            HallState::Open => "open",
+            HallState::Evacuated => "evacuated",
         }
     }
 }
@@ -29,8 +29,8 @@
 pub struct HallOrder {
     /// The number of the order; each later change of any hall has a higher one.
     pub number: u64,
-    /// The ordered use of the hall.
-    pub wanted: HallUse,
+    /// The ordered state of the hall.
+    pub wanted: HallState,
     /// The operator who gave the order; informational.
     pub ordered_by: Arc<str>,
     /// When the order was proposed, in milliseconds since the Unix epoch by the clock of the leading keeper;
@@ -43,8 +43,8 @@
 pub struct OrderCommand {
     /// The data hall.
     pub hall: HallName,
-    /// The ordered use of the hall.
-    pub wanted: HallUse,
+    /// The ordered state of the hall.
+    pub wanted: HallState,
     /// The number of the newest order about any hall that was known where this order was received.
     pub known: u64,
     /// The operator who gives the order.
--- a/crates/micaspool-keeper/src/daemon.rs
+++ b/crates/micaspool-keeper/src/daemon.rs
@@ -8,7 +8,7 @@
 use async_std::channel::{bounded, unbounded, Sender};
 use async_std::task;
 use futures::channel::oneshot;
-use micaspool_client::{ListedPeers, PeerDirectory};
+use micaspool_client::{PeerDirectory, StaticDirectory};
 use micaspool_daemon::{open_spans, StartError};
 use micaspool_http::status::{serve_status, StatusSource};
 use micaspool_ledger::LedgerOptions;
@@ -134,8 +134,8 @@
     }
 
     /// Sets whether this keeper may form the first group. Otherwise it can only join an existing one.
-    pub fn may_form(mut self, allowed: bool) -> Self {
-        self.options.quorum.may_form = allowed;
+    pub fn may_form_group(mut self, allowed: bool) -> Self {
+        self.options.quorum.may_form_group = allowed;
         self
     }
 
@@ -208,10 +208,10 @@
 /// Starts a keeper as configured in its settings file.
 pub async fn run_keeper(settings: &ProcessSettings) -> Result<KeeperDaemon, Error> {
     let configured = settings.keepers.iter().map(|keeper| keeper.name.clone()).collect();
-    let directory = Arc::new(ListedPeers(settings.keepers.clone()));
+    let directory = Arc::new(StaticDirectory(settings.keepers.clone()));
     let options = KeeperOptions::builder(settings.instance.clone(), configured, directory)
-        .wire(settings.wire)
-        .status(settings.status)
+        .wire(settings.wire_address)
+        .status(settings.status_address)
         .data_folder(settings.data_folder.clone())
         .spans(open_spans(settings)?)
         .build();
@@ -224,7 +224,7 @@
     let opened =
         KeeperFiles::open(folder, &options.instance, StoreOptions::default()).map_err(Error::Store)?;
     if opened.truncated_bytes > 0 {
-        record(&events::STORE_CUT, &[field("bytes", opened.truncated_bytes)]);
+        record(&events::STORE_TRUNCATED, &[field("bytes", opened.truncated_bytes)]);
     }
     let (outgoing, envelopes) = unbounded();
     let reopen = ReopenOptions { folder: folder.clone(), name: options.instance.clone() };
--- a/crates/micaspool-keeper/src/registry_hub.rs
+++ b/crates/micaspool-keeper/src/registry_hub.rs
@@ -18,7 +18,7 @@
 pub(crate) struct HubCursor {
     /// The version up to which it has been sent changed records.
     changed: u64,
-    /// The version up to which it has been sent unchanged records as well.
+    /// The version up to which it has been sent all records, changed or not.
     received: u64,
 }
 
@@ -46,6 +46,7 @@
     received: HashMap<EndpointName, u64>,
     /// The version at which each endpoint last changed.
     changed: HashMap<EndpointName, u64>,
+    /// Incremented each time an endpoint registers or is marked as left.
     version: u64,
     subscribers: Vec<Sender<()>>,
 }
@@ -90,11 +91,11 @@
     }
 
     /// Marks an endpoint as left, by the identity that all its starts share. Returns false if this keeper
-    /// has no record of it: the identity alone does not make one, so the caller must look for the record
-    /// elsewhere.
-    pub fn leave(&self, identity: &EndpointName) -> bool {
+    /// has no record of it. A record cannot be made from the identity alone, so the caller must then look
+    /// for one elsewhere.
+    pub fn deregister(&self, identity: &EndpointName) -> bool {
         let mut content = self.lock();
-        let Some(name) = content.registry.leave(self.clock.now(), identity) else { return false };
+        let Some(name) = content.registry.deregister(self.clock.now(), identity) else { return false };
         content.mark_received(&name);
         content.mark_changed(&name);
         let stage = format!("{:?}", EndpointStage::Left);
@@ -124,7 +125,7 @@
         let is_newer =
             |endpoint: &&EndpointRecord| versions.get(&endpoint.name).is_some_and(|version| *version > seen);
         let now = self.clock.now();
-        let outgoing = |record: &EndpointRecord| content.registry.with_cold_left(now, record);
+        let outgoing = |record: &EndpointRecord| content.registry.with_remaining_cold(now, record);
         let records = content.registry.iter().filter(is_newer).map(outgoing).collect();
         let received = match scope {
             HubScope::Changed => cursor.received,
--- a/crates/micaspool-keeper/src/service.rs
+++ b/crates/micaspool-keeper/src/service.rs
@@ -253,7 +253,11 @@
         let reply = match self.submit(EngineInput::Barrier).await? {
             Ok(_) => {
                 let orders = self.view().halls.clone();
-                v1::HallsReply { halls: hall_messages(&orders), newest: orders.newest(), not_leader: None }
+                v1::HallsReply {
+                    halls: hall_messages(&orders),
+                    newest: orders.newest_number(),
+                    not_leader: None,
+                }
             }
             Err(error) => {
                 v1::HallsReply { not_leader: Some(self.not_leader(error)?), ..v1::HallsReply::default() }
@@ -316,9 +320,9 @@
 
 fn record_verdict(order: [EventField; 4], verdict: OrderVerdict) {
     let (kind, number) = match verdict {
-        OrderVerdict::InForce(number) => (&events::HALL_ORDER_TAKEN, number),
-        OrderVerdict::Overtaken(number) => (&events::HALL_ORDER_NOT_TAKEN, number),
-        OrderVerdict::TooManyHalls => (&events::HALL_ORDER_NOT_TAKEN, 0),
+        OrderVerdict::InForce(number) => (&events::HALL_ORDER_ACCEPTED, number),
+        OrderVerdict::Overtaken(number) => (&events::HALL_ORDER_REJECTED, number),
+        OrderVerdict::TooManyHalls => (&events::HALL_ORDER_REJECTED, 0),
     };
     let fields: Vec<EventField> = order.into_iter().chain([field("in_force", number)]).collect();
     record(kind, &fields);
--- a/crates/micaspool-keeper/tests/exchange.rs
+++ b/crates/micaspool-keeper/tests/exchange.rs
@@ -6,7 +6,7 @@
 //! requests for longer than the election timeout of 500 ms. It went on for the rest of the day.
 
 use async_std::task;
-use micaspool_client::{AddressNamed, PeerDirectory};
+use micaspool_client::{AddressDirectory, PeerDirectory};
 use micaspool_keeper::{start_keeper, ExchangeAddresses, KeeperDaemon, KeeperOptions};
 use micaspool_quorum::OpenGroupOptions;
 use micaspool_types::InstanceName;
@@ -36,11 +36,11 @@
 }
 
 fn name(number: u8) -> InstanceName {
-    AddressNamed::name(address(number)).expect("an address is a valid name")
+    AddressDirectory::name(address(number)).expect("an address is a valid name")
 }
 
 fn directory(port: u16) -> Arc<dyn PeerDirectory> {
-    Arc::new(AddressNamed { port })
+    Arc::new(AddressDirectory { port })
 }
 
 async fn keeper(number: u8) -> (KeeperDaemon, TemporaryFolder) {
--- a/crates/micaspool-keeper/tests/follow.rs
+++ b/crates/micaspool-keeper/tests/follow.rs
@@ -2,7 +2,7 @@
 
 use async_std::task;
 use futures::future::join_all;
-use micaspool_client::{AddressNamed, PeerDirectory};
+use micaspool_client::{AddressDirectory, PeerDirectory};
 use micaspool_keeper::{start_keeper, KeeperOptions, RegistryHub};
 use micaspool_registry::{EndpointRecord, EndpointStage};
 use micaspool_telemetry::traffic::TrafficCounter;
@@ -70,7 +70,7 @@
 /// Returns the options of a keeper that forms a group alone.
 fn single_keeper_options(folder: PathBuf) -> KeeperOptions {
     let name = InstanceName::parse("127.0.0.1").expect("the name is valid");
-    let directory: Arc<dyn PeerDirectory> = Arc::new(AddressNamed { port: 1 });
+    let directory: Arc<dyn PeerDirectory> = Arc::new(AddressDirectory { port: 1 });
     KeeperOptions::builder(name.clone(), vec![name], directory).data_folder(folder).build()
 }
 
--- a/crates/micaspool-quorum/src/core/forming.rs
+++ b/crates/micaspool-quorum/src/core/forming.rs
@@ -14,10 +14,12 @@
 /// unreachable.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
-/// The announcements that this keeper has sent and received.
+/// The announcements that this keeper has sent and received, and the keepers discovered from messages.
 #[derive(Debug, Default)]
 pub(super) struct FormingState {
+    /// The latest announcement of each keeper.
     announcements: HashMap<InstanceName, ReceivedAnnouncement>,
+    /// When this keeper last announced itself.
     last_announced: Option<Moment>,
     /// Keepers learnt of from messages, besides the configured ones.
     discovered: BTreeSet<InstanceName>,
@@ -26,7 +28,9 @@
 #[derive(Debug, Clone)]
 struct ReceivedAnnouncement {
     identity: KeeperIdentity,
+    /// Whether the keeper belongs to no group and has no log.
     empty: bool,
+    /// When the announcement arrived.
     at: Moment,
 }
 
@@ -58,7 +62,7 @@
 
     /// Returns every other known keeper: one of them may be the leader or know it.
     fn known_keepers(&self) -> BTreeSet<InstanceName> {
-        let mut known: BTreeSet<InstanceName> = self.other_keepers().into_iter().collect();
+        let mut known: BTreeSet<InstanceName> = self.other_configured().into_iter().collect();
         known.extend(self.forming.discovered.iter().cloned());
         known.extend(self.member_names());
         known.remove(&self.identity.name);
@@ -69,7 +73,8 @@
         self.log.membership().members.iter().map(|member| member.identity.name.clone()).collect()
     }
 
-    fn other_keepers(&self) -> Vec<InstanceName> {
+    /// Returns the configured keepers other than this one.
+    fn other_configured(&self) -> Vec<InstanceName> {
         self.options.configured.iter().filter(|name| **name != self.identity.name).cloned().collect()
     }
 
@@ -109,12 +114,12 @@
 
     fn form_if_possible(&mut self, now: Moment) {
         let lowest_name = self.options.configured.iter().min();
-        if self.is_formed() || !self.options.may_form || lowest_name != Some(&self.identity.name) {
+        if self.is_formed() || !self.options.may_form_group || lowest_name != Some(&self.identity.name) {
             return;
         }
         let limit = self.options.announce_interval * MAX_MISSED_ANNOUNCEMENTS;
         let mut identities = vec![self.identity.clone()];
-        for name in self.other_keepers() {
+        for name in self.other_configured() {
             match self.forming.announcements.get(&name) {
                 Some(announcement) if announcement.empty && now.since(announcement.at) < limit => {
                     identities.push(announcement.identity.clone())
@@ -126,7 +131,7 @@
         let members = identities.into_iter().map(|identity| GroupMember { identity, voter: true }).collect();
         let membership = GroupMembership { members };
         self.adopt_group(now, membership.clone());
-        for name in self.other_keepers() {
+        for name in self.other_configured() {
             self.send(&name, PeerBody::Form { membership: membership.clone() });
         }
     }
--- a/crates/micaspool-registry/src/registry.rs
+++ b/crates/micaspool-registry/src/registry.rs
@@ -35,7 +35,9 @@
 #[derive(Clone, Debug)]
 struct EndpointEntry {
     record: EndpointRecord,
+    /// When the latest record that was not stale arrived, or the endpoint was marked as left.
     last_seen: Moment,
+    /// The end of the cold phase by the receiver's clock.
     cold_until: Moment,
 }
 
@@ -80,14 +82,14 @@
         if newest.is_some_and(|newest| record.incarnation < newest.incarnation) {
             return MergeOutcome::Stale;
         }
-        let before = newest.filter(|newest| newest.name != record.name).map(|newest| newest.name.clone());
+        let previous = newest.filter(|newest| newest.name != record.name).map(|newest| newest.name.clone());
         let start =
             NewestStart { name: record.name.clone(), incarnation: record.incarnation, last_seen: now };
         self.newest.insert(record.identity.clone(), start);
         let outcome = self.merge_start(now, record);
-        match before {
-            Some(before) => {
-                self.endpoints.remove(&before);
+        match previous {
+            Some(previous) => {
+                self.endpoints.remove(&previous);
                 MergeOutcome::Restarted
             }
             None => outcome,
@@ -122,7 +124,7 @@
     }
 
     /// Marks the newest start of an endpoint as left and returns its name, or `None` if no record of it is known.
-    pub fn leave(&mut self, now: Moment, identity: &EndpointName) -> Option<EndpointName> {
+    pub fn deregister(&mut self, now: Moment, identity: &EndpointName) -> Option<EndpointName> {
         let name = self.newest.get(identity)?.name.clone();
         let entry = self.endpoints.get_mut(&name)?;
         entry.record.stage = EndpointStage::Left;
@@ -133,13 +135,13 @@
     /// Removes endpoints that were not seen for longer than `max_silence`, or, if they left, for longer than
     /// `LEFT_RETENTION`. Returns true if any was removed.
     pub fn expire(&mut self, now: Moment, max_silence: Duration) -> bool {
-        let before = self.endpoints.len();
+        let count_before = self.endpoints.len();
         self.newest.retain(|_, start| now.since(start.last_seen) <= LEFT_RETENTION);
         self.endpoints.retain(|_, entry| {
             let limit = if entry.record.stage == EndpointStage::Left { LEFT_RETENTION } else { max_silence };
             now.since(entry.last_seen) <= limit
         });
-        self.endpoints.len() != before
+        self.endpoints.len() != count_before
     }
 
     /// Returns the record of the newest start of an endpoint.
@@ -158,13 +160,13 @@
     }
 
     /// Returns how much longer an endpoint is cold; zero if it is warm or unknown.
-    pub fn cold_left(&self, now: Moment, name: &EndpointName) -> Duration {
+    pub fn remaining_cold(&self, now: Moment, name: &EndpointName) -> Duration {
         self.endpoints.get(name).map_or(Duration::ZERO, |entry| entry.cold_until.since(now))
     }
 
     /// Returns the record with `cold` counted from now, as it is to be sent to others.
-    pub fn with_cold_left(&self, now: Moment, record: &EndpointRecord) -> EndpointRecord {
-        EndpointRecord { cold: self.cold_left(now, &record.name), ..record.clone() }
+    pub fn with_remaining_cold(&self, now: Moment, record: &EndpointRecord) -> EndpointRecord {
+        EndpointRecord { cold: self.remaining_cold(now, &record.name), ..record.clone() }
     }
 
     /// Returns the time since the endpoint was last seen.
--- a/crates/micaspool-replay/src/run/endpoints.rs
+++ b/crates/micaspool-replay/src/run/endpoints.rs
@@ -1,4 +1,4 @@
-//! Fake endpoints: slots, delivery in steps, and a prefix cache in limited memory.
+//! Simulated endpoints: slots, delivery in steps and a prefix cache of limited size.
 
 use super::setup::endpoint_name;
 use crate::trace::TraceHeader;
@@ -6,8 +6,8 @@
 use micaspool_types::RequestId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many prefixes an endpoint's cache holds.
-const CACHE: usize = 48;
+/// The number of prefixes that the cache of an endpoint holds.
+const CACHED_PREFIXES: usize = 48;
 
 #[derive(Debug)]
 struct RunningRequest {
@@ -57,7 +57,7 @@
         self.endpoints[endpoint].running
     }
 
-    /// The busy and the usable slots in some halls.
+    /// The number of busy slots and of all slots at the running endpoints of these halls, a bit mask.
     pub fn slots_in(&self, halls: u32) -> (u32, u32) {
         let in_halls =
             self.endpoints.iter().enumerate().filter(|(number, _)| halls & (1 << (number % self.halls)) != 0);
@@ -66,7 +66,7 @@
             .fold((0, 0), |(busy, all), (_, endpoint)| (busy + endpoint.running, all + self.slots))
     }
 
-    /// Starts a request; tells whether its longest prefix was cached, and what the cache changed.
+    /// Starts a request. Returns whether its longest prefix was cached, and the change of the cache.
     pub fn start(
         &mut self,
         endpoint: usize,
@@ -79,21 +79,21 @@
         self.requests.insert(request, RunningRequest { endpoint, cost, delivered: 0, run });
         let target = &mut self.endpoints[endpoint];
         target.running += 1;
-        let hit = prefixes.last().is_some_and(|prefix| target.cache.contains(prefix));
+        let is_hit = prefixes.last().is_some_and(|prefix| target.cache.contains(prefix));
         target.cache.retain(|cached| !prefixes.contains(cached));
         target.cache.extend(prefixes);
-        let surplus = target.cache.len().saturating_sub(CACHE);
+        let surplus = target.cache.len().saturating_sub(CACHED_PREFIXES);
         let dropped = target.cache.drain(..surplus).collect();
         let (endpoint, stored) = (endpoint_name(endpoint), prefixes.to_vec());
-        (hit, CacheUpdate { endpoint, stored, dropped, kept: Vec::new(), whole: false })
+        (is_hit, CacheUpdate { endpoint, stored, dropped, cached_parts: Vec::new(), whole: false })
     }
 
-    /// The number of the present run of a request; zero when it does not run.
-    pub fn run_of(&self, request: RequestId) -> u64 {
+    /// The number of the current run of a request, or zero if it is not running.
+    pub fn run_number(&self, request: RequestId) -> u64 {
         self.requests.get(&request).map_or(0, |running| running.run)
     }
 
-    pub fn left(&self, request: RequestId) -> u64 {
+    pub fn remaining(&self, request: RequestId) -> u64 {
         self.requests.get(&request).map_or(0, |running| running.cost - running.delivered)
     }
 
@@ -101,23 +101,23 @@
         self.requests.get(&request).map_or(0, |running| running.delivered)
     }
 
-    /// Delivers a step and gives its size.
-    pub fn deliver(&mut self, request: RequestId, most: u64) -> u64 {
+    /// Delivers up to `limit` units of a request and returns how many were delivered.
+    pub fn deliver(&mut self, request: RequestId, limit: u64) -> u64 {
         let Some(running) = self.requests.get_mut(&request) else { return 0 };
-        let step = (running.cost - running.delivered).min(most);
+        let step = (running.cost - running.delivered).min(limit);
         running.delivered += step;
         step
     }
 
-    /// Ends a request and gives its cost.
-    pub fn end(&mut self, request: RequestId) -> u64 {
+    /// Finishes a request and returns its cost.
+    pub fn finish(&mut self, request: RequestId) -> u64 {
         let Some(running) = self.requests.remove(&request) else { return 0 };
         self.endpoints[running.endpoint].running -= 1;
         running.cost
     }
 
-    /// Ends an endpoint and gives the requests that ran there.
-    pub fn lose(&mut self, endpoint: usize) -> Vec<RequestId> {
+    /// Takes an endpoint down and returns the requests that ran there.
+    pub fn fail_endpoint(&mut self, endpoint: usize) -> Vec<RequestId> {
         let lost = self.requests.iter().filter(|(_, running)| running.endpoint == endpoint);
         let lost: Vec<RequestId> = lost.map(|(request, _)| *request).collect();
         for request in &lost {
--- a/crates/micaspool-replay/src/run/routers.rs
+++ b/crates/micaspool-replay/src/run/routers.rs
@@ -1,13 +1,13 @@
-//! Fake routers: they hold what real ones hold.
+//! Simulated routers, with the state that real routers keep for their dispatcher.
 
 use super::setup::session_number;
 use crate::trace::RecordedTrace;
-use micaspool_dispatch::{HeldGrant, HeldTotal, RequestTicket, RouterHello, SessionId};
+use micaspool_dispatch::{HeldGrant, HeldLevel, RequestTicket, RouterHello, SessionId};
 use micaspool_fair::ServiceLevel;
 use micaspool_types::{Cost, CustomerName, EndpointName, Incarnation, InstanceName, OrderNumber, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A prompt's prefixes: this many, each longer than the one before.
+/// The number of prefixes of a prompt, each longer than the one before.
 const PREFIXES: u64 = 3;
 
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
     joins: u64,
     waiting: BTreeMap<RequestId, RequestTicket>,
     running: BTreeMap<RequestId, HeldGrant>,
-    totals: BTreeMap<CustomerName, HeldTotal>,
+    totals: BTreeMap<CustomerName, HeldLevel>,
 }
 
 /// All routers of a replay.
@@ -23,13 +23,13 @@
 pub(super) struct FakeRouters {
     routers: Vec<FakeRouter>,
     owners: BTreeMap<RequestId, usize>,
-    told: BTreeMap<RequestId, u64>,
+    reported: BTreeMap<RequestId, u64>,
 }
 
 impl FakeRouters {
     pub fn new(trace: &RecordedTrace) -> FakeRouters {
         let routers = (0..trace.header.routers).map(|_| FakeRouter::default()).collect();
-        FakeRouters { routers, owners: BTreeMap::new(), told: BTreeMap::new() }
+        FakeRouters { routers, owners: BTreeMap::new(), reported: BTreeMap::new() }
     }
 
     pub fn names(&self) -> BTreeSet<InstanceName> {
@@ -48,7 +48,7 @@
         self.session(self.owners[&request])
     }
 
-    /// Opens a new stream with everything that the router holds.
+    /// Opens a new session of a router. The hello message carries everything that the router holds.
     pub fn join(&mut self, router: usize) -> (SessionId, RouterHello) {
         self.routers[router].joins += 1;
         let held = &self.routers[router];
@@ -57,7 +57,7 @@
             incarnation: Incarnation(1),
             waiting: held.waiting.values().cloned().collect(),
             running: held.running.values().cloned().collect(),
-            totals: held.totals.values().cloned().collect(),
+            levels: held.totals.values().cloned().collect(),
             crashes: Vec::new(),
             advice: Vec::new(),
             heartbeat: 1,
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The hashes of a request's prompt prefixes: the first is the customer's, the longer ones
-    /// the conversation's.
+    /// The hashes of the prompt prefixes of a request. The first is shared by all requests of the customer,
+    /// the longer ones by those of the conversation.
     pub fn prefixes_of(&self, trace: &RecordedTrace, index: usize) -> Vec<u64> {
         let request = &trace.requests[index];
         let customer = request.customer as u64 + 1;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Takes a grant; false when it is of an earlier stream or the request no longer waits.
+    /// Takes a grant. Returns false if it belongs to an earlier session or the request is no longer waiting.
     pub fn granted(
         &mut self,
         session: SessionId,
@@ -138,7 +138,7 @@
         let held = &mut self.routers[router];
         let Some(ticket) = held.waiting.remove(&request) else { return false };
         let customer = ticket.customer;
-        held.totals.insert(customer.clone(), HeldTotal { customer: customer.clone(), level, order });
+        held.totals.insert(customer.clone(), HeldLevel { customer: customer.clone(), level, order });
         let endpoint = endpoint.clone();
         let grant =
             HeldGrant { request, customer, digest: None, endpoint, estimate, delivered: Cost(0), order };
@@ -154,31 +154,31 @@
     pub fn ended(&mut self, request: RequestId) {
         let router = self.owners[&request];
         self.routers[router].running.remove(&request);
-        self.told.remove(&request);
+        self.reported.remove(&request);
     }
 
-    /// Takes a failed request back into the queue.
-    pub fn again(&mut self, trace: &RecordedTrace, request: RequestId, attempt: u32) -> RequestTicket {
+    /// Queues a failed request again, with a new ticket that avoids the endpoint where it failed.
+    pub fn requeue(&mut self, trace: &RecordedTrace, request: RequestId, attempt: u32) -> RequestTicket {
         let router = self.owners[&request];
         let failed = self.routers[router].running.remove(&request).map(|grant| grant.endpoint);
-        self.told.remove(&request);
+        self.reported.remove(&request);
         let ticket = self.ticket(trace, request, attempt, failed);
         self.routers[router].waiting.insert(request, ticket.clone());
         ticket
     }
 
-    /// Notes what was delivered; true when the dispatcher should be told.
+    /// Records the delivered cost. Returns true if it has grown by `step` units since the last progress report.
     pub fn progress_is_due(&mut self, request: RequestId, delivered: u64, step: u64) -> bool {
         let router = self.owners[&request];
         if let Some(grant) = self.routers[router].running.get_mut(&request) {
             grant.delivered = Cost(delivered);
         }
-        let told = self.told.entry(request).or_insert(0);
-        let due = delivered - *told >= step;
-        if due {
-            *told = delivered;
+        let reported = self.reported.entry(request).or_insert(0);
+        let is_due = delivered - *reported >= step;
+        if is_due {
+            *reported = delivered;
         }
-        due
+        is_due
     }
 }
 
--- a/crates/micaspool-replay/src/standin/handler.rs
+++ b/crates/micaspool-replay/src/standin/handler.rs
@@ -1,4 +1,4 @@
-//! How a stand-in endpoint treats a request.
+//! The request handler of a stand-in endpoint.
 
 use super::answers::{json_answer, stream_answer, ModelCall};
 use async_std::task;
@@ -20,55 +20,55 @@
 /// The path of the load report.
 const LOAD_PATH: &str = "/load";
 
-/// How a stand-in behaves.
+/// The parameters of a stand-in endpoint.
 #[derive(Debug, Clone)]
 pub struct StandInOptions {
-    /// The name that it gives in its answers.
+    /// Its name, sent in the `micaspool-stand-in` header of answers.
     pub name: String,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: usize,
-    /// The time from one token to the next, or of a plain call.
+    /// The time per token of a model call, or the whole time of a plain call.
     pub token_time: Duration,
 }
 
-/// A way to misbehave.
+/// A fault that a stand-in endpoint can show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum FaultMode {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// Answers with another request's id.
-    WrongEcho,
-    /// Ends bodies before their length.
-    ShortBody,
-    /// Takes requests and says nothing.
+    /// Answers with a request id of zeros instead of the id of the request.
+    WrongRequestId,
+    /// Ends the bodies of model answers halfway.
+    TruncatedBody,
+    /// Accepts requests and sends no answer for an hour.
     Silent,
-    /// Turns every request away and asks for so many seconds of rest.
-    AskForRest(u32),
+    /// Refuses every request with a `retry-after` header of this many seconds.
+    RetryAfter(u32),
 }
 
-/// A request that was begun.
+/// A request that the endpoint started to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
-    /// The request id.
+    /// The request id from the request header.
     pub request: String,
-    /// The customer that the router named.
+    /// The customer from the `micaspool-customer` header.
     pub customer: String,
-    /// The path.
+    /// The path and query.
     pub target: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What a stand-in remembers.
+/// The shared state of a stand-in endpoint.
 #[derive(Debug)]
 pub(super) struct StandInState {
     options: StandInOptions,
     running: AtomicUsize,
     draining: AtomicBool,
     fault: Mutex<FaultMode>,
-    /// How many requests were turned away with a time to rest.
-    turned_away: AtomicUsize,
+    /// The number of requests refused with a `retry-after` header.
+    retry_after_refusals: AtomicUsize,
     runs: Mutex<Vec<RunRecord>>,
 }
 
@@ -79,7 +79,7 @@
             running: AtomicUsize::new(0),
             draining: AtomicBool::new(false),
             fault: Mutex::default(),
-            turned_away: AtomicUsize::new(0),
+            retry_after_refusals: AtomicUsize::new(0),
             runs: Mutex::default(),
         }
     }
@@ -88,8 +88,8 @@
         self.runs.lock().expect("no holder of the runs panics").clone()
     }
 
-    pub fn turned_away(&self) -> usize {
-        self.turned_away.load(Ordering::SeqCst)
+    pub fn retry_after_refusals(&self) -> usize {
+        self.retry_after_refusals.load(Ordering::SeqCst)
     }
 
     pub fn set_draining(&self, draining: bool) {
@@ -105,11 +105,12 @@
     }
 }
 
-/// A slot that is held until this is dropped.
+/// An occupied slot, released on drop.
 pub(super) struct SlotGuard(Arc<StandInState>);
 
 impl SlotGuard {
-    fn take(state: &Arc<StandInState>) -> Option<SlotGuard> {
+    /// Occupies a slot. Returns `None` if all slots are occupied.
+    fn acquire(state: &Arc<StandInState>) -> Option<SlotGuard> {
         let before = state.running.fetch_add(1, Ordering::SeqCst);
         let guard = SlotGuard(state.clone());
         (before < state.options.slots).then_some(guard)
@@ -124,15 +125,16 @@
 
 pub(super) struct StandInHandler {
     state: Arc<StandInState>,
-    next: AtomicU64,
+    next_number: AtomicU64,
 }
 
 impl StandInHandler {
     pub fn new(state: Arc<StandInState>) -> StandInHandler {
-        StandInHandler { state, next: AtomicU64::new(1) }
+        StandInHandler { state, next_number: AtomicU64::new(1) }
     }
 
-    fn load(&self) -> Response {
+    /// The load report: the number of running requests and whether the endpoint is draining.
+    fn load_response(&self) -> Response {
         let running = self.state.running.load(Ordering::SeqCst);
         let draining = self.state.draining.load(Ordering::SeqCst);
         let mut response = Response::new(StatusCode::Ok);
@@ -141,26 +143,28 @@
         response
     }
 
-    fn refuse(&self) -> Option<Response> {
+    /// The refusal of a request if the endpoint is draining or set to refuse requests.
+    fn refusal_response(&self) -> Option<Response> {
         let mut response = Response::new(StatusCode::ServiceUnavailable);
         response.insert_header(RUN_HEADER, "not-run");
         if self.state.draining.load(Ordering::SeqCst) {
             response.insert_header("micaspool-draining", "true");
             return Some(response);
         }
-        if let FaultMode::AskForRest(seconds) = self.state.fault() {
-            self.state.turned_away.fetch_add(1, Ordering::SeqCst);
+        if let FaultMode::RetryAfter(seconds) = self.state.fault() {
+            self.state.retry_after_refusals.fetch_add(1, Ordering::SeqCst);
             response.insert_header("retry-after", seconds.to_string());
             return Some(response);
         }
         None
     }
 
+    /// Runs a request if a slot is free, and records it.
     async fn run(&self, request: CallerRequest) -> Response {
-        if let Some(refusal) = self.refuse() {
+        if let Some(refusal) = self.refusal_response() {
             return refusal;
         }
-        let Some(slot) = SlotGuard::take(&self.state) else {
+        let Some(slot) = SlotGuard::acquire(&self.state) else {
             let mut response = Response::new(StatusCode::TooManyRequests);
             response.insert_header(RUN_HEADER, "not-run");
             return response;
@@ -176,7 +180,7 @@
         };
         self.state.runs.lock().expect("no holder of the runs panics").push(record);
         let mut response = self.answer(&request, slot).await;
-        let echo = if self.state.fault() == FaultMode::WrongEcho { "0".repeat(32) } else { id };
+        let echo = if self.state.fault() == FaultMode::WrongRequestId { "0".repeat(32) } else { id };
         response.insert_header(REQUEST_HEADER, echo);
         response.insert_header("micaspool-stand-in", self.state.options.name.as_str());
         response
@@ -187,17 +191,17 @@
         if fault == FaultMode::Silent {
             task::sleep(Duration::from_secs(3_600)).await;
         }
-        let time = self.state.options.token_time;
+        let per_token = self.state.options.token_time;
         if request.target.starts_with(CHAT_PATH) {
-            let call = ModelCall::read(&request.body);
+            let call = ModelCall::parse(&request.body);
             return if call.stream {
-                stream_answer(call, time, slot, fault)
+                stream_answer(call, per_token, slot, fault)
             } else {
-                task::sleep(time * u32::try_from(call.tokens).unwrap_or(u32::MAX)).await;
+                task::sleep(per_token * u32::try_from(call.tokens).unwrap_or(u32::MAX)).await;
                 json_answer(&call, fault)
             };
         }
-        task::sleep(time).await;
+        task::sleep(per_token).await;
         let mut response = Response::new(StatusCode::Ok);
         response.set_body(request.body.clone());
         response.insert_header("content-type", "application/json");
@@ -212,12 +216,12 @@
     }
 
     fn next_id(&self) -> RequestId {
-        RequestId(u128::from(self.next.fetch_add(1, Ordering::Relaxed)))
+        RequestId(u128::from(self.next_number.fetch_add(1, Ordering::Relaxed)))
     }
 
     async fn handle(&self, request: CallerRequest) -> Response {
         match request.target.as_str() {
-            LOAD_PATH => self.load(),
+            LOAD_PATH => self.load_response(),
             _ => self.run(request).await,
         }
     }
--- a/crates/micaspool-router/src/shard_client/state.rs
+++ b/crates/micaspool-router/src/shard_client/state.rs
@@ -7,7 +7,7 @@
 use async_std::channel::Sender;
 use micaspool_clock::BootInstant;
 use micaspool_dispatch::{
-    GrantOutcome, HeldGrant, HeldTotal, RefusalReason, RequestThrottle, RequestTicket, RouterHello,
+    GrantOutcome, HeldGrant, HeldLevel, RefusalReason, RequestThrottle, RequestTicket, RouterHello,
 };
 use micaspool_fair::ServiceLevel;
 use micaspool_quarantine::{CrashTable, QuarantineOptions};
@@ -16,7 +16,7 @@
     AdviceRecord, Cost, CustomerName, EndpointName, Moment, OrderNumber, Refusal, RefusalKind, RequestId,
 };
 use micaspool_wire::convert::{
-    advice_message, crash_record, release_reason, request_bytes, request_id, settle_message, submit_message,
+    advice_message, crash_record, refusal_reason, request_bytes, request_id, settle_message, submit_message,
 };
 use micaspool_wire::v1::{self, router_message::Body};
 use std::collections::{HashMap, VecDeque};
@@ -24,7 +24,7 @@
 
 /// The maximum age of the service levels in a hello. A customer that was idle for longer starts from the level of the
 /// others in any case.
-const TOTAL_MAX_AGE: Duration = Duration::from_secs(60);
+const LEVEL_MAX_AGE: Duration = Duration::from_secs(60);
 /// The maximum number of remembered requests during which endpoints crashed, in total and per customer. A hello with
 /// all of them is about 25 KB.
 const CRASH_CAPACITY: (usize, usize) = (256, 64);
@@ -50,7 +50,7 @@
 
 /// The last known service level of a customer.
 #[derive(Debug)]
-struct KnownTotal {
+struct KnownLevel {
     level: ServiceLevel,
     order: OrderNumber,
     updated_at: BootInstant,
@@ -61,7 +61,7 @@
 pub(super) struct ShardState {
     waiting: HashMap<RequestId, WaitingEntry>,
     running: HashMap<RequestId, HeldGrant>,
-    totals: HashMap<CustomerName, KnownTotal>,
+    levels: HashMap<CustomerName, KnownLevel>,
     link: Option<Sender<v1::RouterMessage>>,
     unlinked_since: Option<BootInstant>,
     /// The numbers of the newest heartbeats and the times at which they were sent.
@@ -82,7 +82,7 @@
         ShardState {
             waiting: HashMap::new(),
             running: HashMap::new(),
-            totals: HashMap::new(),
+            levels: HashMap::new(),
             link: None,
             unlinked_since: Some(now),
             heartbeats: VecDeque::new(),
@@ -112,8 +112,8 @@
         self.link = Some(link);
         self.last_pulse = BootInstant::now();
         // The hello contains the waiting tickets, and the dispatcher answers those without an order number.
-        let is_asking = self.waiting.values().any(|entry| entry.ticket.order.is_none());
-        self.unanswered_since = is_asking.then(BootInstant::now);
+        let awaits_reply = self.waiting.values().any(|entry| entry.ticket.order.is_none());
+        self.unanswered_since = awaits_reply.then(BootInstant::now);
     }
 
     /// Records that the dispatcher has accepted the stream.
@@ -140,11 +140,11 @@
     }
 
     pub fn build_hello(&mut self, options: &ShardClientOptions, advice: Vec<AdviceRecord>) -> RouterHello {
-        self.totals.retain(|_, total| total.updated_at.elapsed() < TOTAL_MAX_AGE);
-        let totals = self.totals.iter().map(|(customer, total)| HeldTotal {
+        self.levels.retain(|_, known| known.updated_at.elapsed() < LEVEL_MAX_AGE);
+        let levels = self.levels.iter().map(|(customer, known)| HeldLevel {
             customer: customer.clone(),
-            level: total.level,
-            order: total.order,
+            level: known.level,
+            order: known.order,
         });
         let now = self.current_moment();
         self.crashes.expire(now);
@@ -154,7 +154,7 @@
             incarnation: options.incarnation,
             waiting: self.waiting.values().map(|entry| entry.ticket.clone()).collect(),
             running: self.running.values().cloned().collect(),
-            totals: totals.collect(),
+            levels: levels.collect(),
             advice,
             heartbeat: self.allocate_heartbeat(),
         }
@@ -166,8 +166,8 @@
         self.send(Body::Heartbeat(v1::Heartbeat { number, ..v1::Heartbeat::default() }));
     }
 
-    /// Reports an endpoint's back-off advice. It is sent in a heartbeat without a number, because a dispatcher that
-    /// doesn't support advice would close the stream on an unknown message.
+    /// Reports an endpoint's advice. It is sent in a heartbeat without a number, because a dispatcher that doesn't
+    /// support advice would close the stream on an unknown message.
     pub fn report_advice(&mut self, advice: &AdviceRecord) {
         let advice = vec![advice_message(advice)];
         self.send(Body::Heartbeat(v1::Heartbeat { advice, ..v1::Heartbeat::default() }));
@@ -231,20 +231,20 @@
     }
 
     /// Ends a grant and reports its cost and outcome.
-    pub fn settle(&mut self, request: RequestId, cost: Cost, fate: GrantOutcome) {
+    pub fn settle(&mut self, request: RequestId, cost: Cost, outcome: GrantOutcome) {
         if let Some(grant) = self.running.remove(&request) {
-            self.record_outcome(&grant, fate);
-            self.send_settle(request, cost, fate);
+            self.record_outcome(&grant, outcome);
+            self.send_settle(request, cost, outcome);
         }
     }
 
     /// Remembers requests during which an endpoint seems to have crashed, so that the next hello carries them.
-    fn record_outcome(&mut self, grant: &HeldGrant, fate: GrantOutcome) {
+    fn record_outcome(&mut self, grant: &HeldGrant, outcome: GrantOutcome) {
         let Some(digest) = grant.digest else { return };
         let now = self.current_moment();
-        match fate {
+        match outcome {
             GrantOutcome::Severed => {
-                self.crashes.note_crash(now, digest, &grant.customer, &grant.endpoint);
+                self.crashes.record_crash(now, digest, &grant.customer, &grant.endpoint);
             }
             GrantOutcome::Done => {
                 self.crashes.clear(now, digest);
@@ -262,8 +262,8 @@
         }
     }
 
-    fn send_settle(&mut self, request: RequestId, cost: Cost, fate: GrantOutcome) {
-        self.send(Body::Settle(settle_message(request, cost, fate)));
+    fn send_settle(&mut self, request: RequestId, cost: Cost, outcome: GrantOutcome) {
+        self.send(Body::Settle(settle_message(request, cost, outcome)));
     }
 
     /// Handles a message from the dispatcher. Returns false if the dispatcher asks for a new session.
@@ -303,7 +303,7 @@
         let order = OrderNumber(grant.order);
         let now = self.current_moment();
         self.throttle.note_granted(now, &entry.ticket.customer);
-        self.update_total(&entry.ticket.customer, ServiceLevel(grant.level), order);
+        self.update_level(&entry.ticket.customer, ServiceLevel(grant.level), order);
         let held_grant = HeldGrant {
             request,
             customer: entry.ticket.customer.clone(),
@@ -326,11 +326,11 @@
     }
 
     /// Updates a customer's service level, unless a newer and higher one is known.
-    fn update_total(&mut self, customer: &CustomerName, level: ServiceLevel, order: OrderNumber) {
+    fn update_level(&mut self, customer: &CustomerName, level: ServiceLevel, order: OrderNumber) {
         let is_known =
-            self.totals.get(customer).is_some_and(|total| total.order > order && total.level > level);
+            self.levels.get(customer).is_some_and(|known| known.order > order && known.level > level);
         if !is_known {
-            self.totals.insert(customer.clone(), KnownTotal { level, order, updated_at: BootInstant::now() });
+            self.levels.insert(customer.clone(), KnownLevel { level, order, updated_at: BootInstant::now() });
         }
     }
 
@@ -342,7 +342,7 @@
     fn handle_refused(&mut self, refused: &v1::Refused) {
         let entry = request_id(&refused.request).ok().and_then(|request| self.waiting.remove(&request));
         let Some(entry) = entry else { return };
-        let kind = match release_reason(&refused.kind) {
+        let kind = match refusal_reason(&refused.kind) {
             RefusalReason::CustomerFull => RefusalKind::CustomerBacklogFull,
             RefusalReason::ShardFull => RefusalKind::FleetBacklogFull,
             RefusalReason::RetryBudget => RefusalKind::RetriesExhausted,
--- a/crates/micaspool-telemetry/src/logging.rs
+++ b/crates/micaspool-telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log output as JSON lines, by `fern`.
+//! Log output as JSON lines, based on `fern`.
 
 mod queue;
 
@@ -13,12 +13,12 @@
 /// Where log lines go.
 #[derive(Debug, Clone, Default)]
 pub enum LogTarget {
-    /// Standard error, written by whoever logs.
+    /// Standard error, written synchronously by the logging thread.
     #[default]
-    Error,
-    /// Standard output, written by a thread of its own. Whoever logs never waits: lines that cannot
-    /// be written fast enough are dropped and counted.
-    Output,
+    Stderr,
+    /// Standard output, written by a dedicated thread. Logging never blocks: lines that cannot be written fast
+    /// enough are dropped and counted.
+    Stdout,
     /// A file to append to.
     File(PathBuf),
 }
@@ -26,11 +26,11 @@
 /// Where and how much to log.
 #[derive(Debug, Clone, Default)]
 pub struct LogOptions {
-    /// Where lines go.
+    /// Where log lines go.
     pub target: LogTarget,
-    /// error, warn, info, debug or trace.
+    /// The most verbose level that is logged: off, error, warn, info, debug or trace. Info if it is none of these.
     pub level: String,
-    /// The instance name that each line carries.
+    /// The instance name in each line.
     pub instance: String,
 }
 
@@ -39,8 +39,8 @@
 pub enum Error {
     /// The log file cannot be opened.
     File(PathBuf, std::io::Error),
-    /// The process has a log already.
-    Twice,
+    /// The process already has a logger.
+    AlreadyStarted,
 }
 
 impl fmt::Display for Error {
@@ -53,7 +53,7 @@
                     path.display()
                 )
             }
-            Error::Twice => f.write_str("the log was set up before; set it up once in a process"),
+            Error::AlreadyStarted => f.write_str("logging is already set up; set it up once per process"),
         }
     }
 }
@@ -69,10 +69,10 @@
     text: String,
 }
 
-/// The queue of the process, when it logs to standard output.
+/// The line queue of the process, if it logs to standard output.
 static QUEUE: OnceLock<LineQueue> = OnceLock::new();
 
-/// Sets the process's log up.
+/// Sets up the logger of the process. Only records of events are logged.
 pub fn start(options: LogOptions) -> Result<(), Error> {
     let level = options.level.parse().unwrap_or(LevelFilter::Info);
     let instance = options.instance;
@@ -91,16 +91,16 @@
         });
     let dispatch = match &options.target {
         LogTarget::File(path) => dispatch.chain(open(path)?),
-        LogTarget::Error => dispatch.chain(std::io::stderr()),
-        LogTarget::Output => {
+        LogTarget::Stderr => dispatch.chain(std::io::stderr()),
+        LogTarget::Stdout => {
             let queue = QUEUE.get_or_init(LineQueue::start).clone();
             dispatch.chain(fern::Output::writer(Box::new(queue), "\n"))
         }
     };
-    dispatch.apply().map_err(|_| Error::Twice)
+    dispatch.apply().map_err(|_| Error::AlreadyStarted)
 }
 
-/// Waits until the lines logged so far are written, for a process that ends.
+/// Waits for a bounded time until all queued lines are written. To be called before the process ends.
 pub fn flush() {
     if let Some(queue) = QUEUE.get() {
         queue.drain();
--- a/crates/micaspool-types/src/units.rs
+++ b/crates/micaspool-types/src/units.rs
@@ -10,12 +10,12 @@
 
 impl Cost {
     /// Returns the sum of two costs, saturating at `u64::MAX`.
-    pub fn plus(self, other: Cost) -> Cost {
+    pub fn saturating_add(self, other: Cost) -> Cost {
         Cost(self.0.saturating_add(other.0))
     }
 
     /// Returns the difference of two costs, saturating at zero.
-    pub fn minus(self, other: Cost) -> Cost {
+    pub fn saturating_sub(self, other: Cost) -> Cost {
         Cost(self.0.saturating_sub(other.0))
     }
 }
@@ -28,7 +28,7 @@
     /// The weight of a customer without a weight in its settings.
     pub const ONE: Weight = Weight(1);
 
-    /// Creates a weight, or returns `None` for zero.
+    /// Creates a weight of at least 1, or returns `None` for zero.
     pub fn new(value: u32) -> Option<Weight> {
         (value > 0).then_some(Weight(value))
     }
--- a/crates/micaspool/benches/parts/delay.rs
+++ b/crates/micaspool/benches/parts/delay.rs
@@ -1,4 +1,4 @@
-//! What the fleet adds to a call, against calling the same stand-in directly.
+//! Measures the latency that the fleet adds to a call, compared to calling the stand-ins directly.
 
 use super::usage::Usage;
 use crate::harness::calls::Call;
@@ -9,6 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Base of the number of calls: each run sends a quarter of it.
 const CALLS: usize = 1_920;
 
 pub async fn run() {
@@ -23,28 +24,29 @@
             deployment.endpoints.values().take(9).map(|endpoint| endpoint.address()).collect();
         let router = vec![deployment.router(0)];
         let _ = call_all(&router, 1, 20).await;
-        let (alone, _) = call_all(&direct, callers, CALLS / 4).await;
+        let (direct_latencies, _) = call_all(&direct, callers, CALLS / 4).await;
         let daemon = deployment.routers[0].as_ref().expect("it runs");
         let before = Usage::read(daemon).await;
-        let (through, seconds) = call_all(&router, callers, CALLS / 4).await;
-        let spent = Usage::read(daemon).await.since(&before);
-        let rate = through.len() as f64 / seconds;
-        let per_core = through.len() as f64 / (spent.cpu_micros / 1e6);
+        let (router_latencies, seconds) = call_all(&router, callers, CALLS / 4).await;
+        let usage_delta = Usage::read(daemon).await.since(&before);
+        let rate = router_latencies.len() as f64 / seconds;
+        let per_core = router_latencies.len() as f64 / (usage_delta.cpu_micros / 1e6);
         println!(
             "{callers:>8} {:>15.2} {:>12.2} {:>15.2} {:>12.2} {rate:>13.0} {per_core:>11.0}",
-            part(&alone, 50),
-            part(&alone, 99),
-            part(&through, 50),
-            part(&through, 99)
+            percentile_millis(&direct_latencies, 50),
+            percentile_millis(&direct_latencies, 99),
+            percentile_millis(&router_latencies, 50),
+            percentile_millis(&router_latencies, 99)
         );
     }
 }
 
-fn part(sorted: &[Duration], percent: usize) -> f64 {
+fn percentile_millis(sorted: &[Duration], percent: usize) -> f64 {
     sorted[(sorted.len() * percent / 100).min(sorted.len() - 1)].as_secs_f64() * 1e3
 }
 
-/// Sends calls from so many callers at once; gives sorted times and the seconds in all.
+/// Sends calls from `callers` concurrent callers. Returns the sorted latencies of successful calls and the elapsed
+/// seconds.
 async fn call_all(targets: &[SocketAddr], callers: usize, calls: usize) -> (Vec<Duration>, f64) {
     let started = Instant::now();
     let tasks = (0..callers).map(|caller| {
--- a/crates/micaspool/benches/parts/usage.rs
+++ b/crates/micaspool/benches/parts/usage.rs
@@ -1,10 +1,10 @@
-//! Processor time, memory and control bytes of a process.
+//! Reads the processor time, resident memory and control bytes of a daemon.
 
 use crate::harness::calls::get;
 use crate::harness::Daemon;
 use std::time::{Duration, Instant};
 
-/// What a process has used so far.
+/// The resource usage of a process since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     at: Instant,
@@ -13,9 +13,9 @@
     pub bytes: u64,
 }
 
-/// What a process used between two readings.
+/// The resource usage of a process between two readings.
 #[derive(Clone, Copy, Debug)]
-pub struct Spent {
+pub struct UsageDelta {
     pub seconds: f64,
     pub cpu_micros: f64,
     pub bytes: f64,
@@ -29,8 +29,8 @@
         Usage { at: Instant::now(), cpu: cpu_time(daemon.pid()), resident: resident(daemon.pid()), bytes }
     }
 
-    pub fn since(&self, earlier: &Usage) -> Spent {
-        Spent {
+    pub fn since(&self, earlier: &Usage) -> UsageDelta {
+        UsageDelta {
             seconds: self.at.duration_since(earlier.at).as_secs_f64(),
             cpu_micros: (self.cpu - earlier.cpu).as_secs_f64() * 1e6,
             bytes: (self.bytes - earlier.bytes) as f64,
@@ -38,24 +38,24 @@
     }
 }
 
-impl Spent {
-    /// Percent of one core.
+impl UsageDelta {
+    /// The processor time in percent of one core.
     pub fn core_percent(&self) -> f64 {
         self.cpu_micros / self.seconds / 1e4
     }
 
-    pub fn kilobytes_a_second(&self) -> f64 {
+    pub fn kilobytes_per_second(&self) -> f64 {
         self.bytes / self.seconds / 1e3
     }
 }
 
-/// Waits until the call with this number is due at a rate a second.
-pub async fn wait_for_turn(started: Instant, number: u64, rate: u64) {
+/// Waits until the call with this number is due, at `rate` calls per second.
+pub async fn wait_until_due(started: Instant, number: u64, rate: u64) {
     let due = Duration::from_micros(number * 1_000_000 / rate);
     async_std::task::sleep(due.saturating_sub(started.elapsed())).await;
 }
 
-/// The time on a processor of every thread of a process.
+/// The processor time of all threads of a process.
 fn cpu_time(pid: u32) -> Duration {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let nanos = tasks.filter_map(|task| {
@@ -65,6 +65,7 @@
     Duration::from_nanos(nanos.sum())
 }
 
+/// The resident memory of a process in bytes.
 fn resident(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/micaspool/src/bin/micaspool-keeper.rs
+++ b/crates/micaspool/src/bin/micaspool-keeper.rs
@@ -4,14 +4,14 @@
 
 use async_std::future::timeout;
 use async_std::task;
-use micaspool_daemon::{announce, start, stop_requested, DaemonStart, EXIT_FAILED};
+use micaspool_daemon::{report_ready, start, watch_stop_signals, DaemonStart, EXIT_FAILED};
 use micaspool_keeper::run_keeper;
 use micaspool_settings::process::ProcessRole;
 use micaspool_telemetry::events::{self, record};
 use std::time::Duration;
 
-/// How often the keeper looks whether its files have failed.
-const LOOK: Duration = Duration::from_millis(500);
+/// The interval at which the daemon checks whether the keeper has stopped, for example after a file error.
+const FAILURE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 fn main() {
     let start = start(ProcessRole::Keeper);
@@ -19,7 +19,7 @@
 }
 
 async fn run(start: DaemonStart) {
-    let stop = stop_requested().expect("the signals can be taken over");
+    let stop = watch_stop_signals().expect("the signal handlers can be installed");
     let daemon = match run_keeper(&start.settings).await {
         Ok(daemon) => daemon,
         Err(error) => {
@@ -29,8 +29,8 @@
     };
     let status = daemon.status.map(|address| ("status", address));
     let addresses: Vec<_> = [("wire", daemon.wire)].into_iter().chain(status).collect();
-    announce("keeper", &addresses);
-    while timeout(LOOK, stop.wait()).await.is_err() {
+    report_ready("keeper", &addresses);
+    while timeout(FAILURE_CHECK_INTERVAL, stop.wait()).await.is_err() {
         if daemon.has_stopped() {
             std::process::exit(EXIT_FAILED);
         }
--- a/crates/micaspool/src/cli/demo.rs
+++ b/crates/micaspool/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! `micaspool demo`: a whole deployment in one process.
+//! `micaspool demo`: runs a whole deployment in one process.
 
 use super::{EXIT_DONE, EXIT_FAILED};
 use argh::FromArgs;
@@ -6,32 +6,32 @@
 use http_types::{Method, Request, Url};
 use micaspool::fleet::{EmbeddedFleet, FleetOptions};
 use micaspool::http::client::{call, CallLimits};
-use micaspool_daemon::stop_requested;
+use micaspool_daemon::watch_stop_signals;
 use serde_json::json;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The milk collector's settings, which the demo runs.
+/// The settings tree of the milk collector, which the demo runs.
 const TREE: &str = include_str!("../../../../examples/milk/tree.json");
 
-/// Run the milk collector's three data halls on loopback, send a few requests, and show where
-/// each ran and why.
+/// Run the milk collector's three data halls on loopback, send a few requests, and print which endpoint
+/// answered each of them or why it was refused.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "demo")]
 pub struct DemoCommand {
-    /// keep running afterwards, to be called with curl
+    /// keep running after the demo requests, for calls with curl
     #[argh(switch)]
     stay: bool,
 
-    /// the first port
+    /// the base port; each role listens at an offset from it
     #[argh(option, default = "7600")]
     port: u16,
 }
 
 struct DemoCall {
     customer: &'static str,
-    what: &'static str,
+    description: &'static str,
     target: &'static str,
     body: String,
     key: Option<&'static str>,
@@ -51,7 +51,7 @@
 }
 
 async fn run_in(command: &DemoCommand, data_folder: PathBuf) -> Result<(), String> {
-    let stop = stop_requested().map_err(|error| error.to_string())?;
+    let stop = watch_stop_signals().map_err(|error| error.to_string())?;
     let options = FleetOptions {
         tree: serde_json::from_str(TREE).expect("the example is JSON"),
         ip: IpAddr::V4(Ipv4Addr::LOCALHOST),
@@ -116,14 +116,15 @@
         ),
         ("nobody", "an unknown key: refused", model, chat("hello"), None),
     ];
-    let make = |(customer, what, target, body, key)| DemoCall { customer, what, target, body, key };
-    calls.into_iter().map(make).collect()
+    let to_call =
+        |(customer, description, target, body, key)| DemoCall { customer, description, target, body, key };
+    calls.into_iter().map(to_call).collect()
 }
 
 async fn send(router: SocketAddr, demo_call: &DemoCall) -> String {
     match try_send(router, demo_call).await {
-        Ok(outcome) => format!("{:<8} {:<50} -> {outcome}", demo_call.customer, demo_call.what),
-        Err(error) => format!("{:<8} {:<50} -> failed: {error}", demo_call.customer, demo_call.what),
+        Ok(outcome) => format!("{:<8} {:<50} -> {outcome}", demo_call.customer, demo_call.description),
+        Err(error) => format!("{:<8} {:<50} -> failed: {error}", demo_call.customer, demo_call.description),
     }
 }
 
