--- a/crates/micaspool-dispatch/src/shard/customers.rs
+++ b/crates/micaspool-dispatch/src/shard/customers.rs
@@ -127,7 +127,7 @@
 impl CustomerState {
     /// The level including all charges so far.
     pub fn level(&self, policy: &dyn OrderPolicy) -> ServiceLevel {
-        self.account.base().plus(policy.level(&self.account))
+        self.account.base().saturating_add(policy.level(&self.account))
     }
 
     /// Removes a ticket from the queue.
--- a/crates/micaspool-dispatch/src/shard/joining.rs
+++ b/crates/micaspool-dispatch/src/shard/joining.rs
@@ -192,7 +192,7 @@
     fn cap_level(&mut self, customer: CustomerIndex, lowest: ServiceLevel) {
         let state = self.customers.get(customer);
         let weight = state.account.weight();
-        let highest = lowest.plus(ServiceLevel::from_cost(self.idle_credit, weight));
+        let highest = lowest.saturating_add(ServiceLevel::from_cost(self.idle_credit, weight));
         let running = self.options.policy.level(&state.account);
         if state.level(self.options.policy.as_ref()) > highest {
             let base = ServiceLevel(highest.0.saturating_sub(running.0));
--- a/crates/micaspool-fair/src/account.rs
+++ b/crates/micaspool-fair/src/account.rs
@@ -17,7 +17,7 @@
     }
 
     /// Returns the sum of two levels; `u64::MAX` if it does not fit.
-    pub fn plus(self, other: ServiceLevel) -> ServiceLevel {
+    pub fn saturating_add(self, other: ServiceLevel) -> ServiceLevel {
         ServiceLevel(self.0.saturating_add(other.0))
     }
 }
@@ -132,7 +132,7 @@
     /// Raises the base so that base and `level` together are at least `floor`; `level` is the level without
     /// the base.
     pub fn lift(&mut self, level: ServiceLevel, floor: ServiceLevel) {
-        let current = self.base.plus(level);
+        let current = self.base.saturating_add(level);
         if current < floor {
             self.base = ServiceLevel(floor.0 - level.0);
         }
@@ -140,7 +140,7 @@
 
     /// Raises the base by service that the customer received from other shards.
     pub fn add_remote(&mut self, level: ServiceLevel) {
-        self.base = self.base.plus(level);
+        self.base = self.base.saturating_add(level);
     }
 
     /// Restarts the sums at the level `base` with a new weight; the charges of running requests stay.
--- a/crates/micaspool-fair/src/policy/mod.rs
+++ b/crates/micaspool-fair/src/policy/mod.rs
@@ -31,7 +31,7 @@
     /// Returns the rank of a waiting customer.
     fn rank(&self, account: &ServiceAccount, head: HeadTicket) -> Rank {
         let _ = head;
-        Rank(account.base().plus(self.level(account)).0)
+        Rank(account.base().saturating_add(self.level(account)).0)
     }
 
     /// Returns true if the level of a customer that returns from idle time is raised to those of waiting or
--- a/crates/micaspool-fair/tests/policies.rs
+++ b/crates/micaspool-fair/tests/policies.rs
@@ -61,7 +61,7 @@
     account.lift(level, ServiceLevel(3 * LEVEL_SCALE));
     assert_eq!(account.base(), ServiceLevel(0));
     account.lift(level, ServiceLevel(9 * LEVEL_SCALE));
-    assert_eq!(account.base().plus(level), ServiceLevel(9 * LEVEL_SCALE));
+    assert_eq!(account.base().saturating_add(level), ServiceLevel(9 * LEVEL_SCALE));
 }
 
 #[test]
