--- a/crates/micaspool-gateway/src/proxy/failure.rs
+++ b/crates/micaspool-gateway/src/proxy/failure.rs
@@ -39,7 +39,7 @@
             SendError::Withheld => ("withheld", GrantOutcome::NotHeld),
             SendError::Broken(_) => ("broken", GrantOutcome::Severed),
         };
-        let not_sent = error.is_not_sent();
+        let not_sent = error.is_unsent();
         SendFailure {
             outcome,
             kind,
--- a/crates/micaspool-http/src/pool.rs
+++ b/crates/micaspool-http/src/pool.rs
@@ -66,7 +66,7 @@
 
 impl SendError {
     /// Returns true if the request cannot have been sent.
-    pub fn is_not_sent(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         !matches!(self, SendError::Broken(_))
     }
 }
--- a/crates/micaspool-http/tests/pool.rs
+++ b/crates/micaspool-http/tests/pool.rs
@@ -156,7 +156,7 @@
     drop(listener);
     let pool = EndpointPool::new(PoolOptions::default());
     let error = task::block_on(pool.send(address, request())).expect_err("nobody listens");
-    assert!(matches!(error, SendError::Unreachable(_)) && error.is_not_sent());
+    assert!(matches!(error, SendError::Unreachable(_)) && error.is_unsent());
 }
 
 #[test]
@@ -164,7 +164,7 @@
     let (address, _) = endpoint("", AfterResponse::Reset);
     let pool = EndpointPool::new(PoolOptions::default());
     let error = task::block_on(pool.send(address, request())).expect_err("there is no answer");
-    assert!(!error.is_not_sent(), "{error}");
+    assert!(!error.is_unsent(), "{error}");
 }
 
 #[test]
@@ -175,7 +175,7 @@
     task::block_on(async {
         for _ in 0..2 {
             let error = pool.send_if(address, request(), || false).await.expect_err("it is withheld");
-            assert!(matches!(error, SendError::Withheld) && error.is_not_sent());
+            assert!(matches!(error, SendError::Withheld) && error.is_unsent());
             // A new connection is ready for a request once its task has run.
             task::sleep(Duration::from_millis(20)).await;
         }
