--- a/crates/micaspool-gateway/src/daemon.rs
+++ b/crates/micaspool-gateway/src/daemon.rs
@@ -338,11 +338,11 @@
 
     fn state(&self) -> String {
         let shards = self.gateway.shards().into_iter().map(|shard| shard.state());
-        let keepers = self.mirror.keepers().into_iter().map(|sight| {
+        let keepers = self.mirror.keepers().into_iter().map(|status| {
             json!({
-                "name": sight.peer.name.as_str(),
-                "reached": sight.is_connected(),
-                "hears_majority": sight.confirmed,
+                "name": status.peer.name.as_str(),
+                "reached": status.is_connected(),
+                "hears_majority": status.confirmed,
             })
         });
         json!({
--- a/crates/micaspool-gateway/src/dispatchers.rs
+++ b/crates/micaspool-gateway/src/dispatchers.rs
@@ -47,11 +47,11 @@
 
     /// Returns the dispatcher on a keeper's instance. It runs in the keeper's process, so the stream from the keeper
     /// shows whether it responds.
-    fn candidate(&self, sight: &KeeperStatus) -> Option<DispatcherCandidate> {
-        let address = self.directory.address(&sight.peer.name)?;
-        let health = match sight.connection {
+    fn candidate(&self, status: &KeeperStatus) -> Option<DispatcherCandidate> {
+        let address = self.directory.address(&status.peer.name)?;
+        let health = match status.connection {
             KeeperConnection::Pending => CandidateHealth::Pending,
-            KeeperConnection::Connected if sight.unresponsive => CandidateHealth::Unresponsive,
+            KeeperConnection::Connected if status.unresponsive => CandidateHealth::Unresponsive,
             KeeperConnection::Connected => CandidateHealth::Answering,
             KeeperConnection::Lost => CandidateHealth::Lost,
         };
@@ -67,28 +67,28 @@
 fn rank_keepers<'a>(
     service: &ServiceName,
     services: &[ServiceName],
-    sights: &'a [KeeperStatus],
+    statuses: &'a [KeeperStatus],
 ) -> Vec<&'a KeeperStatus> {
     let ranked = |lacks_majority: bool| {
-        let is_cut_off = |sight: &KeeperStatus| sight.is_connected() && !sight.recently_confirmed;
-        let chosen = sights.iter().filter(|sight| sight.wanted && is_cut_off(sight) == lacks_majority);
-        let names: Vec<InstanceName> = chosen.map(|sight| sight.peer.name.clone()).collect();
+        let is_cut_off = |status: &KeeperStatus| status.is_connected() && !status.recently_confirmed;
+        let chosen = statuses.iter().filter(|status| status.wanted && is_cut_off(status) == lacks_majority);
+        let names: Vec<InstanceName> = chosen.map(|status| status.peer.name.clone()).collect();
         rank_distinct(service, services, &names)
     };
     let names = ranked(false).into_iter().chain(ranked(true));
-    names.filter_map(|name| sights.iter().find(|sight| sight.peer.name == name)).collect()
+    names.filter_map(|name| statuses.iter().find(|status| status.peer.name == name)).collect()
 }
 
 impl DispatcherList for FleetDispatchers {
     fn ranked(&self, service: &ServiceName) -> Vec<DispatcherCandidate> {
-        let sights = self.mirror.keepers();
+        let statuses = self.mirror.keepers();
         let plan = self.mirror.plan().plan;
         let services: Vec<ServiceName> = plan.parts().services.iter().map(|rule| rule.name.clone()).collect();
-        let ranked = rank_keepers(service, &services, &sights);
+        let ranked = rank_keepers(service, &services, &statuses);
         let local = DispatcherCandidate {
             address: DispatcherAddress::Local(self.local.clone()),
             kind: CandidateKind::LastResort,
         };
-        ranked.into_iter().filter_map(|sight| self.candidate(sight)).chain([local]).collect()
+        ranked.into_iter().filter_map(|status| self.candidate(status)).chain([local]).collect()
     }
 }
--- a/crates/micaspool-gateway/src/proxy/failure.rs
+++ b/crates/micaspool-gateway/src/proxy/failure.rs
@@ -39,14 +39,8 @@
             SendError::Withheld => ("withheld", GrantOutcome::NotHeld),
             SendError::Broken(_) => ("broken", GrantOutcome::Severed),
         };
-        let not_sent = error.is_unsent();
-        SendFailure {
-            outcome,
-            kind,
-            cause: error.to_string(),
-            not_run: not_sent,
-            reached_endpoint: !not_sent,
-        }
+        let unsent = error.is_unsent();
+        SendFailure { outcome, kind, cause: error.to_string(), not_run: unsent, reached_endpoint: !unsent }
     }
 
     /// A response arrived that can't be passed on.
