--- a/crates/micaspool-core/src/control.rs
+++ b/crates/micaspool-core/src/control.rs
@@ -197,10 +197,10 @@
     /// Passes the current keepers to the client: this instance's own first, then those with a live
     /// stream, then the others.
     fn refresh_keepers(&self) {
-        let peers = self.mirror.keepers();
+        let statuses = self.mirror.keepers();
         let others = |reached: bool| {
-            let matching = peers.iter().filter(move |keeper| keeper.is_connected() == reached);
-            matching.map(|keeper| keeper.peer.clone()).filter(|peer| peer.name != self.own.name)
+            let matching = statuses.iter().filter(move |status| status.is_connected() == reached);
+            matching.map(|status| status.peer.clone()).filter(|peer| peer.name != self.own.name)
         };
         let own = std::iter::once(self.own.clone());
         self.client.set_keepers(own.chain(others(true)).chain(others(false)).collect());
