--- a/crates/micaspool-replay/src/run/wire.rs
+++ b/crates/micaspool-replay/src/run/wire.rs
@@ -23,8 +23,8 @@
             ShardEvent::Progress(_, request, delivered) => {
                 Body::Progress(v1::Progress { request: request_bytes(*request), delivered: delivered.0 })
             }
-            ShardEvent::Settle(_, request, cost, fate) => {
-                Body::Settle(settle_message(*request, *cost, *fate))
+            ShardEvent::Settle(_, request, cost, outcome) => {
+                Body::Settle(settle_message(*request, *cost, *outcome))
             }
             ShardEvent::Heartbeat(_, number) => {
                 Body::Heartbeat(v1::Heartbeat { number: *number, ..v1::Heartbeat::default() })
