--- a/crates/micaspool/src/cli/settings.rs
+++ b/crates/micaspool/src/cli/settings.rs
@@ -126,8 +126,9 @@
 fn read_json(path: &Path) -> Result<Value, (i32, String)> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| (EXIT_USAGE, format!("cannot read {} ({error}); check the path", path.display())))?;
-    serde_json::from_str(&text)
-        .map_err(|error| (EXIT_USAGE, format!("{} is not valid JSON ({error})", path.display())))
+    serde_json::from_str(&text).map_err(|error| {
+        (EXIT_USAGE, format!("{} is not valid JSON ({error}); correct the file", path.display()))
+    })
 }
 
 async fn apply(command: ApplyCommand) -> CommandResult {
--- a/crates/micaspool/src/fleet.rs
+++ b/crates/micaspool/src/fleet.rs
@@ -57,7 +57,7 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Settings(faults) => write!(f, "the settings tree is invalid:\n{faults}"),
+            Error::Settings(faults) => write!(f, "the settings tree is invalid; correct the tree:\n{faults}"),
             Error::Start(error) => write!(f, "the deployment did not start: {error}"),
             Error::Keepers(error) => error.fmt(f),
         }
