--- a/crates/micaspool-gateway/src/relay.rs
+++ b/crates/micaspool-gateway/src/relay.rs
@@ -39,7 +39,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RelayError::Endpoint(error) => {
-                write!(f, "endpoint connection failed before the answer was complete: {error}")
+                write!(
+                    f,
+                    "endpoint connection failed before the answer was complete ({error}); check the endpoint"
+                )
             }
             RelayError::Deadline => f.write_str("answer incomplete at the request deadline"),
         }
